--- a/fireflyfork/programs/_executor_polls.py
+++ b/fireflyfork/programs/_executor_polls.py
@@ -1,4 +1,4 @@
-"""One loop for each executor: poll, renew the lease, poll again."""
+"""Polls each executor of a service in a loop, which also renews the leases of its runs."""
 
 from __future__ import annotations
 
@@ -24,61 +24,82 @@
 from ._turns import Turns
 
 POLL_SECONDS = 1.0
-"""How long a poll waits for an end. Each is paid for; the lease, five times longer, bears the loss of
-several."""
+"""How long the executor holds a poll open while no run ends.
+
+Each poll is paid for. The lease is five times longer, so it survives the loss of several polls."""
 DISTURBED_POLL_SECONDS = 0.5
-"""Where tasks without a reservation run beside serving ones: tails are measured over half a second,
-and one over its target has to be noticed within the next."""
+"""Poll wait for executors on which tasks without a reservation share the machine with serving
+tasks.
+
+Tail latency is measured over half a second, and a value above its target has to be noticed within
+the next half second."""
 SHED_POLL_SECONDS = 2.0
-"""How long each poll waits while the owner is late. Polls come back as fast as an owner can take them in, so
-one that has too many executors for its processor would fall behind further and further, until it renews no
-lease in time and all that runs anywhere lapses at once. Two of these fit into a lease."""
+"""Poll wait while the owner's event loop is late.
+
+Executors are polled as fast as the owner can process the answers. An owner with too many executors
+for its processor would fall further and further behind until it renews no lease in time, and every
+run would lapse at once. Two of these waits fit into a lease."""
 STORE_WAIT_SECONDS = 0.15
-"""Ends are listed again until they are stored, so a poll before that would return at once. When the
-store is away, polls go on at this pace."""
+"""Maximum delay of the next poll while ends of runs aren't stored yet.
+
+An executor lists an end again until it is stored, so an earlier poll would return at once. While
+the store is away, polls continue at this interval."""
 GATHER_SECONDS = 0.05
-"""Tasks of a step end close together. Polls are paid for, and one that comes this much later tells of
-several ends; a job loses a tenth of the least time that its objective leaves it."""
+"""Delay after ends of runs before the next poll, to receive several ends with one paid poll.
+
+The tasks of a step end close together. The delay costs a job a tenth of the smallest slack that its
+objective leaves."""
 FIRST_RETRY_SECONDS = 0.05
 LONGEST_RETRY_SECONDS = 0.8
 MOST_DOUBLINGS = 10
-"""Of the first retry's delay. Unbounded, the power would outgrow a float in a long silence."""
+"""Limits the exponent of the retry delay, which would overflow a float during a long silence."""
 LATE_SECONDS = 0.6
-"""Of loop time, beyond the wait of the poll: an answer that is under way for longer is late. It takes 1 ms,
-and some 45 ms from another region."""
+"""Loop time after which an answer counts as late, in addition to the wait of the poll.
+
+A call takes 1 ms, or 45 ms to another region."""
 PATIENCE_SECONDS = 5.0
-"""A late answer is waited for as long as a lease lasts: it may list ends, and what is taken for over for want
-of a word that is on its way would run twice."""
+"""Timeout of a poll, as long as a lease.
+
+A late answer may list ends. If it were dropped, the owner would consider those runs lost and start
+their tasks a second time."""
 PROBE_PATIENCE_SECONDS = 1.5
-"""A probe that is not answered soon makes room for those of other executors; the late poll goes on."""
+"""Timeout of a probe. It is short so that probes of other executors get their turn while the late
+poll continues."""
 PROBES_AT_ONCE = 24
-"""For all executors together. Late answers come from a full link or a busy executor, and more calls than that
-would keep it so."""
+"""Maximum number of concurrent probes over all executors.
+
+Late answers are caused by a full link or a busy executor, and more calls would prolong either."""
 FIRST_POLLS_AT_ONCE = 64
-"""A new owner has no connection to any executor. It has to renew its own lease in the store meanwhile."""
+"""Maximum number of concurrent first polls.
+
+A new owner has no connection to any executor, and has to renew its own lease in the store while it
+opens them."""
 ORPHANED_LEASE_SECONDS = 2.5
-"""An owner that the store hasn't shown to be the owner for so long stops renewing leases. If it went on,
-its successor could never tell when a task on an executor that only the old owner reaches is over."""
+"""Time without a confirmation of the ownership by the store after which the owner stops renewing
+leases.
+
+If the owner went on, its successor could never tell when a task has ended on an executor that only
+the old owner reaches."""
 
 
 @dataclass(slots=True, eq=False)
 class _Poll:
-    """One poll that is out."""
+    """State of one outstanding poll."""
 
     sent_at: float
     in_time: bool = True
-    """False once its answer is late."""
+    """False once the answer is late."""
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     over: bool = False
-    """Whether it was answered, given up, or made needless by a probe."""
+    """Whether the poll was answered, given up, or made unnecessary by the answer to a probe."""
 
     def note_late(self) -> None:
-        """Its answer hasn't come when it should have."""
+        """Record that the answer didn't arrive in the expected time."""
         self.in_time = False
 
 
 class ExecutorPolls:
-    """The polls at all executors of a service."""
+    """Polls all executors of a service."""
 
     def __init__(
         self,
@@ -92,9 +113,11 @@
         kick: Callable[[], None],
         loop_time: LoopTime,
     ) -> None:
-        """``known_owner_at`` tells when the store last showed that this is the owner.
+        """Initialize the polls of one term of ownership.
 
-        ``kick`` has tasks placed; ``loop_time`` tells late answers from a late loop.
+        ``confirmed_owner_at`` returns when the store last showed that this instance is the owner.
+        ``request_dispatch`` requests a round of placing. ``loop_time`` distinguishes a late answer
+        from a late event loop.
         """
         self._scheduler = scheduler
         self._calls = calls
@@ -112,27 +135,29 @@
         self._wake: dict[ExecutorState, trio.Event] = {}
 
     def end(self) -> None:
-        """Take in nothing more: what executors list from now on is the next owner's to act upon."""
+        """Process no more answers: ends that executors list from now on are left to the next owner."""
         self._ended = True
 
     def wake(self, executor: ExecutorState) -> None:
-        """Something was sent to an executor that may be idle."""
+        """Resume polling an executor that may be idle, because an order is being sent to it."""
         event = self._wake.get(executor)
         if event is not None:
             event.set()
 
     def attend(self, executor: ExecutorState) -> None:
-        """Its registration changed or went, or it began anew: poll it if that tells something.
+        """Resume polling an executor unless it is idle, after a change of its registration or a
+        restart.
 
-        Nothing else would wake its loop. The next life would never be asked what it runs, and get no task;
-        one that left would stay known, and successors wait for it.
+        Nothing else would resume a paused loop. A restarted executor would never be asked what it
+        runs, and would get no task. An executor that left would stay known, and successors would
+        wait for it.
         """
         if not self._idle(executor):
             # Registrations are written every 1.5 s, and each poll is paid for.
             self.wake(executor)
 
     async def run(self, executor: ExecutorState) -> None:
-        """Poll until the executor is gone for good. Raises OwnershipLostError."""
+        """Poll until the executor has been removed from the scheduler. Raises OwnershipLostError."""
         try:
             async with trio.open_nursery() as nursery:
                 async with self._first_polls.turn():
@@ -149,10 +174,10 @@
         return not self._ended and self._scheduler.executors.get(executor.executor) is executor
 
     async def _poll(self, executor: ExecutorState, nursery: trio.Nursery) -> None:
-        """Poll once; a late answer is waited for, with a probe beside it.
+        """Poll once. While the answer is late, probe the executor over new connections.
 
-        On a full link answers take seconds. Broken off, each would take its ends with it, and the
-        executor would be taken for silent for as long as the link is full.
+        Over a full link, answers take seconds. Cancelling a late poll would lose the ends that its
+        answer lists, and the executor would appear silent for as long as the link is full.
         """
         poll = _Poll(self._clock.now())
         wait = self._wait(executor)
@@ -169,13 +194,14 @@
     def _note_late(self, executor: ExecutorState, poll: _Poll, nursery: trio.Nursery) -> None:
         poll.note_late()
         if executor.heard_at < poll.sent_at:
-            self._note_silence(executor, CallOutcome.UNKNOWN, "no answer in its usual time")
+            self._note_silence(executor, CallOutcome.UNKNOWN, "no answer in the expected time")
         nursery.start_soon(self._probe, executor, poll)
 
     async def _probe(self, executor: ExecutorState, late: _Poll) -> None:
-        """Ask over new connections until either the late poll or one of these is answered.
+        """Probe over new connections until the late poll or a probe is answered.
 
-        Where only the connection of the late poll has gone silent, a new one is answered at once.
+        If only the connection of the late poll has failed, a probe over a new connection is
+        answered at once.
         """
         if executor in self._probed:
             return
@@ -209,7 +235,7 @@
         patience: float,
         fresh: bool = False,
     ) -> bool:
-        """Whether there was an answer, which has been taken in."""
+        """Send a poll and process its answer. Return whether there was one."""
         forget = executor.forgettable_end
         known = executor.registration
         answer = await self._calls.poll(
@@ -222,7 +248,7 @@
             return True
         now = self._clock.now()
         if answer.outcome is CallOutcome.FENCED:
-            raise OwnershipLostError(f"{executor.executor} has seen a higher token")
+            raise OwnershipLostError(f"{executor.executor} reported a higher fencing token")
         if self._met_next_life(executor, poll.sent_at, answer, now):
             return True
         if answer.outcome is not CallOutcome.ACCEPTED:
@@ -273,16 +299,18 @@
 
     @staticmethod
     def _idle(executor: ExecutorState) -> bool:
-        # One whose last answer was late gets no work until another one tells that it is punctual again.
+        # An executor whose last answer was late gets no work until a timely answer, so polling goes
+        # on.
         known = executor.polled_at is not None and not executor.answers_late
         quiet = not executor.runs and executor.told_end == executor.seen_end
         return known and quiet and executor.registered
 
     def _lease(self, executor: ExecutorState, now: float) -> int | None:
-        """Until when what runs there may go on, on its clock; None leaves that as it is.
+        """Extend the lease of the executor's runs and return its end on the executor's clock.
 
-        An executor that doesn't answer gets no longer lease: the answer may be what is lost, and
-        each renewal would put off the moment from which its tasks may run elsewhere.
+        Returns None to leave the lease unchanged. The lease of an executor that doesn't answer
+        isn't extended: only its answers may be lost, and each renewal would postpone the time from
+        which its tasks may run elsewhere.
         """
         orphaned = now - self._known_owner_at() > ORPHANED_LEASE_SECONDS
         if executor.polled_at is None or executor.failed_polls or orphaned:
--- a/fireflyfork/programs/_prefix_watch.py
+++ b/fireflyfork/programs/_prefix_watch.py
@@ -1,4 +1,4 @@
-"""Follows all keys under a prefix of the store, through outages and lost history."""
+"""Follows all keys under a prefix of the store, through outages and loss of the store's history."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from ..adapters import CoordinationStore, StoreChange, StoreListing
 
 RETRY_SECONDS = 0.1
-"""After a call that failed: what is missed meanwhile comes with the next answer."""
+"""Delay after a failed call. The next answer includes the changes that were missed."""
 
 
 class PrefixWatch:
-    """One follower of one prefix."""
+    """Follows the keys under one prefix."""
 
     def __init__(
         self,
@@ -32,16 +32,19 @@
         now: Callable[[], float] = trio.current_time,
         heard: Callable[[float], None] = lambda _: None,
     ) -> None:
-        """``listed`` gets everything there is, at first and whenever the store has lost its history;
-        ``changed`` each change after that, in order; ``answered`` hears of every answer.
+        """Set up a watch that reports to callbacks; ``run`` starts it.
 
-        A question waits for ``wait_seconds``; a connection that has gone silent is noticed a call's
-        timeout later. After an answer the next question waits for ``gather_seconds``, so that one
-        answer tells of many changes: the store's operators pay for each. After changes and failures the
-        next question waits for ``confirm_seconds`` only, where that is given: see ``known_at``.
+        ``on_listing`` gets all keys at the start and whenever the store has lost its history.
+        ``on_change`` gets each later change, in order. ``on_answer`` is called for every answer.
 
-        ``heard`` is told, when what an answer said has been handed over, the time by ``now`` at which its
-        question had been asked: up to then nothing is unknown.
+        A request waits for changes for up to ``wait_seconds``. A failed connection is noticed after
+        this wait and a call's timeout. After an answer with changes, the next request is delayed by
+        ``gather_seconds`` so that one answer carries many changes: the store's operators pay for
+        each call. After changes and failures the next request waits for ``confirm_seconds`` only,
+        if given (see ``known_at``).
+
+        Once an answer has been processed, ``on_confirmed`` is called with the time, by ``now``, at
+        which its request was sent. All changes before that time have been reported.
         """
         self._store = store
         self._prefix = prefix
@@ -59,29 +62,33 @@
 
     @property
     def as_of(self) -> Revision:
-        """All changes up to this one have been heard of; 0: none."""
+        """Revision up to which all changes have been received; 0 if none."""
         return self._as_of
 
     @property
     def known_at(self) -> float:
-        """All changes that were made before this time, by ``now``, have been heard of.
+        """Time, by ``now``, before which all changes have been received.
 
-        It is when a question was sent: its answer may have been on its way for long, and tells nothing of
-        what happened meanwhile. A question that waited in vain was answered when its wait was over.
+        This is the time at which a request was sent: its answer may have been delayed, and contains
+        nothing that happened in between. A request that waited without a change was answered at the
+        end of its wait.
         """
         return self._known_at
 
     @property
     def asked_at(self) -> float:
-        """When the last question was sent, by ``now``; what is handed over is its answer."""
+        """When the last request was sent, by ``now``. The callbacks receive the answer to this
+        request.
+        """
         return self._asked_at
 
     async def run(
         self, after: Revision | None = None, until: Callable[[], bool] = lambda: False
     ) -> None:
-        """Follow until cancelled, from a listing that is known already or from one made now.
+        """Follow the prefix until cancelled, starting at revision ``after`` or with a new listing.
 
-        It also ends once ``until`` says so when an answer has been taken in, or none has come.
+        Also returns once ``until`` returns True; it is checked after each answer and each failed
+        call.
         """
         while not until():
             if after is None:
@@ -97,7 +104,7 @@
             try:
                 listing = await self._store.list(self._prefix)
             except StoreError as error:
-                logger.debug("not listed", prefix=self._prefix, error=str(error))
+                logger.debug("prefix not listed", prefix=self._prefix, error=str(error))
                 await trio.sleep(RETRY_SECONDS)
                 continue
             self._answered()
@@ -108,17 +115,17 @@
             return
 
     async def _follow(self, until: Callable[[], bool]) -> None:
-        """Take changes until the history is lost."""
+        """Process changes until the store has lost its history or ``until`` returns True."""
         wait = self._confirm_seconds
         while not until():
             asked = self._asked_at = self._now()
             try:
                 answer = await self._store.changes(self._prefix, self._as_of, wait)
             except StoreHistoryLostError as error:
-                logger.info("listed anew", prefix=self._prefix, reason=str(error))
+                logger.info("prefix listed again", prefix=self._prefix, reason=str(error))
                 return
             except StoreError as error:
-                logger.debug("not followed", prefix=self._prefix, error=str(error))
+                logger.debug("prefix not followed", prefix=self._prefix, error=str(error))
                 wait = self._confirm_seconds
                 await trio.sleep(RETRY_SECONDS)
                 continue
--- a/fireflyfork/programs/_recovery_reads.py
+++ b/fireflyfork/programs/_recovery_reads.py
@@ -1,4 +1,4 @@
-"""What a new owner reads from the store before it decides anything."""
+"""Reads the state that a new owner needs from the store before it can decide anything."""
 
 from __future__ import annotations
 
@@ -23,24 +23,24 @@
 
 @dataclass(frozen=True, slots=True)
 class LeftBehind:
-    """What earlier owners, callers and executors have stored."""
+    """State that earlier owners, callers and executors have stored."""
 
     last_known: tuple[ExecutorRegistration, ...]
     """The executors that an earlier owner knew."""
     learned: tuple[LearnedFit, ...]
     work: StoreListing
-    """Owners, jobs and cancellations."""
+    """The keys of owners, jobs and cancellations."""
     progress: StoreListing
     registrations: StoreListing
 
 
 async def read_left_behind(store: CoordinationStore, journal: ServiceJournal) -> LeftBehind:
-    """Read all of it at once, each part again until it has come.
+    """Read all parts of the state concurrently, and retry each until the store answers.
 
-    One after the other, these calls made recovery seven round trips long: a third of a second in another
-    region, and three seconds with a store that answers a hundred times slower than usual. A part that has
-    come is not read again because another one failed. No earlier owner can change any of it meanwhile:
-    its writes need its own key, which is gone.
+    Sequential calls made recovery seven round trips long: a third of a second in another region,
+    and three seconds with a store that is a hundred times slower than usual. A part that was read
+    isn't read again because another one failed. No earlier owner can change the state in the
+    meantime, because its writes are conditional on its own owner key, which no longer exists.
     """
     opened = _Reading("journal", journal.open)
     last_known = _Reading("executors", journal.last_known_executors)
@@ -57,7 +57,7 @@
 
 
 async def until_answered(what: str, call: Callable[[], Awaitable[_Answer]]) -> _Answer:
-    """Repeat a question to the store until it answers."""
+    """Repeat a call to the store until it succeeds; ``what`` names it in the log."""
     while True:
         try:
             return await call()
@@ -67,7 +67,7 @@
 
 
 class _Reading(Generic[_Answer]):
-    """One part, and its answer once there is one."""
+    """Reads one part of the state and holds the answer."""
 
     def __init__(self, what: str, call: Callable[[], Awaitable[_Answer]]) -> None:
         self._what = what
--- a/fireflyfork/programs/_registration_intake.py
+++ b/fireflyfork/programs/_registration_intake.py
@@ -1,4 +1,4 @@
-"""Takes in which executors of a service are registered in the store."""
+"""Follows the registrations of a service's executors in the store."""
 
 from __future__ import annotations
 
@@ -13,12 +13,14 @@
 
 WATCH_SECONDS = 2.0
 GATHER_SECONDS = 0.4
-"""Executors write every 1.5 s each, mostly to say that they live. A question after each of these writes would
-be a quarter of all calls to the store; executors that leave go on for 2.5 s and more."""
+"""Minimum delay between an answer with changes and the next request.
+
+Each executor writes every 1.5 s, mostly as a heartbeat. A request after each of these writes would
+make up a quarter of all calls to the store. Executors that leave keep running for 2.5 s or more."""
 
 
 class RegistrationIntake:
-    """Tells the scheduler of one owner which executors there are."""
+    """Registers and unregisters executors with the scheduler of one owner."""
 
     def __init__(
         self,
@@ -29,7 +31,11 @@
         attend: Callable[[ExecutorState], None],
         kick: Callable[[], None],
     ) -> None:
-        """``attend`` is called with each executor that has changed, and ``kick`` has tasks placed."""
+        """Set up the intake; no call is made.
+
+        ``wake_executor`` is called with each executor whose registration has changed, and
+        ``request_dispatch`` after each change.
+        """
         self._store = store
         self._scheduler = scheduler
         self._service = service
@@ -38,7 +44,7 @@
         self._kick = kick
 
     def watch(self) -> PrefixWatch:
-        """Follows the changes, once it runs."""
+        """Return a watch that passes changes of registrations to the scheduler while it runs."""
         return PrefixWatch(
             self._store,
             REGISTRATION_PREFIX,
@@ -49,7 +55,7 @@
         )
 
     def stored(self, items: Iterable[StoredItem]) -> tuple[ExecutorRegistration, ...]:
-        """Those of the service among the items."""
+        """Return the registrations of the service among stored items."""
         found = map(self._registration, items)
         return tuple(one for one in found if one is not None)
 
--- a/fireflyfork/programs/_run_orders.py
+++ b/fireflyfork/programs/_run_orders.py
@@ -1,4 +1,4 @@
-"""Orders to executors: start, stop and pace runs."""
+"""Sends orders to executors: start, stop and pace runs."""
 
 from __future__ import annotations
 
@@ -27,15 +27,19 @@
 from ._turns import Turns
 
 CALLS_AT_ONCE = 6
-"""To one executor, besides the poll. It takes 64 connections from all, and starts come in groups of
-no more than a step's tasks."""
+"""Maximum number of concurrent orders to one executor, in addition to the poll.
+
+An executor accepts 64 connections in total, and starts are sent in groups of at most the tasks of a
+step."""
 STARTS_AT_ONCE = 64
-"""Calls that progress side by side all end when the last one does. More starts than that would make each other
-void on an owner that is short of processor time."""
+"""Maximum number of concurrent starts.
+
+Concurrent calls all finish when the last one does. With more of them, an owner that is short of
+processor time would exceed the start deadline of each."""
 
 
 class RunOrders:
-    """Sends what the scheduler has decided, and tells it the answers."""
+    """Sends the scheduler's orders and reports the answers to it."""
 
     def __init__(
         self,
@@ -47,7 +51,11 @@
         kick: Callable[[], None],
         loop_time: LoopTime,
     ) -> None:
-        """``kick`` has tasks placed after an answer; ``loop_time`` tells a late loop from late answers."""
+        """Set up the orders of one term of ownership.
+
+        ``request_dispatch`` is called after an answer. ``loop_time`` distinguishes a late event
+        loop from a late answer.
+        """
         self._scheduler = scheduler
         self._calls = calls
         self._polls = polls
@@ -58,17 +66,19 @@
         self._starts = Turns(STARTS_AT_ONCE, loop_time)
 
     def forget(self, executor: ExecutorState) -> None:
-        """An executor is gone for good."""
+        """Drop the state of an executor that was removed from the scheduler."""
         self._limits.pop(executor, None)
 
     async def carry_out(self, command: RunCommand) -> None:
-        """Send one order. Raises OwnershipLostError when the executor has seen a higher token."""
+        """Send one order and report its answer. Raises OwnershipLostError if it reports a higher
+        token.
+        """
         executor = command.run.executor
         limit = self._limits.setdefault(executor, trio.CapacityLimiter(CALLS_AT_ONCE))
         async with limit:
             answer = await self._order(command, executor)
         if answer.outcome is CallOutcome.FENCED:
-            raise OwnershipLostError(f"{executor.executor} has seen a higher token")
+            raise OwnershipLostError(f"{executor.executor} reported a higher fencing token")
         now = self._clock.now()
         match command:
             case StartRun(run):
--- a/fireflyfork/programs/_work_intake.py
+++ b/fireflyfork/programs/_work_intake.py
@@ -1,4 +1,4 @@
-"""Takes in what the store holds of a service's work: jobs, cancellations, and who owns the service."""
+"""Follows the stored work of a service: its owner, its jobs and their cancellations."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from ._service_lease import Term
 
 WATCH_SECONDS = 2.0
-"""How long one question for changes waits; a silent connection is noticed a second later."""
+"""How long one request for changes waits. A failed connection is noticed a second after that."""
 
 
 class WorkIntake:
-    """Tells the scheduler of one owner what callers have stored."""
+    """Passes stored jobs and cancellations to the scheduler of one owner."""
 
     def __init__(
         self,
@@ -38,7 +38,11 @@
         note_ownership: Callable[[], None],
         kick: Callable[[], None],
     ) -> None:
-        """``note_ownership`` is called when the store shows that ``term`` goes on, ``kick`` has tasks placed."""
+        """Set up the intake; no call is made.
+
+        ``note_ownership`` is called when the store shows that ``term`` continues,
+        ``request_dispatch`` after each new job or cancellation.
+        """
         self._store = store
         self._scheduler = scheduler
         self._term = term
@@ -47,7 +51,9 @@
         self._kick = kick
 
     def watch(self) -> PrefixWatch:
-        """Follows the changes, once it runs. Raises OwnershipLostError."""
+        """Return a watch that passes changes to the scheduler. Its ``run`` raises
+        OwnershipLostError.
+        """
         return PrefixWatch(
             self._store,
             WORK_PREFIX,
@@ -62,7 +68,7 @@
     def stored_jobs(
         self, work: Iterable[StoredItem], progress: Iterable[StoredItem]
     ) -> tuple[tuple[JobSpec, StoredProgress | None], ...]:
-        """The service's jobs and how far they are; what can't be read is logged and left out."""
+        """Return the service's jobs with their progress. Unreadable items are logged and skipped."""
         known: dict[str, StoredProgress] = {}
         for item in progress:
             try:
@@ -73,34 +79,35 @@
         return tuple((spec, known.get(spec.job)) for spec in jobs if spec is not None)
 
     def take_cancellations(self, work: Iterable[StoredItem]) -> None:
-        """Take in those among the items."""
+        """Pass the cancellations among stored items to the scheduler."""
         for item in work:
             if item.key.startswith(CANCEL_PREFIX):
                 self._cancel(item.key)
 
     def take_listing(self, listing: StoreListing) -> None:
-        """The store has lost its history: take in what was missed. Raises OwnershipLostError."""
+        """Process what was missed when the store has lost its history. Raises OwnershipLostError."""
         self.require_ownership(listing)
         jobs_first = sorted(listing.items, key=lambda item: item.key.startswith(CANCEL_PREFIX))
         for item in jobs_first:
             self._take_change(StoreChange(item.key, item.revision, item))
 
     def require_ownership(self, listing: StoreListing) -> None:
-        """Raise OwnershipLostError if a listing is of a successor's time, or nobody's.
+        """Raise OwnershipLostError if a listing shows another owner or none.
 
-        Its jobs may be the successor's, which starts those that came after it without asking anybody. The
-        owner's key is on the last page: if it is still this owner's, so were all jobs on the pages before.
+        Its jobs may then belong to a successor, which starts jobs accepted after its own listing
+        without any confirmation. The owner key is on the last page of a listing: if it is still
+        this owner's key, this instance also owned the jobs on the earlier pages.
         """
         own = [item for item in listing.items if item.key == owner_key(self._term.service)]
         if not own:
-            raise OwnershipLostError("the owner's key is gone")
+            raise OwnershipLostError("the owner key was removed")
         if own[0].revision != self._term.owner_revision:
-            raise OwnershipLostError("the owner's key has changed")
+            raise OwnershipLostError("the owner key was replaced or removed")
 
     def _take_change(self, change: StoreChange) -> None:
         if change.key == owner_key(self._term.service):
             if change.item is None or change.revision != self._term.owner_revision:
-                raise OwnershipLostError("the owner's key has changed")
+                raise OwnershipLostError("the owner key was replaced or removed")
         elif change.item is None:
             return
         elif change.key.startswith(JOB_PREFIX):
