--- a/fireflyfork/programs/_service_candidate.py
+++ b/fireflyfork/programs/_service_candidate.py
@@ -1,4 +1,4 @@
-"""Stands for the ownership of one service, and is its owner whenever it wins."""
+"""Bids for the ownership of one service and runs its owner after each win."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ServiceCandidate:
-    """One instance's part in the ownership of one service."""
+    """One instance's candidacy for the ownership of one service."""
 
     def __init__(
         self,
@@ -34,7 +34,11 @@
         waves: Callable[[], tuple[UpkeepWave, ...]],
         announcements: Announcements,
     ) -> None:
-        """``queues`` tells the queues in force, ``waves`` the upkeep that the operator asks for."""
+        """Set up the candidacy; ``run`` starts it.
+
+        ``queues`` returns the queues in force, ``waves`` the waves of upkeep that the operator
+        requested.
+        """
         self._service = service
         self._node = node
         self._outside = outside
@@ -51,11 +55,11 @@
 
     @property
     def owner(self) -> ServiceOwner | None:
-        """The owner at work here, or None."""
+        """The owner running on this instance, or None."""
         return self._owner
 
     async def run(self) -> None:
-        """Stand until ``stop``; a term ends with its hand-over."""
+        """Bid for the ownership, run the owner and release the ownership, until ``stop``."""
         while not self._stopping:
             with trio.CancelScope() as self._waiting:
                 term = await self._lease.win()
@@ -85,7 +89,7 @@
                 await self._lease.resign(term)
 
     async def stop(self) -> None:
-        """Leave the ownership to others at once, with all that is known stored."""
+        """Stop bidding, store all pending changes and release the ownership at once."""
         self._stopping = True
         self._waiting.cancel()
         if self._owner is not None:
--- a/fireflyfork/programs/_service_journal.py
+++ b/fireflyfork/programs/_service_journal.py
@@ -36,33 +36,37 @@
 from ._service_lease import Term
 
 MOST_JOBS = 26
-"""A transaction takes 32 rows; two conditions, the journal's number, the pending counts, the known
-executors and what was learned take six of them."""
+"""Maximum number of jobs in one write.
+
+A transaction takes 32 rows. The two conditions, the journal's number, the pending counts, the known
+executors and what was learned use six of them."""
 MOST_REMOVED = 10
-"""Jobs in one removal, three keys each, within the same 32 rows."""
+"""Maximum number of jobs in one removal, with three keys each, within the same 32 rows."""
 GATHER_SECONDS = 0.025
-"""Changes within this go into one write: a store call takes 4 ms, and calls are paid for."""
+"""Time during which changes are collected into one write: a store call takes 4 ms, and calls are
+paid for."""
 RETRY_SECONDS = 0.1
 PENDING_SECONDS = 0.5
-"""How often the counts of waiting jobs are stored at most; they may be 2 s old."""
+"""Minimum interval between writes of the counts of waiting jobs, which may be up to 2 s old."""
 LEARNED_SECONDS = 2.0
-"""How often what was learned is stored at most, with a write that goes out anyway: some 3 KB, and what
-two seconds add moves no effect far."""
+"""Minimum interval between writes of what was learned, which go out with other writes.
+
+The value is about 3 KB, and two more seconds of observations hardly change any learned effect."""
 
 
 _Value = TypeVar("_Value")
 
 
 class OwnershipLostError(StoreError):
-    """Another instance owns the service, or none does."""
+    """Raised when another instance owns the service, or none does."""
 
 
 class ServiceJournal:
-    """The owner's writes, one after the other.
+    """Performs the owner's writes one after the other.
 
-    A write without an answer may still be carried out seconds later. If nothing ordered the writes,
-    it would put older progress over newer: a caller would see a completed job run again, and the
-    next owner would run its tasks again. So each write is conditional on the one before.
+    A write without an answer may still be executed seconds later. Without an order of writes, it
+    would replace newer progress with older: a caller would see a completed job run again, and the
+    next owner would run its tasks again. Each write is therefore conditional on the previous one.
     """
 
     def __init__(
@@ -72,10 +76,10 @@
         scheduler: Scheduler,
         confirmed: Callable[[bool], None],
     ) -> None:
-        """``open`` comes first.
+        """Set up the journal; ``open`` must be called before the first write.
 
-        ``confirmed`` is called after each write, and told whether executors were stored, which may get
-        runs then.
+        ``confirmed`` is called after each write, with True if the write stored executors, which may
+        then get runs.
         """
         self._store = store
         self._term = term
@@ -90,31 +94,31 @@
         self._learned_at = 0.0
 
     async def open(self) -> None:
-        """Find the last write of earlier owners. Raises StoreError."""
+        """Read the revision of the last write of earlier owners. Raises StoreError."""
         item = await self._store.read(journal_key(self._term.service))
         self._written = item.revision if item is not None else Revision(0)
 
     async def last_known_executors(self) -> tuple[ExecutorRegistration, ...]:
-        """The executors that an earlier owner had stored as known to it. Raises StoreError."""
+        """Return the executors that an earlier owner had stored. Raises StoreError."""
         known = await self._left_behind(executors_key(self._term.service), decode_registrations)
         return known if known is not None else ()
 
     async def last_learned(self) -> tuple[LearnedFit, ...]:
-        """What an earlier owner had learned. Raises StoreError."""
+        """Return what an earlier owner had learned. Raises StoreError."""
         learned = await self._left_behind(learned_key(self._term.service), decode_learned)
         return learned if learned is not None else ()
 
     def notify(self) -> None:
-        """There may be something to store."""
+        """Wake the journal, because there may be changes to store."""
         self._changed.set()
 
     async def wait_stored(self, seconds: float) -> None:
-        """Wait for the next write to succeed, at most so long."""
+        """Wait until the next write succeeds, for at most ``seconds``."""
         with trio.move_on_after(seconds):
             await self._stored.wait()
 
     async def run(self) -> None:
-        """Store changes as they come. Raises OwnershipLostError."""
+        """Store changes as they are made. Raises OwnershipLostError."""
         while True:
             await self._changed.wait()
             self._changed = trio.Event()
@@ -124,7 +128,7 @@
                     await trio.sleep(RETRY_SECONDS)
 
     async def flush(self) -> bool:
-        """Store one portion; False when the store was not to be had. Raises OwnershipLostError."""
+        """Store one batch. Return False if the store was unavailable. Raises OwnershipLostError."""
         changes = self._scheduler.jobs.changes
         jobs = changes.take(MOST_JOBS)
         pending = self._pending_to_store()
@@ -155,10 +159,10 @@
         return True
 
     async def remove_expired(self, before_ms: int) -> bool:
-        """Remove some jobs that ended before a time; whether there may be more.
+        """Remove some jobs that ended before ``before_ms``. Return whether there may be more.
 
-        Raises OwnershipLostError. A job's key is what makes a late repeat of its request the same job,
-        so it stays much longer than any repeat may take.
+        Raises OwnershipLostError. A job's key identifies late repeats of its request, so it is kept
+        much longer than any repeat may take.
         """
         jobs = self._scheduler.jobs.expired(before_ms, MOST_REMOVED)
         if not jobs:
@@ -176,20 +180,24 @@
         return len(jobs) == MOST_REMOVED
 
     async def _left_behind(self, key: str, decode: Callable[[bytes], _Value]) -> _Value | None:
-        """What an earlier owner left under a key; None when there is none that can be read."""
+        """Read what an earlier owner stored under a key, or None if the key is missing or not
+        readable.
+        """
         item = await self._store.read(key)
         if item is None:
             return None
         try:
             return decode(item.value)
         except StoredFormatError as error:
-            # Nobody would own the service for as long as it stays unreadable; that is worse than to begin
-            # without what an earlier owner knew.
-            logger.error("left by an earlier owner and not readable", key=key, error=str(error))
+            # Without this the service would have no owner for as long as the value is unreadable,
+            # which is worse than starting without it.
+            logger.error("state of an earlier owner not readable", key=key, error=str(error))
             return None
 
     async def _gather(self) -> None:
-        """Wait for more to store; not while executors get nothing to run before they are stored."""
+        """Wait for more changes to store, unless executors have to be stored before they can get
+        runs.
+        """
         with trio.move_on_after(GATHER_SECONDS):
             while not self._scheduler.executors_changed:
                 await self._changed.wait()
@@ -227,7 +235,8 @@
         if pending is not None:
             puts.append(Put(pending_key(service), msgspec.json.encode(pending)))
         if trio.current_time() - self._learned_at >= LEARNED_SECONDS:
-            # If this write fails the next one follows two seconds later; nothing rests on it.
+            # If this write fails, the next one follows two seconds later; no other state depends on
+            # it.
             self._learned_at = trio.current_time()
             puts.append(Put(learned_key(service), encode_learned(self._scheduler.learned())))
         if executors is not None:
@@ -239,7 +248,7 @@
         self._written = await self._store.commit(expected, tuple(puts))
 
     def _settle(self, error: TransactionConflictError) -> None:
-        """Find out what the conflict means: a write of ours that got no answer, or a new owner."""
+        """Resolve a conflict, caused either by an own write that got no answer or by a new owner."""
         owner = error.found.get(owner_key(self._term.service))
         if owner is None or owner.revision != self._term.owner_revision:
             raise OwnershipLostError("another owner has taken over, or the lease has ended")
--- a/fireflyfork/programs/_service_lease.py
+++ b/fireflyfork/programs/_service_lease.py
@@ -1,4 +1,4 @@
-"""Who owns a service: one key under a lease of the store."""
+"""Ownership of a service, represented by one key under a lease of the store."""
 
 from __future__ import annotations
 
@@ -24,44 +24,48 @@
 from ._scheduling_keys import owner_key, term_key
 
 LEASE_SECONDS = 1.2
-"""Near the shortest that the store grants, 1 s: it is most of the time from the death of an owner to
-the next start."""
+"""Close to the minimum of 1 s that the store grants, since it is most of the time between the
+failure of an owner and the next start of a task."""
 RENEW_SECONDS = 0.3
-"""Three renewals may be lost before the lease ends; each costs a tenth of a read."""
+"""Three renewals may be lost before the lease ends. Each costs a tenth of a read."""
 FOLLOW_SECONDS = 2.0
-"""How long one question for changes waits. A connection that went silent is noticed this long after,
-and one call each two seconds costs next to nothing."""
+"""How long one request for changes waits.
+
+A failed connection is noticed after this time, and one call every two seconds costs almost nothing.
+"""
 RETRY_SECONDS = 0.15
 SPREAD_SECONDS = 0.03
-"""Candidates spread over this, so that one write usually settles it."""
+"""Range of the random delay of bids, which lets one write usually settle the ownership."""
 
 
 class OwnerRecord(msgspec.Struct, frozen=True):
-    """The value of an owner's key."""
+    """The value of an owner key."""
 
     node: str
     nonce: str
-    """Unique to this term, so that a lost answer can be settled by reading back."""
+    """Unique to the term, so that after a lost answer a read shows whether the write succeeded."""
 
 
 @dataclass(frozen=True, slots=True)
 class Term:
-    """One owner's time."""
+    """One instance's period of ownership of a service."""
 
     service: ServiceName
     number: int
     lease: LeaseId
     owner_revision: Revision
-    """Every write of this owner is conditional on it."""
+    """Revision of the owner key, on which every write of this owner is conditional."""
 
     @property
     def token(self) -> FencingToken:
-        """Executors obey the highest. The store's revisions rise with each change of owner."""
+        """Fencing token: executors obey the highest one. Revisions of the store rise with each
+        change of owner.
+        """
         return FencingToken(self.owner_revision)
 
 
 class ServiceLease:
-    """Takes the ownership of a service when it is vacant, and keeps it."""
+    """Acquires the ownership of a service when it is vacant, and keeps it."""
 
     def __init__(
         self,
@@ -72,7 +76,11 @@
         random: Random,
         announcements: Announcements,
     ) -> None:
-        """``random`` spreads candidates and makes nonces; ``announcements`` rank them."""
+        """Set up the lease of one candidate.
+
+        ``random`` is used for the delays of bids and for nonces; ``announcements`` rank the
+        candidates.
+        """
         self._service = service
         self._node = node
         self._store = store
@@ -81,7 +89,7 @@
         self._announcements = announcements
 
     async def win(self) -> Term:
-        """Wait until the service is vacant and take it."""
+        """Wait until the service is vacant and acquire its ownership."""
         while True:
             try:
                 await self._wait_vacant()
@@ -90,18 +98,18 @@
             except StoreConflictError:
                 continue
             except StoreError as error:
-                logger.debug("ownership not settled", service=self._service, error=str(error))
+                logger.debug("ownership not acquired", service=self._service, error=str(error))
                 await trio.sleep(RETRY_SECONDS * (1 + self._random.random()))
                 continue
             if term is not None:
                 return term
 
     async def keep(self, term: Term) -> None:
-        """Renew until the lease has ended; errors of the store are borne.
+        """Renew the lease until it has ended; other errors of the store are ignored.
 
-        The end of this lease is no proof that the ownership is lost, nor is a renewal that it is
-        kept: the store may have taken the key away. What counts is a conditional write that fails,
-        or an executor that has seen a higher token.
+        The end of this lease doesn't prove that the ownership is lost, and a renewal doesn't prove
+        that it is kept: the store may have removed the key. Proof of the loss is a conditional
+        write that fails, or an executor that has seen a higher token.
         """
         while True:
             try:
@@ -113,7 +121,7 @@
             await trio.sleep(RENEW_SECONDS)
 
     async def resign(self, term: Term) -> None:
-        """Make the service vacant at once."""
+        """Remove the owner key, so that the service is vacant at once."""
         key = owner_key(self._service)
         try:
             await self._store.commit({key: term.owner_revision}, removals=(key,))
@@ -128,7 +136,8 @@
             self._announcements.note_round_trip(self._clock.now() - begun)
             if all(item.key != key for item in listing.items):
                 return
-            # Not since the owner took over: the store may have forgotten what was then.
+            # The watch starts at the listing, not at the revision of the owner key, which the store
+            # may have dropped from its history.
             if await self._wait_removed(key, listing.as_of):
                 return
 
--- a/fireflyfork/programs/_service_owner.py
+++ b/fireflyfork/programs/_service_owner.py
@@ -1,4 +1,4 @@
-"""The owner of one service at work: from recovery to the loss of its ownership."""
+"""Runs the owner of one service, from recovery to the loss of its ownership."""
 
 from __future__ import annotations
 
@@ -42,31 +42,39 @@
 from ._work_intake import WorkIntake
 
 LEASE_SECONDS = 5.0
-"""How long executors go on by themselves. It has to outlast a change of owner, some 2 s, and a store
-that is away for 4 or 5 s; tasks on an executor that is cut off wait for its end."""
+"""How long executors continue runs without hearing from an owner.
+
+The lease has to outlast a change of owner, about 2 s, and an outage of the store of 4 or 5 s. Tasks
+on an executor that is cut off can't run elsewhere before it ends."""
 LEASE_SHARE = 0.95
-"""Of the longest lease that the platform grants, where that is shorter."""
+"""Share of the platform's longest lease that is used if that lease is shorter than
+``LEASE_SECONDS``."""
 UNHEARD_MARGIN_SECONDS = 0.5
-"""For the clocks of executors, which may be 2% slow."""
+"""Margin for the clocks of executors, which may be 2% slow."""
 HAND_OVER_SECONDS = 0.6
-"""To store what is left before a planned hand-over; some writes of 5 ms each."""
+"""Time to store pending changes before a planned hand-over: several writes of 5 ms each."""
 CLEANUP_SECONDS = 10.0
 RETENTION_MARGIN_SECONDS = 180.0
-"""Jobs that are over stay in the store for as long as their state must be readable and this on top, for
-clocks that differ and requests that come again late; then they go, a few every ten seconds, or a new
-owner would read more and more of them."""
+"""Time for which jobs that are over stay in the store, in addition to the time for which their
+state must be readable.
+
+It allows for clock differences and late repeats of requests. The jobs are then removed, a few every
+ten seconds; otherwise each new owner would read more of them."""
 TICK_SECONDS = 0.1
-"""Lapses, retries and due times are checked this often: a tenth of what a caller notices."""
+"""Interval of the checks for lapses, retries and due times: a tenth of the delay that a caller
+notices."""
 PROOF_RETRY_SECONDS = 0.5
-"""Between questions who owns the service, while the store doesn't answer; calls are paid for."""
+"""Interval of attempts to read the owner key while the store doesn't answer; calls are paid for."""
 ROUND_REST = 3.0
-"""A round of placing is followed by a rest so many times as long, so that rounds take a quarter of the loop's
-time at most. What happens meanwhile is placed together with the next one."""
+"""Length of the rest after a round of placing, as a multiple of the round's own length.
+
+Rounds thus take at most a quarter of the loop's time. Changes during the rest are handled together
+in the next round."""
 LONGEST_ROUND_REST_SECONDS = 0.03
 
 
 class ServiceOwner:
-    """One term of ownership."""
+    """Runs one term of ownership."""
 
     def __init__(
         self,
@@ -80,7 +88,11 @@
         waves: Callable[[], tuple[UpkeepWave, ...]],
         announcements: Announcements,
     ) -> None:
-        """``queues`` tells the queues in force, ``waves`` the upkeep that the operator asks for."""
+        """Create and connect the parts of the owner; ``run`` starts them.
+
+        ``queues`` returns the queues in force, ``waves`` the waves of upkeep that the operator
+        requested.
+        """
         metrics.count("fireflyfork_ownerships_total", service=term.service)
         self._term = term
         self._service: ServiceName = term.service
@@ -122,7 +134,8 @@
         )
         self._ready = False
         self._log = DecisionLog(clock, self._service, metrics)
-        # Reading what is left shows nothing: over a thin link it takes seconds, and may be old when it ends.
+        # Recovery reads don't confirm the ownership: over a thin link they take seconds, and their
+        # answers may be old when they arrive.
         self._known_owner_at = clock.now()
         self._proving = False
         self._work = trio.Event()
@@ -140,39 +153,42 @@
 
     @property
     def ready(self) -> bool:
-        """Whether it has read what it needs and decides."""
+        """Whether recovery is complete and the owner places tasks."""
         return self._ready
 
     @property
     def scheduler(self) -> Scheduler:
-        """For status and metrics."""
+        """The scheduler of this owner, for status and metrics."""
         return self._scheduler
 
     def kick(self) -> None:
-        """Something changed: place tasks and send orders."""
+        """Request a round of placing and sending of orders, after a change."""
         self._work.set()
 
     def configure(self, queues: QueueTable) -> None:
-        """Another version of the configuration is in force."""
+        """Apply a newer version of the configuration."""
         self._scheduler.configure(queues)
         self.kick()
 
     def _note_ownership(self) -> None:
-        """The store has shown that this is still the owner.
+        """Record that the store has just shown this instance to be the owner.
 
-        No other answer will do. While the one that tells of a successor doesn't come, others may, and an
-        owner that went on for these would renew leases for longer than its successor waits.
+        Only answers that would also report a successor may call this. Other answers may keep
+        arriving while the one that reports a successor is delayed, and the owner would renew leases
+        for longer than its successor waits.
         """
         self._known_owner_at = self._clock.now()
 
     def _confirmed(self, executors: bool) -> None:
-        """The journal was written, which only the owner can."""
+        """Record a write of the journal, which only the owner can make."""
         self._note_ownership()
         if executors:
             self.kick()
 
     async def run(self) -> None:
-        """Work until the ownership is lost or ``resign`` was called."""
+        """Recover and work until the ownership is lost, recovery is cancelled, or ``resign`` is
+        called.
+        """
         try:
             async with trio.open_nursery() as nursery:
                 with trio.CancelScope() as recovery:
@@ -184,9 +200,10 @@
                     self._ready = True
                 if not self._ready:
                     return
-                # The watch goes on after this listing, so it never tells of a successor that is in it.
+                # The watch continues after this listing, so it never reports a successor that the
+                # listing includes.
                 self._work_intake.require_ownership(work)
-                # No other owner had come when the store was asked for it.
+                # The listing shows that there was no other owner when it was requested.
                 self._scheduler.note_ownership(asked_at)
                 nursery.start_soon(self._journal.run)
                 nursery.start_soon(self._work_intake.watch().run, work.as_of)
@@ -204,11 +221,11 @@
             logger.info("ownership lost", service=self._service, reason=_first_reason(errors))
 
     async def resign(self, seconds: float) -> None:
-        """Start nothing more, store what is known, and end ``run``.
+        """Stop starting tasks, store pending changes for at most ``seconds``, and end ``run``.
 
-        Polls end first. On a busy service each brings ends that have to be stored; waiting until none is
-        left would take all of the time allowed, while no task is placed. What is not taken in stays
-        on the executors' lists for the next owner.
+        Polls stop first. On a busy service each poll returns ends that have to be stored, and
+        waiting until none is left would use all the time allowed, while no task is placed. Ends
+        that aren't processed stay on the executors' lists for the next owner.
         """
         self._resigning = True
         self._polls.end()
@@ -218,7 +235,7 @@
                     self._journal.notify()
                     await self._journal.wait_stored(seconds)
             except StoreError as error:
-                logger.info("handed over with changes left", error=str(error))
+                logger.info("handed over with unstored changes", error=str(error))
         self.kick()
 
     async def _recover(self) -> tuple[StoreListing, Revision]:
@@ -255,7 +272,7 @@
             self.kick()
 
     def _shed_load(self) -> None:
-        """Leave undone what can wait while the event loop is late."""
+        """Skip or reduce deferrable work while the event loop is late."""
         lag, before = self._loop_time.lag, self._scheduler.shed
         shed = self._scheduler.note_lag(lag)
         if shed is before:
@@ -271,17 +288,17 @@
         )
 
     async def _prove_ownership(self) -> None:
-        """Ask the store who owns the service: something rests on that it is still this owner."""
+        """Read the owner key, because a decision depends on the ownership being confirmed."""
         self._proving = True
         asked_at = self._clock.now()
         try:
             item = await self._store.read(owner_key(self._service))
         except StoreError as error:
-            logger.debug("ownership not proved", service=self._service, error=str(error))
+            logger.debug("ownership not confirmed", service=self._service, error=str(error))
             await trio.sleep(PROOF_RETRY_SECONDS)
         else:
             if item is None or item.revision != self._term.owner_revision:
-                raise OwnershipLostError("the owner's key has changed")
+                raise OwnershipLostError("the owner key was replaced or removed")
             self._scheduler.note_ownership(asked_at)
         self._proving = False
 
@@ -335,6 +352,6 @@
 
 
 def _first_reason(errors: ExceptionGroup[OwnershipLostError]) -> str:
-    """Why the ownership was lost; each nursery that it passed through has wrapped it in a group."""
+    """Return why the ownership was lost. Each nursery on the way has wrapped the error in a group."""
     first = errors.exceptions[0]
     return _first_reason(first) if isinstance(first, ExceptionGroup) else str(first)
--- a/fireflyfork/programs/_succession.py
+++ b/fireflyfork/programs/_succession.py
@@ -1,4 +1,4 @@
-"""An owner beside other instances: who could do its work better, and who makes calls for it."""
+"""Follows the other instances for one owner: possible successors, and relays for its calls."""
 
 from __future__ import annotations
 
@@ -15,17 +15,19 @@
 from ._announcements import Announcements
 
 RECOVERY_SECONDS = 4.0
-"""An able instance recovers within 0.3 s, or within 2 s while the store answers a hundred times slower
+"""Period after which a recovery is checked for an instance that could complete it sooner.
+
+A capable instance recovers within 0.3 s, or within 2 s while the store is a hundred times slower
 than usual."""
 PERIODS_FOR_EQUALS = 2
-"""After so many times that long, the ownership is left to an instance that is no abler as well: what is
-wrong is wrong with this one."""
+"""Number of periods after which the ownership is also given up to an instance that is no stronger,
+because the cause of the delay must be this instance."""
 HAND_OVER_CHECK_SECONDS = 3.0
-"""How often an owner looks whether a much abler instance could take its part."""
+"""Interval at which an owner checks whether a much stronger instance could replace it."""
 
 
 class Succession:
-    """Watches what other instances announce, for one owner."""
+    """Follows the announcements of other instances for one owner."""
 
     def __init__(
         self,
@@ -35,7 +37,10 @@
         calls: RelayedExecutors,
         executors: Callable[[], int],
     ) -> None:
-        """``calls`` go over the relays that are found; ``executors`` tells how many there are."""
+        """Set up; no call is made.
+
+        ``calls`` are sent through the chosen relays; ``executors`` returns the number of executors.
+        """
         self._service = service
         self._node = node
         self._announcements = announcements
@@ -43,10 +48,11 @@
         self._executors = executors
 
     async def watch_recovery(self, ready: Callable[[], bool], recovery: trio.CancelScope) -> None:
-        """Cancel a recovery that takes long, once another instance could be done sooner.
+        """Cancel a slow recovery once another instance could complete one sooner.
 
-        Nobody else may place tasks while this instance holds the ownership. Renewals are small, so they
-        would keep it for as long as a thin link takes to bring what there is to read.
+        No other instance may place tasks while this one holds the ownership. Renewals are small and
+        succeed even over a thin link, so the ownership would be kept for as long as the link takes
+        to transfer the stored state.
         """
         for periods in count(1):
             await trio.sleep(RECOVERY_SECONDS)
@@ -54,7 +60,8 @@
                 return
             own = self._announcements.capable
             others = [one for one in await self._announced() if one.node != own.node]
-            # Given up for equals a second time, the service would go round among slow instances for ever.
+            # If the ownership were given up to an equal a second time, the service would be passed
+            # around among slow instances forever.
             equals = periods >= PERIODS_FOR_EQUALS and not self._announcements.shaken
             if can_do_better(own, others, equals):
                 logger.warning(
@@ -66,7 +73,9 @@
                 return
 
     async def follow_others(self, resign: Callable[[], Awaitable[None]]) -> None:
-        """Use others as relays; resign once another instance could do this owner's work far better."""
+        """Use other instances as relays, and resign once one of them could do this owner's work far
+        better.
+        """
         self._use_relays(await self._announced())
         while True:
             await trio.sleep(HAND_OVER_CHECK_SECONDS)
@@ -78,7 +87,9 @@
             self._use_relays(others)
 
     async def _announced(self) -> list[Standing]:
-        """What all instances announce; nothing while the store doesn't answer."""
+        """Return the announcements of all instances, or an empty list while the store doesn't
+        answer.
+        """
         try:
             return await self._announcements.others()
         except StoreError as error:
@@ -86,7 +97,7 @@
             return []
 
     def _use_relays(self, others: list[Standing]) -> None:
-        # Nobody is announced while the store doesn't answer; the relays are still there.
+        # The list is empty while the store doesn't answer, but the relays are still available.
         if others:
             chosen = choose_relays(self._node, others, self._executors())
             self._calls.use(
--- a/fireflyfork/programs/_upkeep_duty.py
+++ b/fireflyfork/programs/_upkeep_duty.py
@@ -29,16 +29,17 @@
 from ._service_lease import Term
 
 STEP_SECONDS = 0.5
-"""Machines are listed this often while a wave is open: an upkeep takes some 2 s, and the platform bounds
-how often it is asked."""
+"""Interval at which machines are listed while a wave is open.
+
+The upkeep of a machine takes about 2 s, and the platform limits the rate of requests."""
 
 
 class UpkeepDuty:
-    """One owner's part in the waves.
+    """One owner's part in the waves of upkeep.
 
-    An order without an answer may be carried out seconds later, also after this owner has gone. So each
-    is stored before it is sent: its successor counts the machine as down, and sends the same order again
-    under its own token, until the platform has confirmed it.
+    An order without an answer may be carried out seconds later, even after this owner has gone.
+    Each order is therefore stored before it is sent: the successor counts the machine as down, and
+    repeats the order under its own token until the platform has confirmed it.
     """
 
     def __init__(
@@ -51,7 +52,7 @@
         clock: Clock,
         waves: Callable[[], tuple[UpkeepWave, ...]],
     ) -> None:
-        """``waves`` tells which there are."""
+        """Set up; ``waves`` returns the waves that the operator requested."""
         self._store = store
         self._machines = machines
         self._scheduler = scheduler
@@ -63,7 +64,7 @@
         self._reported: set[int] = set()
 
     async def recover(self) -> None:
-        """Find out what earlier owners have ordered. Raises StoreError."""
+        """Read which orders earlier owners have sent. Raises StoreError."""
         if not self._waves():
             return
         listing = await self._store.list(UPKEEP_PREFIX)
@@ -72,12 +73,13 @@
         self._scheduler.recover_upkeep(known, self._clock.now())
 
     async def run(self) -> None:
-        """Until cancelled. Raises OwnershipLostError."""
+        """Carry out waves until cancelled. Raises OwnershipLostError."""
         while True:
             await trio.sleep(STEP_SECONDS)
             waves = [wave for wave in self._waves() if wave.number not in self._over]
             if not waves:
-                # A wave may be withdrawn while machines are emptied for it; they take work again.
+                # A wave may be withdrawn while machines are emptied for it; they become available
+                # for work again.
                 self._scheduler.next_upkeep((), self._clock.now())
                 continue
             try:
@@ -100,7 +102,8 @@
         for wave, machine in self._scheduler.next_upkeep(open_views, self._clock.now()):
             stale = self._clock.now() - begun > STEP_SECONDS
             if stale or not await self._order(wave, machines[machine]):
-                # What the others were chosen by is seconds old: a machine may be back and at work.
+                # The remaining machines were selected from a listing that is seconds old, in which
+                # a machine that is back at work may still be down.
                 return
 
     async def _view(self, wave: UpkeepWave, machines: dict[MachineId, MachineListing]) -> WaveView:
@@ -114,7 +117,7 @@
         return WaveView(wave, machines, marks)
 
     async def _report(self, view: WaveView) -> None:
-        """Tell the operator how far a wave is; one that was over stays so."""
+        """Write the status of a wave for the operator. The status of a finished wave never changes."""
         number, over = view.wave.number, view.over()
         if not over and number in self._reported:
             return
@@ -135,13 +138,13 @@
             self._over.add(number)
 
     async def _order(self, wave: int, listed: MachineListing) -> bool:
-        """Order a machine down; False when there was no answer."""
+        """Order a machine down. Return False if there was no answer."""
         machine = listed.machine
         await self._mark(wave, machine, UpkeepMark(UpkeepPhase.ORDERED, listed.executor))
         outcome = await self._machines.begin_upkeep(machine, wave, self._node, self._term.token)
         logger.info("upkeep ordered", wave=wave, machine=machine, outcome=outcome.value)
         if outcome is UpkeepOutcome.FENCED:
-            raise OwnershipLostError(f"machine {machine} has seen a higher token")
+            raise OwnershipLostError(f"machine {machine} reported a higher fencing token")
         if outcome is UpkeepOutcome.ACCEPTED:
             await self._mark(wave, machine, UpkeepMark(UpkeepPhase.BEGUN, None))
         return outcome is not UpkeepOutcome.UNKNOWN
@@ -153,7 +156,7 @@
 
 
 def _mark_of(item: StoredItem) -> UpkeepMark | None:
-    """The mark, or None for one that can't be read: its machine is ordered down once more."""
+    """Decode a mark, or return None if it isn't readable; its machine is then ordered down again."""
     try:
         return decode_upkeep_mark(item.value)
     except StoredFormatError as error:
