--- a/fireflyfork/programs/_announced_upstreams.py
+++ b/fireflyfork/programs/_announced_upstreams.py
@@ -1,4 +1,4 @@
-"""The instances that this one may follow, by what all announce."""
+"""Chooses the instances to follow from the announcements."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 class AnnouncedUpstreams(Upstreams):
-    """Chooses among the instances that are announced."""
+    """Chooses upstreams among the announced instances."""
 
     def __init__(self, announcements: Announcements) -> None:
-        """Nobody is known yet."""
+        """Start without known instances; ``choose`` reads the announcements."""
         self._announcements = announcements
         self._known: list[Standing] = []
 
     @property
     def awaited(self) -> bool:
-        """See Upstreams. Near the store there is nothing better than the store."""
+        """See Upstreams. For an instance near the store, no upstream is better than the store."""
         return not self._announcements.own.near_store
 
     async def choose(self) -> tuple[ReplicaPlace, ...]:
-        """See Upstreams. While the store doesn't answer, those that were announced before."""
+        """See Upstreams. While the store doesn't answer, the previous announcements are used."""
         try:
             self._known = await self._announcements.others()
         except StoreError as error:
--- a/fireflyfork/programs/_announcements.py
+++ b/fireflyfork/programs/_announcements.py
@@ -1,4 +1,4 @@
-"""What instances announce of themselves in the store, so that the able ones own the services."""
+"""Announcements of instances in the store, by which capable instances are chosen as owners."""
 
 from __future__ import annotations
 
@@ -17,16 +17,20 @@
 from ._scheduling_keys import INSTANCE_PREFIX, instance_key
 
 LEASE_SECONDS = 6.0
-"""An instance that went is counted with for so long at most; renewals cost a tenth of a read each."""
+"""Maximum time for which a stopped instance is still listed. Each renewal costs a tenth of a read.
+"""
 RENEW_SECONDS = 2.0
 FAR_STORE_SECONDS = 0.02
-"""A round trip above this crosses regions: 40 ms, against 5 ms inside one."""
+"""Round trips above this cross regions: they take 40 ms, compared to 5 ms within a region."""
 SHAKEN_SECONDS = 300.0
-"""An instance that had to give a service up leaves it to others for so long: a thin link stays thin. Were
-it shorter than the slowest recovery, equally slow instances would hand the service on for ever, each
-before it is done."""
+"""How long the strength of an instance is reduced after it had to give up a service: a thin link
+remains thin.
+
+If this were shorter than the slowest recovery, equally slow instances would pass the service on
+forever, each before its recovery completes."""
 SHAKEN_SHARE = 0.2
-"""What it counts for meanwhile: it serves only when hardly any other can."""
+"""Factor of its strength during that time: it wins a service only when hardly any other instance
+can."""
 
 
 class _Record(msgspec.Struct, frozen=True):
@@ -35,14 +39,14 @@
     strength: float
     failure_domain: str = ""
     relay: str = ""
-    """The address of its relay; instances without one leave it empty."""
+    """Address of the instance's relay; empty if it has none."""
     replica: str = ""
-    """Where it tells what the operator has written; empty if it doesn't."""
+    """Address of the instance's replica of the operator's keys; empty if it serves none."""
     near_store: bool = False
 
 
 class Announcements:
-    """What this instance announces, and what the others do."""
+    """Announces this instance and lists the other instances."""
 
     def __init__(
         self,
@@ -55,8 +59,11 @@
         relay: Address | None = None,
         replica: Address | None = None,
     ) -> None:
-        """``processors`` and ``link_mbps`` are what the platform grants this instance; ``relay`` is where it
-        makes calls to executors for others, ``replica`` where it tells what the operator has written.
+        """Set up; ``run`` starts announcing.
+
+        ``processors`` and ``link_mbps`` are the platform's limits for this instance. ``relay`` is
+        the address at which it makes calls to executors for other instances, ``replica`` the
+        address at which it serves its replica of the operator's keys.
         """
         self._node = node
         self._processors = processors
@@ -74,13 +81,13 @@
 
     @property
     def own(self) -> Standing:
-        """What this instance counts for now."""
+        """This instance with its current strength, reduced after a failure."""
         share = SHAKEN_SHARE if self.shaken else 1.0
         return replace(self.capable, strength=share * self.capable.strength)
 
     @property
     def capable(self) -> Standing:
-        """What this instance can carry, whatever it failed at."""
+        """This instance with its full strength, regardless of failures."""
         return Standing(
             self._node,
             strength(self._processors, self._link_mbps, self._near),
@@ -92,14 +99,15 @@
 
     @property
     def shaken(self) -> bool:
-        """Whether it had to give a service up not long ago."""
+        """Whether this instance had to give up a service in the last ``FAILURE_PENALTY_SECONDS``."""
         return self._clock.now() < self._shaken_until
 
     def note_round_trip(self, seconds: float) -> None:
-        """A small question to the store took so long.
+        """Record the duration in seconds of a small call to the store.
 
-        A store that is slow for all makes everybody far, which changes nothing among them. Once near, it takes
-        two long ones in a row: the first may include a while for which this instance stood still itself.
+        A store that is slow for all instances makes all of them far, which doesn't change their
+        order. An instance that was near becomes far only after two long round trips in a row: the
+        first may include a time during which this instance itself was suspended.
         """
         near = seconds <= FAR_STORE_SECONDS
         doubtful = self._near_measured and self._near and not near and not self._seemed_far
@@ -112,12 +120,12 @@
             self._changed.set()
 
     def note_failure(self) -> None:
-        """This instance couldn't do an owner's work."""
+        """Record that this instance couldn't do an owner's work."""
         self._shaken_until = self._clock.now() + SHAKEN_SECONDS
         self._changed.set()
 
     async def others(self) -> list[Standing]:
-        """What all instances announce. Raises StoreError."""
+        """Return the announcements of all instances, including this one. Raises StoreError."""
         begun = self._clock.now()
         listing = await self._store.list(INSTANCE_PREFIX)
         self.note_round_trip(self._clock.now() - begun)
@@ -143,7 +151,9 @@
         )
 
     async def run(self) -> None:
-        """Announce until cancelled. Without the store nothing is announced, and nobody can bid."""
+        """Announce until cancelled. While the store is away no instance is announced, and none can
+        bid.
+        """
         lease: LeaseId | None = None
         announced: _Record | None = None
         while True:
@@ -162,7 +172,7 @@
                 lease = None
                 continue
             except StoreError as error:
-                logger.debug("not announced", error=str(error))
+                logger.debug("announcement not written", error=str(error))
             with trio.move_on_after(RENEW_SECONDS):
                 await self._changed.wait()
             self._changed = trio.Event()
--- a/fireflyfork/programs/_key_replica.py
+++ b/fireflyfork/programs/_key_replica.py
@@ -1,4 +1,4 @@
-"""What one instance knows of the keys under a prefix of the store."""
+"""Replica of the keys under a prefix of the store, and its source for other instances."""
 
 from __future__ import annotations
 
@@ -18,16 +18,17 @@
 )
 
 LONGEST_WAIT_SECONDS = 0.8
-"""How long a question waits while there is nothing to tell. Each answer shows that an instance is there."""
+"""Maximum wait of a request while there is no change. Each answer shows that the instance is alive.
+"""
 SHORTEST_WAIT_SECONDS = 0.1
 _NOTHING = Revision(0)
 
 
 class KeyReplica:
-    """The keys as they were at some revision, and since when nothing newer is known to exist."""
+    """Keys as of some revision, with the time up to which they are known to be current."""
 
     def __init__(self, changed: Callable[[StoreChange], None]) -> None:
-        """Nothing known. ``changed`` is called with each key that is written or removed."""
+        """Create an empty replica. ``changed`` is called for each key that is written or removed."""
         self._changed = changed
         self._items: dict[str, StoredItem] = {}
         self._as_of = _NOTHING
@@ -36,37 +37,40 @@
 
     @property
     def as_of(self) -> Revision:
-        """All changes up to this one are known; 0: none."""
+        """Revision up to which all changes are known; 0 if none."""
         return self._as_of
 
     @property
     def known_at(self) -> float:
-        """All changes that were made before this time are known."""
+        """Time before which all changes are known."""
         return self._known_at
 
     def take_listing(self, listing: StoreListing) -> None:
-        """Take in all keys there are."""
+        """Replace the content by a complete listing."""
         revisions = {item.key: item.revision for item in listing.items}
         self._drop_missing(revisions, listing.as_of)
         for item in listing.items:
             self._put(item)
 
     def take_change(self, change: StoreChange) -> None:
-        """Take in one change."""
+        """Apply one change."""
         if change.item is not None:
             self._put(change.item)
         else:
             self._remove(change.key, change.revision)
 
     def take_answer(self, answer: ReplicaAnswer) -> None:
-        """Take in what another instance knows."""
+        """Apply the answer of another instance."""
         self._drop_missing(answer.revisions, answer.as_of)
         for item in answer.changed:
             self._put(item)
 
     def note_known(self, as_of: Revision, known_at: float) -> None:
-        """What was taken in is all up to ``as_of``, and all that was written before ``known_at``."""
-        # A change may have been longer on its way than the word before it: it is newer, and proves less of now.
+        """Record that all changes up to revision ``as_of`` and before time ``known_at`` are
+        included.
+        """
+        # An answer with a newer revision may have taken longer to arrive than the answer before it,
+        # so its ``known_at`` may be earlier.
         advanced = as_of > self._as_of or known_at > self._known_at
         self._as_of = max(self._as_of, as_of)
         self._known_at = max(self._known_at, known_at)
@@ -75,15 +79,15 @@
             self._advanced = trio.Event()
 
     def changed_after(self, revision: Revision) -> tuple[StoredItem, ...]:
-        """The keys that have changed since."""
+        """Return the keys that have changed after a revision."""
         return tuple(item for item in self._items.values() if item.revision > revision)
 
     def revisions(self) -> dict[str, Revision]:
-        """The last change of every key that there is."""
+        """Return the revision of the last change of each existing key."""
         return {key: item.revision for key, item in self._items.items()}
 
     async def wait_advanced(self) -> None:
-        """Wait until more is known."""
+        """Wait until ``as_of`` or ``known_at`` advances."""
         await self._advanced.wait()
 
     def _put(self, item: StoredItem) -> None:
@@ -104,10 +108,12 @@
 
 
 class ReplicaAnswers(ReplicaSource):
-    """Answers other instances from a replica."""
+    """Answers requests of other instances from a replica."""
 
     def __init__(self, replica: KeyReplica, now: Callable[[], float], stale_seconds: float) -> None:
-        """Whoever asks goes elsewhere once the replica has been out of date for ``stale_seconds``."""
+        """Set up; followers leave this instance when the replica has been out of date for
+        ``stale_seconds``.
+        """
         self._replica = replica
         self._now = now
         self._stale_seconds = stale_seconds
@@ -134,6 +140,8 @@
         return self._replica.known_at <= question.mark and self._replica.as_of <= question.after
 
     def _patience(self) -> float:
-        """How long a question may wait: whoever asks should hear in time that it has to go elsewhere."""
+        """Return how long a request may wait, so that the follower learns in time that it has to
+        leave.
+        """
         until_stale = self._replica.known_at + self._stale_seconds - self._now()
         return min(max(until_stale, SHORTEST_WAIT_SECONDS), LONGEST_WAIT_SECONDS)
--- a/fireflyfork/programs/_queue_keeper.py
+++ b/fireflyfork/programs/_queue_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps what the operator asks for on this instance: the configuration, and waves of upkeep."""
+"""Follows the operator's keys on this instance: the configuration and waves of upkeep."""
 
 from __future__ import annotations
 
@@ -27,15 +27,18 @@
 from ._replica_follower import NoUpstreams, ReplicaFollower, Upstreams
 
 CURRENT_SHARE = 0.8
-"""Of the time within which a change has to be in force. Questions come back well within it unless the answer
-is large, the link full, or the store doesn't answer."""
+"""Share of the time within which a change has to be in force, after which knowledge counts as
+outdated.
+
+Answers arrive well within it unless they are large, the link is full, or the store doesn't answer.
+"""
 
 STALE_SHARE = 0.7
-"""Of the same time: another instance that has heard nothing for so long is no longer followed."""
+"""Share of the same time after which an upstream with outdated knowledge is no longer followed."""
 
 
 class QueueKeeper:
-    """Reads what the operator has written once, then follows it."""
+    """Reads the operator's keys once and then follows their changes."""
 
     def __init__(
         self,
@@ -46,10 +49,12 @@
         upstreams: Upstreams | None = None,
         peers: ReplicaPeers | None = None,
     ) -> None:
-        """``changed`` is called with each newer version, which has to be in force within
-        ``bound_seconds``; ``now`` goes on while the instance is suspended.
+        """Set up; ``run`` starts following.
 
-        The ``upstreams`` are followed through ``peers`` where both are given, and otherwise the store.
+        ``changed`` is called with each newer version of the configuration, which has to be in force
+        within ``bound_seconds``. The clock ``now`` must also advance while the instance is
+        suspended. If ``upstreams`` and ``peers`` are both given, the upstreams are followed,
+        otherwise the store.
         """
         self._changed = changed
         self._bound_seconds = bound_seconds
@@ -70,7 +75,7 @@
 
     @property
     def answers(self) -> ReplicaSource:
-        """Tells other instances what the operator has written."""
+        """Source from which other instances read this instance's replica of the operator's keys."""
         return ReplicaAnswers(self._replica, self._now, STALE_SHARE * self._bound_seconds)
 
     @property
@@ -80,21 +85,22 @@
 
     @property
     def is_current(self) -> bool:
-        """Whether a version that has to be in force by now can't be unheard of here.
+        """Whether this instance has every version of the configuration that must be in force by
+        now.
 
-        A large one takes its time over a full link, and an instance that the store doesn't answer hears
-        of none. It can't tell then that something isn't configured.
+        A large version takes time over a full link, and an instance that gets no answer from the
+        store receives none. Such an instance can't tell that a queue doesn't exist.
         """
         unheard = self._now() - self._replica.known_at
         return unheard <= CURRENT_SHARE * self._bound_seconds
 
     @property
     def waves(self) -> tuple[UpkeepWave, ...]:
-        """The waves of upkeep that the operator asks for, by the store's key."""
+        """The waves of upkeep that the operator requested."""
         return tuple(self._waves.values())
 
     async def run(self) -> None:
-        """Follow the configuration until cancelled."""
+        """Follow the operator's keys until cancelled."""
         await self._follower.run()
 
     def _followed(self, change: StoreChange) -> None:
@@ -113,7 +119,7 @@
         except SettingsError as error:
             logger.error("configuration not usable", error=str(error))
             return
-        # Pages of a listing and changes may tell of an older version after a newer one.
+        # Pages of a listing and changes may contain an older version after a newer one.
         if self._table is not None and table.version <= self._table.version:
             return
         self._table = table
--- a/fireflyfork/programs/_replica_follower.py
+++ b/fireflyfork/programs/_replica_follower.py
@@ -1,4 +1,6 @@
-"""Keeps a replica of keys of the store up to date, from other instances where there are any, else from the store."""
+"""Keeps a replica of keys of the store up to date, from other instances if possible, otherwise from
+the store.
+"""
 
 from __future__ import annotations
 
@@ -23,26 +25,34 @@
 from ._prefix_watch import PrefixWatch
 
 WATCH_SECONDS = 1.5
-"""A connection to the store that has gone silent is noticed this long plus a call's timeout after it did."""
+"""How long one request to the store waits. A failed connection is noticed after this time plus a
+call's timeout."""
 CONFIRM_SECONDS = 0.1
-"""After a change, until the store says that there is no newer one."""
+"""Wait of the first request after a change, until the store confirms that there is no newer one."""
 STORE_REVIEW_SECONDS = 5.0
-"""How long the store is followed before other instances are looked for again."""
+"""How long the store is followed before the instance looks for an upstream again."""
 UPSTREAM_REVIEW_SECONDS = 20.0
-"""How long an instance is followed before a better one is looked for. When many start together the first ones
-see only some of the others."""
+"""How long an upstream is followed before the instance looks for a better one.
+
+When many instances start together, the first ones see only some of the others."""
 TURN_SECONDS = 0.4
-"""After one upstream has failed, the next one has so long to tell something newer; it may just be turning to the
-store itself. Silence is borne for most of the time within which a change has to be in force, but only once."""
+"""Time for the next upstream to report a newer state after one has failed; it may itself be
+switching to the store.
+
+The silence of an upstream is tolerated for most of the time within which a change has to be in
+force, but only once."""
 CHOOSE_SECONDS = 0.5
-"""Nobody is asked for changes while others are looked for. What takes longer than a few ways to the store and back
-is left for the next time."""
+"""Maximum time to look for other upstreams, during which no upstream is asked for changes.
+
+A search that takes longer than a few round trips to the store is left for the next review."""
 START_SECONDS = 1.5
-"""For so long an instance that knows nothing waits for its upstreams, which may be starting as well. If all that
-start at once read everything from the store, the link between two regions would be full for seconds."""
+"""How long an instance without any state waits for upstreams, which may be starting as well.
+
+If all instances that start together read everything from the store, the link between two regions
+would be full for seconds."""
 START_RETRY_SECONDS = 0.1
 START_CHOOSE_SECONDS = 0.3
-"""Between looks at who is announced, each of which crosses the link."""
+"""Interval of reads of the announcements during the start; each read crosses the link."""
 
 
 class Upstreams(ABC):
@@ -50,16 +60,20 @@
 
     @abstractmethod
     async def choose(self) -> tuple[ReplicaPlace, ...]:
-        """Them, the first choice first; none: the store."""
+        """Return the upstreams in order of preference; an empty tuple means that the store is
+        followed.
+        """
 
     @property
     @abstractmethod
     def awaited(self) -> bool:
-        """Whether one that is only starting may be told of soon, and is better than the store."""
+        """Whether a starting instance may be announced soon that would be a better upstream than
+        the store.
+        """
 
 
 class NoUpstreams(Upstreams):
-    """Nobody but the store."""
+    """Makes the follower use the store only."""
 
     @property
     def awaited(self) -> bool:
@@ -72,7 +86,7 @@
 
 
 class ReplicaFollower:
-    """Brings one replica up to date for as long as it runs."""
+    """Keeps one replica up to date while it runs."""
 
     def __init__(
         self,
@@ -84,7 +98,11 @@
         now: Callable[[], float],
         stale_seconds: float,
     ) -> None:
-        """An upstream is left when what it tells has been out of date for ``stale_seconds``."""
+        """Set up; ``run`` starts following.
+
+        An upstream is left when its answers have been out of date for ``stale_seconds``. Without
+        ``peers``, only the store is followed.
+        """
         self._replica = replica
         self._upstreams = upstreams
         self._peers = peers
@@ -106,12 +124,12 @@
 
     @property
     def upstream(self) -> NodeName | None:
-        """The instance that is followed now; None: the store."""
+        """The instance that is followed now; None if the store is followed."""
         return self._upstream
 
     @property
     def asked_at(self) -> float:
-        """When the question was sent whose answer is being taken in."""
+        """When the request was sent whose answer is being processed."""
         return self._watch.asked_at if self._upstream is None else self._asked_at
 
     async def run(self) -> None:
@@ -124,7 +142,7 @@
                 await self._follow_any(await self._choose(self._chosen), self._peers)
 
     async def _start(self, peers: ReplicaPeers) -> None:
-        """Hear from another instance first, where there is one or may soon be one."""
+        """Get the first state from another instance if one is available or may be soon."""
         until = self._now() + START_SECONDS
         self._chosen = await self._upstreams.choose()
         while not self._replica.as_of and self._now() < until:
@@ -138,24 +156,26 @@
                 return
 
     async def _choose(self, otherwise: tuple[ReplicaPlace, ...]) -> tuple[ReplicaPlace, ...]:
-        """The instances to follow, or ``otherwise`` if they can't be found out soon."""
+        """Return the upstreams, or ``otherwise`` if they can't be determined within
+        ``CHOOSE_SECONDS``.
+        """
         with trio.move_on_after(CHOOSE_SECONDS):
             self._chosen = await self._upstreams.choose()
             return self._chosen
         return otherwise
 
     async def _follow_any(self, places: tuple[ReplicaPlace, ...], peers: ReplicaPeers) -> None:
-        """Follow one of some instances, the first that is of use, or a better one that appears meanwhile."""
+        """Follow the first usable upstream, or better ones that appear in the meantime."""
         patience = inf
         while places:
             first, *others = places
             better = await self._follow(first, peers, patience)
             places = better or tuple(others)
-            # An instance that knows nothing yet takes nothing for configured that no longer is.
+            # Without any state, the replica can't cause an outdated configuration to be used.
             patience = inf if better or not self._replica.as_of else TURN_SECONDS
 
     async def _follow_store(self) -> None:
-        """Follow the store until it is time to look for another instance."""
+        """Follow the store until it is time to look for an upstream."""
         review_at = self._now() + STORE_REVIEW_SECONDS if self._peers is not None else inf
         after = self._replica.as_of or None
         await self._watch.run(after, lambda: self._now() >= review_at)
@@ -166,10 +186,10 @@
     async def _follow(
         self, place: ReplicaPlace, peers: ReplicaPeers, patience: float
     ) -> tuple[ReplicaPlace, ...]:
-        """Follow another instance for as long as it answers and is itself up to date.
+        """Follow an upstream for as long as it answers and is itself up to date.
 
-        Its first answer, and one that is up to date, have to come within ``patience`` seconds.
-        Returns the instances to follow instead, if it is left for a better one.
+        The first answer, and the first that is up to date, must arrive within ``patience`` seconds.
+        Returns the upstreams to follow instead if there is a better one.
         """
         logger.info("following an instance", upstream=place.node)
         self._upstream = place.node
@@ -177,7 +197,7 @@
         try:
             async with peers.connect(place) as peer:
                 better = await self._ask_while_fresh(peer, place, patience)
-            reason = "another one is better" if better else "out of date"
+            reason = "a better instance is available" if better else "out of date"
         except PeerError as error:
             reason = str(error)
         self._upstream = None
@@ -208,10 +228,10 @@
         return self._now() - self._replica.known_at <= self._stale_seconds
 
     def _take(self, answer: ReplicaAnswer) -> None:
-        """Take an answer in.
+        """Apply an answer to the replica.
 
-        It may have been on its way for long. What it tells held, at the latest, when the question had waited
-        at the other side since it was asked.
+        The answer may have been delayed. Its content was valid, at the latest, once the request had
+        waited at the upstream for the reported time since it was sent.
         """
         self._replica.take_answer(answer)
         told_at = min(self._asked_at + answer.waited_seconds, self._now())
