--- a/fireflyfork/programs/_clocks.py
+++ b/fireflyfork/programs/_clocks.py
@@ -1,4 +1,4 @@
-"""The clocks that programs read, so that tests can put their own in place."""
+"""Clocks of the programs, which tests can replace."""
 
 from __future__ import annotations
 
@@ -7,22 +7,24 @@
 
 
 class Clock(ABC):
-    """Time for decisions."""
+    """Interface of the time sources that decisions use."""
 
     @abstractmethod
     def now(self) -> float:
-        """Seconds on a clock that never jumps and goes on while the instance is suspended."""
+        """Return seconds on a monotonic clock that includes the time during which the instance is
+        suspended.
+        """
 
     @abstractmethod
     def unix_ms(self) -> int:
-        """Milliseconds since 1970, as far as this instance knows."""
+        """Return milliseconds since 1970, according to this instance."""
 
 
 class SystemClock(Clock):
     """The clocks of the operating system.
 
-    The ordinary steady clock stands still while an instance is suspended. Leases go on meanwhile, so
-    an owner that woke up would take leases for valid that have long lapsed.
+    The usual monotonic clock stops while an instance is suspended. Leases keep running, so a
+    resumed owner would consider leases valid that lapsed long ago.
     """
 
     def now(self) -> float:
--- a/fireflyfork/programs/_decision_log.py
+++ b/fireflyfork/programs/_decision_log.py
@@ -1,7 +1,7 @@
-"""One log line for each decision, and a bound on how many a second.
+"""Logs one line for each decision, with a limit per second.
 
-On a busy owner the lines of some jobs are left out rather than some lines of all jobs: what is logged of a job
-explains it only if it is whole.
+On a busy owner, all lines of some jobs are left out rather than some lines of every job: the log
+explains a job only if it contains all of the job's lines.
 """
 
 from __future__ import annotations
@@ -18,11 +18,12 @@
 from ._metrics import Metrics
 
 LINES_A_SECOND = 400
-"""A line takes some 50 us of an instance's fraction of a core."""
+"""A line takes about 50 us of an instance's fraction of a core."""
 SMALLEST_SHARE = 1 / 64
 GROWTH_SECONDS = 20.0
-"""After each change the sample stays for so long at least before it grows: jobs that began outside of it
-would be logged without their beginning."""
+"""Minimum time between a change of the sample and its next growth.
+
+Jobs that started outside of the sample would be logged without their start."""
 
 _MESSAGES = {
     TaskSent: "task sent",
@@ -33,10 +34,13 @@
 
 
 class DecisionLog:
-    """Writes notes of the scheduler."""
+    """Writes the scheduler's notes to the log and the metrics."""
 
     def __init__(self, clock: Clock, service: str, metrics: Metrics) -> None:
-        """``service`` stands in each line; ``metrics`` count every decision, logged or not."""
+        """Start with all jobs in the sample.
+
+        ``service`` is included in each line. ``metrics`` count every decision, logged or not.
+        """
         self._clock = clock
         self._service = service
         self._metrics = metrics
@@ -49,7 +53,7 @@
         self._left_out = 0
 
     def write(self, notes: list[Note]) -> None:
-        """Log these, as far as the bound allows."""
+        """Count all notes, and log those in the sample up to the limit."""
         for note in notes:
             count_decision(self._metrics, note)
             self._begin_second()
@@ -84,7 +88,7 @@
         self._second, self._decided, self._written, self._left_out = second, 0, 0, 0
 
     def _adjust_share(self) -> None:
-        """Choose the share of jobs whose decisions are logged from now on."""
+        """Adjust the share of jobs whose decisions are logged from now on."""
         now = self._clock.now()
         if self._decided * self._share > LINES_A_SECOND:
             self._share = max(SMALLEST_SHARE, self._share / 2)
--- a/fireflyfork/programs/_decision_metrics.py
+++ b/fireflyfork/programs/_decision_metrics.py
@@ -7,7 +7,7 @@
 
 
 def count_decision(metrics: Metrics, note: Note) -> None:
-    """Take one note in; unlike log lines, none is left out."""
+    """Record one note in the metrics; unlike log lines, none is left out."""
     match note:
         case TaskSent():
             metrics.count("fireflyfork_tasks_sent_total", again=str(note.attempt > 1).lower())
--- a/fireflyfork/programs/_job_requests.py
+++ b/fireflyfork/programs/_job_requests.py
@@ -1,4 +1,6 @@
-"""What callers may ask about jobs, apart from HTTP: hand in, ask, cancel, count."""
+"""Operations on jobs that callers may request, independent of HTTP: submit, read the state, cancel,
+count.
+"""
 
 from __future__ import annotations
 
@@ -26,31 +28,34 @@
 from ._scheduling_keys import cancel_key, job_key, pending_key, progress_key
 
 WRITE_TRIES = 2
-"""A write whose answer was lost is sent once more, which settles whether it was done. After that the
-caller is better served by another instance."""
+"""A write whose answer was lost is sent once more, which settles whether it succeeded. After that
+the caller is better served by another instance."""
 
 
 class JobRequests:
-    """Answers about jobs. Nothing is kept here: a job is in the store before its caller hears of it.
+    """Carries out requests about jobs. It holds no state: a job is stored before its caller gets
+    the answer.
 
-    Every method raises StoreRefusedError when nothing was done, and StoreUnavailableError when that
-    can't be told.
+    Every method raises StoreRefusedError if nothing was done, and StoreUnavailableError if the
+    outcome is unknown.
     """
 
     def __init__(self, store: CoordinationStore, changed: Callable[[], None]) -> None:
-        """``changed`` is called after each job or cancellation."""
+        """Set up; ``changed`` is called after each stored job or cancellation."""
         self._store = store
         self._changed = changed
 
     async def submit(self, spec: JobSpec) -> None:
-        """Accept a job. One that came before, here or anywhere, stays as it was."""
+        """Accept a job. A job that was already accepted, by this or another instance, is left
+        unchanged.
+        """
         self._refuse_without_store()
         await self._store_new(job_key(spec.job), encode_job(spec))
         logger.info("job accepted", job=spec.job, queue=spec.queue, tasks=spec.task_count)
         self._changed()
 
     async def state(self, job: JobId) -> JobState | None:
-        """The state as it is stored, or None when there is no such job."""
+        """Return the stored state of a job, or None if there is no such job."""
         self._refuse_without_store()
         progress = await self._store.read(progress_key(job))
         try:
@@ -65,7 +70,7 @@
         return JobState.QUEUED
 
     async def cancel(self, job: JobId) -> bool:
-        """Cancel a job; False when there is none."""
+        """Cancel a job. Return False if there is no such job."""
         self._refuse_without_store()
         if await self._store.read(job_key(job)) is None:
             return False
@@ -75,26 +80,26 @@
         return True
 
     async def pending(self, queue: QueueTerms) -> int:
-        """How many jobs of a queue wait for their first start; up to 2 s old."""
+        """Return how many jobs of a queue wait for their first start; the count may be 2 s old."""
         self._refuse_without_store()
         item = await self._store.read(pending_key(queue.service))
         counts = msgspec.json.decode(item.value, type=dict[str, int]) if item is not None else {}
         return counts.get(queue.name, 0)
 
     def _refuse_without_store(self) -> None:
-        """Turn callers away at once while the store does not answer this instance.
+        """Raise StoreRefusedError at once while the store doesn't answer this instance.
 
-        Their next try reaches another one, which the store may serve. Waiting for a timeout here would
-        use up a third of the time that they have.
+        The caller's next attempt reaches another instance, which the store may answer. Waiting here
+        for a timeout would use up a third of the time that the caller has.
         """
         if not self._store.answers:
             raise StoreRefusedError("the store does not answer this instance")
 
     async def _store_new(self, key: str, value: bytes) -> None:
-        """Write a key that must not exist yet; one that exists is as good.
+        """Write a key unless it exists; an existing key counts as success.
 
-        Raises StoreRefusedError only if nothing can have been written by this call: a caller that is
-        told "not accepted" must be able to rely on it.
+        Raises StoreRefusedError only if this call can't have written anything: a caller that gets
+        the answer "not accepted" must be able to rely on it.
         """
         unsure: StoreUnavailableError | None = None
         for _ in range(WRITE_TRIES):
--- a/fireflyfork/programs/_job_service.py
+++ b/fireflyfork/programs/_job_service.py
@@ -1,4 +1,4 @@
-"""Callers' requests about jobs over HTTP."""
+"""HTTP interface for callers' requests about jobs."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 from ._time_left import TimeLeft
 
 LONGEST_BODY_BYTES = 262_144
-"""What the platform's configuration allows a caller to send."""
+"""Maximum body size that the platform's configuration allows callers to send."""
 RETRY_AFTER: tuple[Header, ...] = ((b"retry-after", b"1"),)
-"""A change of owner or a short outage of the store is over within seconds; the header takes whole
-ones."""
+"""Asks for a retry after 1 s, the smallest value of the header: a change of owner or a short outage
+of the store is over within seconds."""
 
 _JSON: Header = (b"content-type", b"application/json")
 
 
 class JobService(HttpHandler):
-    """Callers' HTTP requests."""
+    """Handles callers' HTTP requests."""
 
     def __init__(
         self,
@@ -37,8 +37,11 @@
         queues: Callable[[], QueueTable | None],
         is_current: Callable[[], bool],
     ) -> None:
-        """``queues`` tells the configuration in force, ``is_current`` whether a newer one that has to be
-        can't be unheard of."""
+        """Set up the handler.
+
+        ``queues`` returns the configuration in force. ``is_current`` returns whether this instance
+        has every version of it that must be in force by now.
+        """
         self._requests = requests
         self._clock = clock
         self._metrics = metrics
@@ -47,10 +50,10 @@
         self._time = TimeLeft()
 
     def end_in(self, seconds: float) -> None:
-        """Refuse requests from now on, and answer those under way within ``seconds``.
+        """Refuse new requests from now on, and answer the requests in progress within ``seconds``.
 
-        The store may answer later than the process ends. A request that is still waiting then would
-        lose its connection, and its caller would never hear what has become of it.
+        The store may answer only after the process has ended. A request that is still waiting at
+        that point would lose its connection, and its caller would never learn the outcome.
         """
         self._time.end_in(seconds)
 
@@ -81,7 +84,7 @@
         except StoreRefusedError as error:
             await self._refuse(exchange, 503, str(error))
         except StoreError as error:
-            # A question changes nothing, so it certainly has not been carried out.
+            # A read changes nothing, so 503 (not carried out) is correct.
             status = 503 if exchange.head.method == "GET" else 504
             await self._refuse(exchange, status, str(error))
 
@@ -89,7 +92,7 @@
         if self._is_current():
             await exchange.answer_json(404, {"error": "no such queue"})
         else:
-            # Whoever is told that a queue doesn't exist doesn't ask again, though it may be there.
+            # A caller that gets 404 doesn't retry, although the queue may exist.
             await self._refuse(
                 exchange, 503, "no such queue in a configuration that may be outdated"
             )
--- a/fireflyfork/programs/_log_sink.py
+++ b/fireflyfork/programs/_log_sink.py
@@ -1,4 +1,4 @@
-"""Where log lines go: to a stream, without ever waiting for its reader."""
+"""Writes log lines to a stream without ever waiting for its reader."""
 
 from __future__ import annotations
 
@@ -11,20 +11,22 @@
 import msgspec
 
 MOST_PENDING_BYTES = 256 * 1024
-"""What is kept for a reader that has fallen behind: some 1,200 lines, three seconds of the busiest
-instance, and a small part of its memory."""
+"""Maximum size of the lines that are queued for a slow reader.
+
+This is about 1,200 lines, which is three seconds of the busiest instance and a small part of its
+memory."""
 
 
 class LineSink(ABC):
-    """Takes whole lines."""
+    """Accepts complete log lines."""
 
     @abstractmethod
     def write(self, line: bytes) -> None:
-        """Write a line that ends with a newline, or keep it, or leave it out."""
+        """Write or queue a line that ends with a newline, or drop it."""
 
 
 class StreamSink(LineSink):
-    """A file or a terminal, which take what they are given."""
+    """Writes to a file or a terminal, which accept all lines."""
 
     def __init__(self, stream: TextIO) -> None:
         """Write to ``stream``."""
@@ -37,15 +39,16 @@
 
 
 class PipeSink(LineSink):
-    """A pipe or a socket, whose reader may have stopped reading.
+    """Writes to a pipe or a socket, whose reader may have stopped reading.
 
-    A write to a full pipe waits for its reader. All requests of a process go through one loop on one
-    thread, so a log collector that hangs would stop the service: callers would time out, leases would
-    lapse. So the pipe is set not to wait; lines are kept up to a bound, then left out and counted.
+    A write to a full pipe blocks until the reader continues. All requests of a process are handled
+    by one loop on one thread, so a log collector that hangs would stop the service: callers would
+    time out and leases would lapse. The pipe is therefore set to non-blocking mode. Lines are
+    queued up to a limit, then dropped and counted.
     """
 
     def __init__(self, descriptor: int, most_pending: int = MOST_PENDING_BYTES) -> None:
-        """``most_pending`` is in bytes."""
+        """Set the descriptor to non-blocking mode; ``max_pending`` is in bytes."""
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
         self._most_pending = most_pending
@@ -84,8 +87,8 @@
             except BlockingIOError:
                 return
             except OSError:
-                # The reader has gone for good. There is nowhere left to say so, and a service does
-                # not end because nobody reads its log.
+                # The reader has closed the pipe. The error can't be logged anywhere, and the
+                # service must not end because of its log.
                 self._pending.clear()
                 self._pending_bytes = 0
                 return
@@ -97,12 +100,12 @@
 
 
 def sink_to(stream: TextIO) -> LineSink:
-    """The sink that suits a stream."""
+    """Return the sink that suits a stream."""
     try:
         descriptor = stream.fileno()
         mode = os.fstat(descriptor).st_mode
     except (OSError, ValueError):
-        # Streams in memory have no descriptor.
+        # In-memory streams have no descriptor.
         return StreamSink(stream)
     if stat.S_ISFIFO(mode) or stat.S_ISSOCK(mode):
         return PipeSink(descriptor)
--- a/fireflyfork/programs/_logs.py
+++ b/fireflyfork/programs/_logs.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines, with the trace that a line belongs to."""
+"""Logs as JSON lines that include the trace id of the request."""
 
 from __future__ import annotations
 
@@ -17,13 +17,14 @@
     from loguru import Message
 
 trace_of_task: ContextVar[str] = ContextVar("trace_of_task", default="")
-"""The trace id of the request that the running trio task works for."""
+"""The trace id of the request that the running trio task handles."""
 
 
 def configure_logs(level: str, context: Mapping[str, str], stream: TextIO = sys.stderr) -> None:
     """Log lines of ``level`` and above as JSON objects, each with the fields of ``context``.
 
-    Written by the loop's own thread: loguru's queue would start a second one.
+    Lines are written by the thread of the event loop, because loguru's queue would start a second
+    thread.
     """
     logger.remove()
     logger.configure(extra=dict(context))
--- a/fireflyfork/programs/_loop_report.py
+++ b/fireflyfork/programs/_loop_report.py
@@ -1,4 +1,4 @@
-"""Tells what an instance's processor time, its calls to the store and its bytes went to."""
+"""Reports what an instance's processor time, store calls and transferred bytes are used for."""
 
 from __future__ import annotations
 
@@ -13,14 +13,16 @@
 
 REPORT_SECONDS = 10.0
 LOOK_SECONDS = 1.0
-"""Of each ten, the loop is looked at for so long."""
+"""How long the loop is profiled in each report interval."""
 ACTIVITIES_REPORTED = 12
-"""The busiest ones; what the others took is added up."""
+"""Number of busiest activities that a report lists; the time of the remaining ones is summed."""
 OTHERS = "others"
 
 
 class LoopReport:
-    """A log line every few seconds, of what was seen in the last of them, and counters."""
+    """Logs a line every ``REPORT_SECONDS`` with the profile of the last second, and registers the
+    counters.
+    """
 
     def __init__(
         self,
@@ -30,7 +32,10 @@
         relays: RelayTraffic,
         metrics: Metrics,
     ) -> None:
-        """``lag`` is the loop's in seconds."""
+        """Register the gauges and counters; ``run`` starts reporting.
+
+        ``lag`` returns how late the loop is in seconds.
+        """
         self._profile = profile
         self._lag = lag
         self._calls = _Growth(lambda: store.calls)
@@ -63,7 +68,7 @@
             self.report(trio.current_time() - begun)
 
     def report(self, looked_seconds: float) -> None:
-        """Log what has been spent since the last report, while it looked for so long."""
+        """Log what has been used since the last report, of which ``looked_seconds`` were profiled."""
         spent = dict(self._profile.spent)
         seconds = {name: spent[name] - self._reported.get(name, 0.0) for name in spent}
         logger.info(
@@ -81,15 +86,15 @@
 
 
 class _Growth:
-    """What counters have grown by."""
+    """Computes the growth of counters between reports."""
 
     def __init__(self, counted: Callable[[], Mapping[str, int]]) -> None:
-        """``counted`` tells the sums since the start."""
+        """Start at zero; ``counted`` returns the totals since the start of the process."""
         self._counted = counted
         self._taken: Counter[str] = Counter()
 
     def take(self) -> dict[str, int]:
-        """Since the last time; those that haven't grown are left out."""
+        """Return the growth since the last call, without the counters that haven't grown."""
         counted = Counter(self._counted())
         grown = counted - self._taken
         self._taken = counted
--- a/fireflyfork/programs/_metrics.py
+++ b/fireflyfork/programs/_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms, written in the Prometheus text format."""
+"""Counters and latency histograms, exported in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 _QUANTILES = (0.5, 0.9, 0.99, 0.999)
 
 METRICS_TEXT = (b"content-type", b"text/plain; version=0.0.4")
-"""The header of an answer in this format."""
+"""Header of an answer in this format."""
 
 Labels = tuple[tuple[str, str], ...]
 Gauge = Callable[[], float]
@@ -24,7 +24,7 @@
     """The metrics of one process."""
 
     def __init__(self) -> None:
-        """Nothing counted."""
+        """Create an empty set of metrics."""
         self._counters: Counter[tuple[str, Labels]] = Counter()
         self._histograms: dict[tuple[str, Labels], HdrHistogram] = {}
         self._sums: Counter[tuple[str, Labels]] = Counter()
@@ -32,11 +32,11 @@
         self._kept_elsewhere: dict[str, tuple[str, CountersByLabel]] = {}
 
     def count(self, name: str, amount: int = 1, **labels: str) -> None:
-        """Add to a counter."""
+        """Add ``amount`` to a counter."""
         self._counters[name, _labels(labels)] += amount
 
     def observe(self, name: str, seconds: float, **labels: str) -> None:
-        """Record a duration."""
+        """Record a duration in a histogram."""
         key = (name, _labels(labels))
         histogram = self._histograms.get(key)
         if histogram is None:
@@ -49,15 +49,18 @@
         self._sums[key] += microseconds
 
     def gauge(self, name: str, value: Gauge) -> None:
-        """Report what ``value`` returns at the time of reading."""
+        """Register a gauge whose value is returned by ``value`` on export."""
         self._gauges[name] = value
 
     def counters(self, name: str, label: str, values: CountersByLabel) -> None:
-        """Report counters that somebody else keeps, by the values of ``label``."""
+        """Register counters that are kept outside of this class.
+
+        ``values`` returns their totals by the value of ``label``.
+        """
         self._kept_elsewhere[name] = (label, values)
 
     def text(self) -> str:
-        """All metrics in the Prometheus text format."""
+        """Return all metrics in the Prometheus text format."""
         return "\n".join((*self._counter_lines(), *self._gauge_lines(), *self._summary_lines(), ""))
 
     def _counter_lines(self) -> Iterator[str]:
--- a/fireflyfork/programs/_outside.py
+++ b/fireflyfork/programs/_outside.py
@@ -1,4 +1,4 @@
-"""What an instance reaches outside itself."""
+"""The clients of everything outside of an instance."""
 
 from __future__ import annotations
 
@@ -19,19 +19,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Outside:
-    """The platform's services, each behind its abstract client."""
+    """The clients of the platform's services, each behind its abstract class."""
 
     store: CoordinationStore
     executors: ExecutorCalls
     advisor: Advisor
     machines: MachineCalls
     loop_time: LoopTime
-    """By which others are judged to be late."""
+    """Clock by which calls are judged to be late."""
     relay_calls: Callable[[], ExecutorCalls]
-    """Makes a client of executors for the calls of one owner on another instance."""
+    """Creates a client of executors for the calls of one owner on another instance."""
     loop_profile: LoopProfile = field(default_factory=LoopProfile)
-    """Tells what the processor time goes to."""
+    """Measures which activities use the processor time."""
     relay_traffic: RelayTraffic = field(default_factory=RelayTraffic)
-    """Tells what owners on this instance exchange with relays."""
+    """Counts the bytes that owners on this instance exchange with relays."""
     replica_peers: ReplicaPeers | None = None
-    """The replicas of other instances; None: the store is followed by every instance itself."""
+    """Client of the replicas of other instances; None if every instance follows the store itself.
+    """
--- a/fireflyfork/programs/_scheduler_node.py
+++ b/fireflyfork/programs/_scheduler_node.py
@@ -1,4 +1,4 @@
-"""One instance of the scheduler: callers' requests, and the ownership of services it wins."""
+"""One instance of the scheduler: serves callers' requests and owns the services that it wins."""
 
 from __future__ import annotations
 
@@ -31,14 +31,18 @@
 from ._service_owner import ServiceOwner
 
 NOTICE_SECONDS = 2.5
-"""After the load balancer has been told, it takes two misses, a second apart, until it sends no new
-connections."""
+"""Minimum time between failing the readiness check and closing callers' connections.
+
+The load balancer sends no new connections after two failed checks, which are a second apart."""
 CLOSE_MARGIN_SECONDS = 1.2
-"""So long before the platform kills the process, it begins nothing more for callers."""
+"""Time before the platform kills the process at which requests of callers are no longer started."""
 LAST_REQUESTS_SECONDS = CLOSE_MARGIN_SECONDS / 4
-"""For what is then under way. A store that is well answers in a sixth of it, also from another region."""
+"""Time for the requests in progress at that point.
+
+A healthy store answers within a sixth of it, also from another region."""
 LAST_ANSWERS_SECONDS = CLOSE_MARGIN_SECONDS / 4
-"""For the answers to what was given up on. The rest of the margin is for a machine that is slow."""
+"""Time to send the answers to requests that were given up. The rest of the margin is reserve for a
+slow machine."""
 
 
 class _Readiness(HttpHandler):
@@ -59,7 +63,7 @@
 
 
 class SchedulerNode:
-    """Everything that runs on one instance."""
+    """Connects and runs all parts of one instance."""
 
     def __init__(
         self,
@@ -68,7 +72,7 @@
         clock: Clock,
         random: Random,
     ) -> None:
-        """Wire everything; nothing runs yet."""
+        """Create and connect all parts; ``run`` starts them."""
         self._settings = settings
         self._store = outside.store
         self._outside = outside
@@ -116,7 +120,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether new connections should come here."""
+        """Whether the load balancer should send new connections to this instance."""
         return not self._stopping and self._keeper.table is not None and self._store.answers
 
     async def run(self, stop: trio.Event) -> None:
@@ -158,7 +162,8 @@
         self._callers.announce_stop()
         left = self._settings.bounds.termination_grace - CLOSE_MARGIN_SECONDS
         await trio.sleep(max(0.0, left - (self._clock.now() - begun)))
-        # Connections stay open meanwhile: a request that comes on one is refused, not cut off.
+        # Connections stay open during the wait: a new request on one is refused rather than cut
+        # off.
         self._service.end_in(LAST_REQUESTS_SECONDS)
         await trio.sleep(LAST_REQUESTS_SECONDS)
         self._callers.stop()
@@ -202,5 +207,5 @@
     def _queues(self) -> QueueTable:
         table = self._keeper.table
         if table is None:
-            raise RuntimeError("a service is owned only once the configuration is known")
+            raise RuntimeError("no configuration has been read yet")
         return table
--- a/fireflyfork/programs/_turns.py
+++ b/fireflyfork/programs/_turns.py
@@ -1,4 +1,4 @@
-"""Turns of calls on the event loop of an instance that is short of processor time."""
+"""Limits concurrent calls on an event loop that is short of processor time."""
 
 from __future__ import annotations
 
@@ -11,25 +11,29 @@
 from ..adapters import LoopTime
 
 TURN_SECONDS = 0.2
-"""Of loop time. A call that is under way for longer waits for its other end or its link, not for this process,
-and makes room for the next one."""
+"""Loop time after which a call no longer counts towards the limit.
+
+A call that takes longer is waiting for its peer or its link, not for this process, so the next call
+may start."""
 
 
 class Turns:
-    """Lets so many calls go out at once, in the order in which they ask.
+    """Limits the number of concurrent calls; waiting calls start in order.
 
-    Calls that progress side by side all end when the last one does: each of many then comes too late, and the loop
-    has long passes in which nothing else has its turn.
+    Concurrent calls all finish when the last one does. If there are many, each finishes too late,
+    and the loop has long iterations during which nothing else runs.
     """
 
     def __init__(self, at_once: int, loop_time: LoopTime) -> None:
-        """``loop_time`` tells a late loop from a late answer."""
+        """Allow ``at_once`` concurrent calls; ``loop_time`` distinguishes a late loop from a late
+        answer.
+        """
         self._limit = trio.CapacityLimiter(at_once)
         self._loop_time = loop_time
 
     @asynccontextmanager
     async def turn(self) -> AsyncIterator[None]:
-        """Wait for a turn; it ends with the block, or earlier if that takes long."""
+        """Wait for a slot, and release it at the end of the block or after ``SLOT_SECONDS``."""
         borrower = object()
         await self._limit.acquire_on_behalf_of(borrower)
         give_back = partial(self._limit.release_on_behalf_of, borrower)
--- a/fireflyfork/programs/scheduler.py
+++ b/fireflyfork/programs/scheduler.py
@@ -1,6 +1,6 @@
 """``fireflyfork-scheduler``: schedules jobs on the executors of the platform.
 
-Settings come from the file that the platform names in the environment.
+Settings are read from the file that the platform names in the environment.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 async def run(settings: NodeSettings) -> None:
-    """Serve until the platform asks for a stop."""
+    """Serve until the platform requests a stop."""
     clock = SystemClock()
     random = Random(secrets.randbits(64))
     store = PlatformStore(settings.store_address)
@@ -64,7 +64,7 @@
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
         async for number in signals:
             if number == signal.SIGHUP:
-                logger.info("settings file may have changed; nothing in it changes while running")
+                logger.info("SIGHUP ignored: settings are only read at start")
                 continue
             stop.set()
 
