--- a/fireflyfork/programs/_work_intake.py
+++ b/fireflyfork/programs/_work_intake.py
@@ -102,7 +102,7 @@
         if not own:
             raise OwnershipLostError("the owner key was removed")
         if own[0].revision != self._term.owner_revision:
-            raise OwnershipLostError("the owner key was replaced or removed")
+            raise OwnershipLostError("the owner key was replaced")
 
     def _take_change(self, change: StoreChange) -> None:
         if change.key == owner_key(self._term.service):
--- a/fireflyfork/programs/tests/builders_journal.py
+++ b/fireflyfork/programs/tests/builders_journal.py
@@ -1,4 +1,4 @@
-"""A store whose writes are lost, late or done twice, as the test says."""
+"""Store clients whose writes are lost, delayed or repeated as the test chooses."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class WriteFate(Enum):
-    """What becomes of a write."""
+    """How the store handles a write."""
 
     DONE = "done"
     REFUSED = "refused"
@@ -38,10 +38,10 @@
 
 
 class FatefulStore(CoordinationStore):
-    """A client whose next write meets the fate that was set."""
+    """A client that handles writes as ``behavior`` says."""
 
     def __init__(self) -> None:
-        """Empty; writes are done."""
+        """Create an empty store that executes all writes."""
         self.fate = WriteFate.DONE
         self.kept = StandInStore(Random(1))
         self._late: deque[tuple[dict[str, Revision], tuple[Put, ...]]] = deque()
@@ -52,7 +52,7 @@
         return True
 
     def carry_out_late(self) -> None:
-        """The write that has been under way for longest arrives, if there is one."""
+        """Execute the oldest delayed write, if there is one."""
         if self._late:
             self._try(*self._late.popleft())
 
@@ -77,7 +77,7 @@
         """See CoordinationStore."""
         fate = self.fate
         if fate is WriteFate.REFUSED:
-            raise StoreRefusedError("turned away")
+            raise StoreRefusedError("refused by the test")
         if fate in _DELAYED:
             self._late.append((expected, puts))
         if fate in (WriteFate.LATE, WriteFate.NEVER):
@@ -106,10 +106,10 @@
 
 
 class CountedStore(FatefulStore):
-    """A client that has counted what the test sets."""
+    """A client whose traffic counters are set by the test."""
 
     def __init__(self) -> None:
-        """Nothing counted."""
+        """Start with all counters at zero."""
         super().__init__()
         self.counted_calls: Counter[str] = Counter()
         self.counted_received: Counter[str] = Counter()
--- a/fireflyfork/programs/tests/builders_owner.py
+++ b/fireflyfork/programs/tests/builders_owner.py
@@ -1,4 +1,4 @@
-"""An owner at work against the stand-in's store and its executors, of which most tests need one."""
+"""Fixture that runs an owner against the stand-in store and executors."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 
 class OwnerWorld:
-    """A store, an executor, and an owner whose term has begun."""
+    """A store, executors, and an owner at the start of its term."""
 
     def __init__(self, nursery: trio.Nursery, executors: int = 1) -> None:
-        """Late orders are carried out in ``nursery``; the owner isn't started."""
+        """Create the parts without starting them; delayed orders are executed in ``nursery``."""
         random = Random(1)
         self.history = History()
         self.store = StandInStore(random)
@@ -66,11 +66,11 @@
         )
 
     def succeed(self) -> None:
-        """The ownership lapses, and another instance takes it."""
+        """End the ownership and give it to another instance."""
         self.store.remove(owner_key(SERVICE))
         self.store.put(owner_key(SERVICE), b"n-1")
 
     def hand_in(self, spec: JobSpec) -> None:
-        """A caller's job is accepted."""
+        """Store an accepted job of a caller."""
         self.history.jobs[spec.job] = spec
         self.store.put(job_key(spec.job), encode_job(spec))
--- a/fireflyfork/programs/tests/test_idle_executors.py
+++ b/fireflyfork/programs/tests/test_idle_executors.py
@@ -1,4 +1,4 @@
-"""What becomes of executors that have nothing to do, and that nobody polls."""
+"""Restarts and departures of idle executors, which aren't polled."""
 
 import unittest
 
@@ -12,12 +12,13 @@
 
 
 class IdleExecutorTest(unittest.TestCase):
-    """Only its registration tells of an executor that isn't polled."""
+    """Only the registration reports changes of an executor that isn't polled."""
 
     def test_an_idle_executor_that_starts_anew_gets_work_again(self) -> None:
-        """An executor that has nothing to do is restarted, and its registration tells so. Nobody asked the
-        new life for what it runs, so it got no task for as long as the owner lived: jobs waited with all
-        machines up and free.
+        """Guards against an idle executor that gets no task after a restart.
+
+        Its registration reports the restart. If the owner doesn't poll the new incarnation for its
+        runs, it places no task there, and jobs wait although all machines are up and free.
         """
         for lapses in (False, True):
             with self.subTest(lapses=lapses):
@@ -25,9 +26,10 @@
                 self.assertEqual(starts, 1)
 
     def test_an_idle_executor_that_left_is_not_waited_for_by_successors(self) -> None:
-        """An executor that has nothing to do leaves for good. It stayed in the list that is stored for a
-        successor, which then held all recovered tasks back for 8 s: jobs stood still at each change of
-        owner.
+        """Guards against successors that wait for an idle executor that has left for good.
+
+        If it stays in the list that is stored for a successor, each successor holds back all
+        recovered tasks for 8 s, so jobs are stopped at every change of owner.
         """
         self.assertEqual(trio.run(_left_while_idle, clock=_clock()), 0)
 
@@ -37,7 +39,7 @@
 
 
 async def _reborn_while_idle(lapses: bool) -> int:
-    """How many tasks of one job start after its only executor was restarted."""
+    """Return how many tasks of a job start after its only executor was restarted."""
     async with trio.open_nursery() as nursery:
         world = await _idle_world(nursery)
         world.executor.crash()
@@ -53,7 +55,7 @@
 
 
 async def _left_while_idle() -> int:
-    """How many executors a successor would find stored, long after the only one has left."""
+    """Return how many executors a successor would find stored after the only one has left."""
     async with trio.open_nursery() as nursery:
         world = await _idle_world(nursery)
         world.executor.crash()
--- a/fireflyfork/programs/tests/test_late_loop.py
+++ b/fireflyfork/programs/tests/test_late_loop.py
@@ -1,6 +1,6 @@
-"""An owner whose own event loop is late while all executors are punctual.
+"""An owner whose own event loop is late because of load, while all executors answer in time.
 
-The pattern: more work than the owner's processor carries. What it reads late is not late.
+Answers that the owner reads late aren't late answers.
 """
 
 import unittest
@@ -17,22 +17,24 @@
 
 SECONDS = 60.0
 STARTING_POLLS = 8
-"""Before the loop is held up, and until its lag shows."""
+"""Polls before the loop is delayed and until its lag is detected."""
 
 
 class Counts:
-    """What an owner did in one play."""
+    """Calls and failures of an owner during one run of the test."""
 
     def __init__(self) -> None:
-        """Nothing yet."""
+        """Start with all counters at zero."""
         self.polls = 0
         self.fresh_polls = 0
         self.silent = 0
 
 
 def _play(busy: float, idle: float, stall_at: float | None = None) -> Counts:
-    """One play: the loop is held up for ``busy`` seconds, then free for ``idle`` seconds, over and over;
-    or once, at ``stall_at``."""
+    """Block the loop for ``busy`` seconds and leave it free for ``idle`` seconds, repeatedly.
+
+    With ``stall_at``, block it once at that time.
+    """
     counts = Counts()
     clock = MockClock(autojump_threshold=0)
     poll, poll_failed = StandInExecutorCalls.poll, Scheduler.poll_failed
@@ -73,15 +75,19 @@
 
 
 class LateLoopTest(unittest.TestCase):
-    """Guards against an owner that takes its own lateness for its executors' and feeds on it."""
+    """Guards against an owner that attributes its own lateness to its executors and makes more
+    calls because of it.
+    """
 
     def test_a_stall_makes_no_executor_suspect(self) -> None:
-        """Guards against probes and lost leases after one second without the processor."""
+        """Guards against probes and lost leases after the owner had no processor time for one
+        second.
+        """
         counts = _play(busy=1.0, idle=0.0, stall_at=20.5)
         self.assertEqual((counts.silent, counts.fresh_polls), (0, 0))
 
     def test_a_steady_load_makes_no_executor_suspect_and_costs_no_calls(self) -> None:
-        """Guards against more calls from an owner that has too little time for those it makes."""
+        """Guards against additional calls by an owner that has too little time for its usual ones."""
         punctual = _play(busy=0.0, idle=0.0)
         for busy, idle in ((0.08, 0.02), (0.24, 0.0)):
             with self.subTest(busy=busy):
@@ -90,8 +96,9 @@
                 self.assertLessEqual(counts.polls, punctual.polls)
 
     def test_an_owner_that_is_far_behind_asks_its_executors_half_as_often(self) -> None:
-        """Guards against an owner of too many executors that polls itself to a standstill, until it renews no
-        lease in time and everything lapses at once."""
+        """Guards against polls that overload the owner of too many executors, until it renews no
+        lease in time and all runs lapse at once.
+        """
         punctual = _play(busy=0.0, idle=0.0)
         counts = _play(busy=0.7, idle=0.2)
         self.assertEqual(counts.silent, 0)
--- a/fireflyfork/programs/tests/test_many_first_polls.py
+++ b/fireflyfork/programs/tests/test_many_first_polls.py
@@ -1,6 +1,6 @@
-"""An owner that has just taken over hundreds of executors, to none of which it has a connection.
+"""An owner that has just taken over hundreds of executors without a connection to any of them.
 
-The pattern: a change of owner in a large fleet, on an instance with a fraction of a processor.
+This happens at a change of owner in a large fleet, on an instance with a fraction of a processor.
 """
 
 import unittest
@@ -16,14 +16,14 @@
 
 EXECUTORS = 400
 PASSES = 3
-"""How often the loop comes to one call: to connect, send, and take the answer in."""
+"""Loop iterations of one call: to connect, to send, and to process the answer."""
 SECONDS_A_PASS = 0.0015
 TICK_SECONDS = 0.01
 PLAY_SECONDS = 4.0
 
 
 async def _longest_pass(clock: MockClock) -> tuple[float, int]:
-    """The longest that another task waited for the loop, and how many executors were reached."""
+    """Return the longest delay of another task by the loop, and the number of executors reached."""
     async with trio.open_nursery() as nursery:
         world = OwnerWorld(nursery, EXECUTORS)
         nursery.start_soon(world.store.run)
@@ -43,10 +43,10 @@
 
 
 class ManyFirstPollsTest(unittest.TestCase):
-    """Guards against an owner that greets its whole fleet in one breath."""
+    """Guards against an owner that polls its whole fleet for the first time at once."""
 
     def test_a_takeover_of_a_large_fleet_leaves_the_loop_time_for_other_tasks(self) -> None:
-        """Guards against an owner whose own lease runs out while its loop is busy with first polls."""
+        """Guards against an owner whose own lease ends while its loop is busy with first polls."""
         clock = MockClock(autojump_threshold=0)
         poll = StandInExecutorCalls.poll
 
--- a/fireflyfork/programs/tests/test_many_starts.py
+++ b/fireflyfork/programs/tests/test_many_starts.py
@@ -1,7 +1,7 @@
-"""An owner that has far more starts to send at once than its processor sends in a second.
+"""An owner that has far more starts to send at once than its processor can send in a second.
 
-The pattern: a fleet has become free, or known, and hundreds of tasks wait for it; the owner's own loop is what
-they wait for.
+This happens when a fleet becomes free or known while hundreds of tasks wait for it. The event loop
+of the owner is then the bottleneck.
 """
 
 import unittest
@@ -19,21 +19,22 @@
 EXECUTORS = 60
 TASKS = 6 * EXECUTORS
 PASSES = 4
-"""How often the loop comes to one call: to connect, greet, send, and take the answer in."""
+"""Loop iterations of one call: to connect, to exchange the handshake, to send, and to process the
+answer."""
 SECONDS_A_PASS = 0.0015
 IDLE_SECONDS = 3.0
 PLAY_SECONDS = 12.0
 
 
 async def _work(clock: MockClock) -> None:
-    """What one call costs its owner, in passes of the loop between which other calls have their turn."""
+    """Simulate the loop time of one call in several iterations, between which other calls run."""
     for _ in range(PASSES):
         clock.jump(SECONDS_A_PASS)
         await trio.lowlevel.checkpoint()
 
 
 def _play() -> tuple[int, int, int]:
-    """Starts that were sent, tasks that run at the end, and runs whose lease has lapsed."""
+    """Return the starts sent, the tasks running at the end, and the runs whose lease has lapsed."""
     clock = MockClock(autojump_threshold=0)
     start, poll = StandInExecutorCalls.start, StandInExecutorCalls.poll
     sent = 0
@@ -70,8 +71,10 @@
 
 
 class ManyStartsTest(unittest.TestCase):
-    """Guards against an owner that falls behind, and sends all again since it has fallen behind."""
+    """Guards against an owner that falls behind and, because of that, sends all starts again."""
 
     def test_starts_that_wait_for_their_owner_are_neither_void_nor_lapse(self) -> None:
-        """Guards against starts whose validity and lease run out before their owner has sent and renewed them."""
+        """Guards against starts whose deadline or lease ends before their owner has sent or renewed
+        them.
+        """
         self.assertEqual(_play(), (TASKS, TASKS, 0))
--- a/fireflyfork/programs/tests/test_placing_rounds.py
+++ b/fireflyfork/programs/tests/test_placing_rounds.py
@@ -1,6 +1,6 @@
-"""An owner of hundreds of executors, each of which has something to tell several times a second.
+"""An owner of hundreds of executors, each of which reports several events per second.
 
-The pattern: far more events than rounds of placing that the owner's processor can carry.
+There are far more events than rounds of placing that the owner's processor can perform.
 """
 
 import unittest
@@ -18,10 +18,10 @@
 
 
 class PlacingRoundsTest(unittest.TestCase):
-    """Guards against an owner that walks over its whole fleet at each event."""
+    """Guards against an owner that processes its whole fleet at each event."""
 
     def test_events_of_a_busy_fleet_share_rounds_of_placing(self) -> None:
-        """Guards against rounds that take all of the loop's time, so that answers are read late."""
+        """Guards against rounds that use all of the loop's time, so that answers are read late."""
         clock = MockClock(autojump_threshold=0)
         rounds = 0
 
@@ -51,7 +51,7 @@
         self.assertGreater(share, 0.1)
 
     def test_what_happens_alone_is_placed_at_once(self) -> None:
-        """Guards against a rest that makes callers of an idle service wait."""
+        """Guards against a rest between rounds that delays callers of an idle service."""
         clock = MockClock(autojump_threshold=0)
         placed_at: list[float] = []
 
--- a/fireflyfork/programs/tests/test_prefix_watch.py
+++ b/fireflyfork/programs/tests/test_prefix_watch.py
@@ -13,8 +13,11 @@
 
 
 def _follow(gather_seconds: float) -> tuple[int, float]:
-    """Calls in ten seconds in which a key is written twenty times a second, and the latest that a
-    write was heard of, in seconds."""
+    """Return the store calls in ten seconds with 20 writes per second, and the longest delay of a
+    write.
+
+    The delay is in seconds from the write to its report.
+    """
 
     async def main() -> tuple[int, float]:
         store = StandInStore(Random(1))
@@ -50,11 +53,13 @@
 
 
 class PrefixWatchTest(unittest.TestCase):
-    """How often it asks, and how late it hears."""
+    """Number of requests, and the delay and completeness of the changes reported."""
 
     def test_many_small_changes_cost_few_calls(self) -> None:
-        """Executors write every second or two to say that they live. Asked anew after each of these,
-        the store was busy with that, and its operators paid for every call.
+        """Guards against a request after each of many small changes.
+
+        Executors write a heartbeat every second or two. With a request after each, the store was
+        busy with this watch, and its operators paid for every call.
         """
         calls, _ = _follow(0.0)
         gathered, latest = _follow(0.4)
@@ -63,8 +68,10 @@
         self.assertLess(latest, 0.5)
 
     def test_what_is_written_while_an_answer_is_on_its_way_is_heard_of(self) -> None:
-        """Answers take their time on a thin link, and jobs go on being accepted meanwhile. The answer told
-        of fewer changes than it claimed to: a job accepted in between was never placed.
+        """Guards against changes lost during the transfer of an answer over a thin link.
+
+        The answer contained fewer changes than its revision claimed, so a job that was accepted
+        during the transfer was never placed.
         """
 
         async def main() -> set[str]:
--- a/fireflyfork/programs/tests/test_probes.py
+++ b/fireflyfork/programs/tests/test_probes.py
@@ -1,6 +1,7 @@
-"""Probes beside late polls, in a fleet where many executors hang at once.
+"""Probes during late polls, in a fleet where many executors hang at once.
 
-The pattern: a rack of executors takes calls and answers none, while connections to others have gone silent.
+A rack of executors accepts calls and answers none, while connections to other executors have
+failed.
 """
 
 import unittest
@@ -38,7 +39,7 @@
 
 
 def _calls(answered: list[float]) -> ExecutorCalls:
-    """Executors that hang, but for one that answers what comes over a new connection."""
+    """Return calls to executors that hang, except one that answers over a new connection."""
 
     async def poll(
         place: ExecutorPlace, _: FencingToken, request: PollRequest, fresh: bool = False
@@ -69,7 +70,7 @@
 
 
 async def _unheard_after_freeze(names: Sequence[str]) -> float:
-    """How long the last of these executors isn't heard of once the relay that calls them has frozen."""
+    """Return how long the last executor goes without an answer after its relay has frozen."""
     answer = PollAnswer(CallOutcome.ACCEPTED, 1, 1)
 
     async def poll(
@@ -102,10 +103,12 @@
 
 
 class ProbesTest(unittest.TestCase):
-    """Who is asked beside a late poll."""
+    """Executors that are probed while a poll is late."""
 
     def test_executors_that_hang_do_not_keep_probes_from_others(self) -> None:
-        """Guards against one silent connection that takes a sound executor out of use for seconds."""
+        """Guards against one failed connection that makes a healthy executor unavailable for
+        seconds.
+        """
         answered: list[float] = []
         names = [*(f"i-{number}" for number in range(HANGING)), SILENT]
 
@@ -123,7 +126,9 @@
         self.assertLess(answered[0], LATE_SECONDS + rounds * (PROBE_PATIENCE_SECONDS + 0.5))
 
     def test_executors_behind_a_frozen_relay_are_found_directly(self) -> None:
-        """Guards against a failure domain whose executors are taken for silent while their relay is frozen."""
+        """Guards against a failure domain whose executors appear silent while their relay is
+        frozen.
+        """
         names = [f"i-{number}" for number in range(HANGING)]
 
         async def main() -> float:
@@ -135,5 +140,5 @@
         self.assertLess(unheard, 2 * POLL_SECONDS + LATE_SECONDS + 0.2)
 
     def test_no_poll_outlasts_the_bound_of_its_connection(self) -> None:
-        """Guards against connections that are ended while an answer is still waited for."""
+        """Guards against connections that are closed while an answer is still pending."""
         self.assertLessEqual(SHED_POLL_SECONDS + PATIENCE_SECONDS, LONGEST_CALL_SECONDS)
--- a/fireflyfork/programs/tests/test_run_orders.py
+++ b/fireflyfork/programs/tests/test_run_orders.py
@@ -1,4 +1,4 @@
-"""Orders to executors, in the time between a decision and its sending."""
+"""Orders to executors that wait between the decision and the call."""
 
 import unittest
 from unittest.mock import create_autospec
@@ -16,12 +16,14 @@
 
 
 class RunOrdersTest(unittest.TestCase):
-    """What is sent is what was decided."""
+    """Orders are sent only to the incarnation for which they were decided."""
 
     def test_an_order_that_waits_for_its_turn_goes_to_the_life_it_was_meant_for(self) -> None:
-        """Many starts go to one executor, which answers slowly, so some wait for their turn. Meanwhile it
-        starts anew, and their tasks are placed elsewhere. Sent to the new life all the same, the last ones
-        would run in two places.
+        """Guards against starts that are sent to a restarted executor.
+
+        An executor answers slowly, so some of its starts wait. While they wait, it restarts, and
+        their tasks are placed elsewhere. If the waiting starts were sent to the new incarnation,
+        their tasks would run twice.
         """
         trio.run(self._order_that_waits)
 
--- a/fireflyfork/programs/tests/test_service_journal.py
+++ b/fireflyfork/programs/tests/test_service_journal.py
@@ -1,4 +1,4 @@
-"""What an owner lets executors forget, over generated orders of ends and of writes that fail."""
+"""What an owner lets executors forget, with generated sequences of ends and failing writes."""
 
 import unittest
 
@@ -35,16 +35,16 @@
 JOBS = [JobId(f"{number:016x}") for number in range(2)]
 FATES = [fate for fate in WriteFate if fate is not WriteFate.CANCELLED]
 LONG_TERM = 4
-"""Writes after which a term may end. A term that ends sooner shows nothing of how its writes meet."""
+"""Number of writes after which a term may end. Shorter terms don't show how writes interact."""
 EXAMPLES = 150
-"""Writes that are not conditional on the one before show among them, as a trial did."""
+"""Enough examples to detect writes that aren't conditional on the previous write."""
 
 
 class JournalMachine(RuleBasedStateMachine):
-    """An owner whose tasks end, and whose writes meet any fate."""
+    """An owner whose tasks end and whose writes fail in any way."""
 
     def __init__(self) -> None:
-        """A term has begun, and nothing is known."""
+        """Start with an empty store and an owner without jobs."""
         super().__init__()
         self.store = FatefulStore()
         self.owner = OwnerUnderTest(EXECUTOR)
@@ -58,7 +58,7 @@
 
     @initialize()
     def win(self) -> None:
-        """The owner's key is there, and the journal is opened."""
+        """Write the owner key and open the journal."""
         revision = self.store.kept.apply({}, (Put(owner_key(SERVICE), b"n-0"),), ())
         term = Term(SERVICE, 1, LeaseId(0), Revision(revision))
         self.journal = trio.run(self._opened, term, clock=MockClock())
@@ -70,7 +70,7 @@
 
     @rule(name=st.sampled_from(JOBS))
     def accept(self, name: JobId) -> None:
-        """A job of two steps comes, and what may start does."""
+        """Accept a job of two steps and start the tasks that may start."""
         self.scheduler.accept(job(name, step(count=4), step(after=(0,))), START_MS)
         self.running += self.owner.place()
 
@@ -81,7 +81,7 @@
         listed=st.booleans(),
     )
     def end(self, data: st.DataObject, reason: EndReason, listed: bool) -> None:
-        """A run ends, and may be listed at once."""
+        """End a run, with or without an immediate poll."""
         run = data.draw(st.sampled_from(self.running))
         self.running.remove(run)
         self.owner.end(EXECUTOR, run.task.name, run.attempt, reason)
@@ -90,7 +90,7 @@
 
     @rule()
     def poll(self) -> None:
-        """The executor lists its runs and ends, and what may start now does."""
+        """List the executor's runs and ends, and start the tasks that may start."""
         self.owner.now += 0.1
         self.owner.poll(EXECUTOR, *(row(run) for run in self.running))
         self.running += self.owner.place()
@@ -99,7 +99,7 @@
     @precondition(lambda self: not self.gone)
     @rule(fate=st.sampled_from(FATES))
     def write(self, fate: WriteFate) -> None:
-        """The journal stores a portion."""
+        """Store one batch."""
         self.writes += 1
         self.store.fate = fate
         trio.run(self._flush, fate, clock=MockClock(autojump_threshold=0))
@@ -110,29 +110,29 @@
                 await self.journal.flush()
         except OwnershipLostError:
             self.gone = True
-        # Whoever is cancelled in a write is on the way out.
+        # A writer that is cancelled in a write writes nothing more.
         self.gone = self.gone or fate is WriteFate.CANCELLED
 
     @rule()
     def late(self) -> None:
-        """A write of before arrives."""
+        """Execute a delayed write."""
         self.store.carry_out_late()
 
     @precondition(lambda self: self.writes >= LONG_TERM and not self.gone)
     @rule()
     def stop(self) -> None:
-        """The owner is stopped inside a write."""
+        """Stop the owner during a write."""
         self.write(WriteFate.CANCELLED)
 
     @precondition(lambda self: self.writes >= LONG_TERM)
     @rule()
     def succeed(self) -> None:
-        """Another instance takes over; writes of this owner have no effect any more."""
+        """Let another instance take over; later writes of this owner have no effect."""
         self.store.kept.put(owner_key(SERVICE), b"n-1")
 
     @invariant()
     def what_may_be_forgotten_is_stored(self) -> None:
-        """A successor that reads the store now knows of all ends that the executor may forget."""
+        """A successor that reads the store finds all ends that the executor may forget."""
         forgettable = self.owner.executor(EXECUTOR).forgettable_end
         for end in self.owner.ends.get(EXECUTOR, []):
             if end.number <= forgettable:
@@ -155,10 +155,12 @@
 
 
 class JournalTest(unittest.TestCase):
-    """Ends and what is stored of them."""
+    """Consistency of ends and stored progress."""
 
     def test_an_end_is_forgotten_only_when_it_is_stored(self) -> None:
-        """Writes are refused, lost, late, done twice, or the owner is stopped inside one. If an end that isn't
-        stored were forgotten then, the next owner would run its task again.
+        """Guards against forgetting an end that isn't stored, whose task the next owner would run
+        again.
+
+        Writes are refused, lost, late or repeated, or the owner is stopped during one.
         """
         run_state_machine_as_test(JournalMachine, settings=settings(max_examples=EXAMPLES))
--- a/fireflyfork/programs/tests/test_service_lease.py
+++ b/fireflyfork/programs/tests/test_service_lease.py
@@ -1,4 +1,4 @@
-"""An owner whose own event loop is late while the store is punctual."""
+"""An owner whose own event loop is late while the store answers in time."""
 
 import unittest
 from random import Random
@@ -17,7 +17,7 @@
 
 SECONDS = 30.0
 PASS_SECONDS = 0.6 * LEASE_SECONDS
-"""A pass of the loop: two of them are longer than the lease, one is not."""
+"""Length of a loop iteration: two of them are longer than the lease, one is shorter."""
 
 
 async def _hold_up(clock: MockClock) -> None:
@@ -27,11 +27,14 @@
 
 
 class LateLoopTest(unittest.TestCase):
-    """An answer that is read late says nothing of the lease."""
+    """An answer that is read late doesn't show that the lease has ended."""
 
     def test_an_owner_whose_loop_is_late_keeps_its_service(self) -> None:
-        """Guards against an owner that doesn't renew since it waits for its own loop to read the last answer:
-        the service goes from one instance to the next, each with the same load."""
+        """Guards against an owner that doesn't renew its lease while its own loop hasn't read the
+        last answer.
+
+        The service would pass from one instance to the next, each with the same load.
+        """
         clock = MockClock(autojump_threshold=0)
 
         async def main() -> bool:
--- a/fireflyfork/programs/tests/test_service_owner.py
+++ b/fireflyfork/programs/tests/test_service_owner.py
@@ -1,4 +1,4 @@
-"""When an owner notices that it is none any more."""
+"""Detection of the loss of ownership by an owner."""
 
 import unittest
 
@@ -13,13 +13,16 @@
 
 
 class LostOwnershipTest(unittest.TestCase):
-    """Jobs that are accepted after a successor took over are the successor's alone: it starts them without
-    waiting for anybody."""
+    """Jobs that are accepted after a change of owner belong to the successor, which starts them
+    without confirmation.
+    """
 
     def test_an_owner_that_was_replaced_while_it_recovered_starts_nothing(self) -> None:
-        """An instance wins a service and is frozen before it has read what there is. Another one takes over,
-        and starts a job that was accepted since. The first one wakes, reads the job, and doesn't hear of
-        its successor, whose coming is older than what it read: the job ran in two places.
+        """Guards against a job that runs twice after its first owner was frozen during recovery.
+
+        The instance wins a service and is frozen before it has read the state. Another instance
+        takes over and starts a job accepted since then. The first one resumes and reads the job,
+        but its watch doesn't report the successor, whose owner key is older than the listing.
         """
 
         async def main() -> int:
@@ -29,7 +32,7 @@
                 nursery.start_soon(world.executor.run)
                 world.succeed()
                 world.hand_in(job())
-                # Its writes, each of which would tell it, get no answer.
+                # The owner's writes, each of which would reveal the successor, get no answer.
                 world.store.trouble.lost_share = 1.0
                 with trio.move_on_after(3.0):
                     await world.owner.run()
@@ -39,9 +42,11 @@
         self.assertEqual(trio.run(main, clock=MockClock(autojump_threshold=0)), 0)
 
     def test_a_listing_of_a_successors_time_brings_no_job(self) -> None:
-        """The store forgets its history while an owner is cut off from it, so the owner lists everything anew.
-        It took in the jobs first and looked at who owns the service last; had anything been sent in
-        between, a job of its successor's would have run twice.
+        """Guards against jobs of a successor that are accepted from a new listing.
+
+        The store loses its history while an owner is cut off, so the owner lists all keys again. If
+        it accepts the jobs before it checks the owner key, a job of its successor may be started in
+        between and run twice.
         """
 
         async def main() -> tuple[bool, int]:
--- a/fireflyfork/programs/tests/test_upkeep_duty.py
+++ b/fireflyfork/programs/tests/test_upkeep_duty.py
@@ -1,4 +1,4 @@
-"""An owner's part in waves of upkeep, against the stand-in's store and machines."""
+"""An owner's part in waves of upkeep, with the stand-in store and machines."""
 
 import unittest
 from random import Random
@@ -38,11 +38,13 @@
 
 
 class WithdrawnWaveTest(unittest.TestCase):
-    """The operator changes their mind."""
+    """Waves that the operator withdraws."""
 
     def test_an_emptied_machine_takes_work_again(self) -> None:
-        """A wave is withdrawn while a machine is emptied for it. Nobody looked at waves any more when
-        none was left, and the machine stood idle while jobs waited.
+        """Guards against an emptied machine that stays idle after its wave was withdrawn.
+
+        The owner must check the waves again when none is left; otherwise the machine stays emptied
+        while jobs wait.
         """
 
         async def main() -> None:
@@ -53,7 +55,8 @@
             machines = StandInMachines(SERVICE, {NAME: executor}, history, random)
             revision = store.apply({}, (Put(owner_key(SERVICE), b""),), ())
             scheduler = Scheduler(SchedulerTerms(SERVICE, 8.0, 5.0))
-            # Not polled yet, so it may still run something and is not ordered down.
+            # The executor wasn't polled yet, so it may still run tasks and its machine isn't
+            # ordered down.
             scheduler.recover((), (registration(NAME),), (), 0.0, 0)
             async with trio.open_nursery() as nursery:
                 duty = UpkeepDuty(
