--- a/fireflyfork/programs/tests/builders_callers.py
+++ b/fireflyfork/programs/tests/builders_callers.py
@@ -1,4 +1,4 @@
-"""Builds an instance that answers callers from the configuration that it follows."""
+"""Builders for an instance that answers callers from the configuration that it follows."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 HOST = "desk.example"
 BOUND_SECONDS = 2.5
-"""A configuration has to be in force so long after the store has acknowledged it."""
+"""Maximum time from the store's acknowledgement of a configuration until it must be in force."""
 
 
 class _Recorder:
-    """In place of a connection: keeps the status that is answered."""
+    """Replaces a connection and records the status of the answer."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -36,10 +36,10 @@
 
 
 class CallerInstance:
-    """What callers see of one instance."""
+    """One instance as its callers see it."""
 
     def __init__(self, store: StandInStore, link_mbps: float) -> None:
-        """Its link to the store carries ``link_mbps``."""
+        """Connect the instance to ``store`` over a link of ``link_mbps``."""
         client = store.client(NodeName("n-0"), link_mbps)
         self._keeper = QueueKeeper(client, lambda _: None, BOUND_SECONDS, trio.current_time)
         self._service = JobService(
@@ -55,7 +55,7 @@
         await self._keeper.run()
 
     async def count(self, queue: str) -> int:
-        """The status of a caller's question how many jobs of a queue wait."""
+        """Request the number of waiting jobs of a queue and return the status of the answer."""
         host: Header = (b"host", HOST.encode("ascii"))
         recorder = _Recorder()
         head = RequestHead("GET", f"/{queue}/", (host,))
@@ -64,7 +64,7 @@
 
 
 def stored_configuration(version: int, *queues: str, padding: int = 0) -> bytes:
-    """A configuration as the operator writes it, with so many bytes that say nothing."""
+    """Return a configuration as the operator writes it, with ``padding`` additional bytes."""
     routes = [
         {"name": name, "host": HOST, "path_prefix": f"/{name}/", "service": "desk"}
         for name in queues
@@ -80,7 +80,7 @@
 
 
 async def seen(instance: CallerInstance, queue: str, seconds: float) -> list[int]:
-    """The statuses of questions on a queue, ten in each second."""
+    """Request a queue ten times a second for ``seconds`` and return the statuses of the answers."""
     statuses = []
     for _ in range(round(seconds * 10)):
         statuses.append(await instance.count(queue))
--- a/fireflyfork/programs/tests/builders_replicas.py
+++ b/fireflyfork/programs/tests/builders_replicas.py
@@ -1,4 +1,6 @@
-"""Instances that follow each other's replicas of what the operator has written, on a virtual clock."""
+"""Fixture of instances that follow each other's replicas of the operator's keys, on a virtual
+clock.
+"""
 
 from __future__ import annotations
 
@@ -19,17 +21,17 @@
 from .._replica_follower import Upstreams
 
 BOUND_SECONDS = 2.5
-"""Within which a change has to be in force."""
+"""Maximum time until a change has to be in force."""
 NOWHERE = Address("10.0.0.1", 1)
 
 
 def node(number: int) -> NodeName:
-    """The name of an instance."""
+    """Return the name of an instance."""
     return NodeName(f"n-{number}")
 
 
 def configuration(version: int, routes: int = 0) -> bytes:
-    """What the operator writes, with so many routes."""
+    """Return a configuration as the operator writes it, with ``routes`` routes."""
     route = {
         "service": "desk",
         "host": "h.example",
@@ -52,13 +54,13 @@
 
 
 class Given(Upstreams):
-    """The instances that a test names."""
+    """Upstreams that the test sets."""
 
     def __init__(self, *numbers: int) -> None:
-        """Those with these numbers."""
+        """Return the instances with these numbers as upstreams."""
         self.numbers = numbers
         self.seconds = 0.0
-        """How long it takes to find out, over a full link for example."""
+        """Duration of ``choose``, which is long over a full link, for example."""
         self.far_from_store = False
 
     @property
@@ -73,13 +75,13 @@
 
 
 class Follower:
-    """One instance that keeps a configuration."""
+    """One instance that follows the configuration."""
 
     def __init__(self, number: int, fleet: Fleet, upstreams: Upstreams) -> None:
-        """Not running yet."""
+        """Create the instance without starting it."""
         self.node = node(number)
         self.versions: list[int] = []
-        """Those that have come into force, in order."""
+        """The versions that have come into force, in order."""
         self.keeper = QueueKeeper(
             fleet.store.client(self.node),
             lambda table: self.versions.append(table.version),
@@ -91,20 +93,20 @@
         self._scope = trio.CancelScope()
 
     def kill(self) -> None:
-        """End it."""
+        """Stop the instance."""
         self._scope.cancel()
 
     async def run(self) -> None:
-        """Keep the configuration until killed."""
+        """Follow the configuration until killed."""
         with self._scope:
             await self.keeper.run()
 
 
 class Fleet:
-    """Some instances and the store."""
+    """The store and the instances of a test."""
 
     def __init__(self, nursery: trio.Nursery) -> None:
-        """Only the store."""
+        """Start the store without any instance."""
         self.store = StandInStore(Random(1))
         self.network = ReplicaNetwork()
         self._nursery = nursery
@@ -112,7 +114,7 @@
         nursery.start_soon(self.store.run)
 
     def start(self, number: int, upstreams: Upstreams) -> Follower:
-        """Start an instance, which answers for its replica at once."""
+        """Start an instance, whose replica is reachable at once."""
         one = Follower(number, self, upstreams)
         self._followers[one.node] = one
         self.network.sources[one.node] = one.keeper.answers
@@ -120,12 +122,12 @@
         return one
 
     def kill(self, one: Follower) -> None:
-        """End an instance."""
+        """Stop an instance and make its replica unreachable."""
         one.kill()
         del self.network.sources[one.node]
 
     def configure(self, version: int) -> None:
-        """Have the operator write a version."""
+        """Write a version of the configuration as the operator."""
         self.store.put(CONFIGURATION_KEY, configuration(version))
 
 
--- a/fireflyfork/programs/tests/builders_scheduler_node.py
+++ b/fireflyfork/programs/tests/builders_scheduler_node.py
@@ -1,4 +1,4 @@
-"""Builds a whole instance of the scheduler with callers on real sockets and a stand-in store."""
+"""Fixture that runs a whole scheduler instance with callers on real sockets and a stand-in store."""
 
 from __future__ import annotations
 
@@ -34,16 +34,16 @@
 JOB = msgspec.json.encode({"spec": "work", "steps": [{"count": 1, "cpu": 500}]})
 LOOPBACK = "127.0.0.1"
 START_SECONDS = 3.3
-"""Until an instance has read the configuration and owns its service."""
+"""Time until an instance has read the configuration and owns its service."""
 LONGEST_ANSWER_BYTES = 10_000
 CONNECT_SECONDS = 30.0
 
 
 class RunningNode:
-    """One instance, the store that it uses, and the signal that ends it. Leases in the store never end."""
+    """One instance, its store, and the event that stops it. Leases in the store never end."""
 
     def __init__(self, nursery: trio.Nursery) -> None:
-        """Nothing runs yet."""
+        """Create the instance without starting it."""
         self.store = StandInStore(Random(1))
         self.stop = trio.Event()
         self.ended = trio.Event()
@@ -65,12 +65,12 @@
         self.ended.set()
 
     async def connect(self) -> HttpClientConnection:
-        """A caller's connection."""
+        """Open a connection as a caller."""
         address = Address(LOOPBACK, self._ports[self._callers_port])
         return await HttpClientConnection.open(address, CONNECT_SECONDS)
 
     async def _listen(self, host: str, port: int) -> list[trio.SocketListener]:
-        """Listen on a port that the system picks in place of the one in the settings."""
+        """Listen on a free port instead of the port in the settings."""
         listeners = await listen(host, 0)
         self._ports[port] = listeners[0].socket.getsockname()[1]
         return listeners
@@ -78,7 +78,7 @@
 
 @asynccontextmanager
 async def running_node() -> AsyncIterator[RunningNode]:
-    """An instance that has read its configuration."""
+    """Run an instance and yield it once it has read its configuration."""
     async with trio.open_nursery() as nursery:
         node = RunningNode(nursery)
         node.store.put(CONFIGURATION_KEY, stored_configuration(3, QUEUE))
@@ -89,7 +89,7 @@
 
 
 def head(method: str, job: str, length: int = 0) -> RequestHead:
-    """The head of a caller's request on a job."""
+    """Return the head of a caller's request about a job."""
     headers: tuple[Header, ...] = (
         (b"host", HOST.encode("ascii")),
         (b"content-length", str(length).encode("ascii")),
@@ -98,7 +98,7 @@
 
 
 async def ask(connection: HttpClientConnection, method: str, job: str) -> ResponseHead:
-    """One request and its whole answer. Raises HttpError."""
+    """Send one request and return the head of its complete answer. Raises HttpError."""
     body = JOB if method == "POST" else b""
     answer, _ = await connection.request(head(method, job, len(body)), body, LONGEST_ANSWER_BYTES)
     return answer
--- a/fireflyfork/programs/tests/test_announcements.py
+++ b/fireflyfork/programs/tests/test_announcements.py
@@ -1,8 +1,4 @@
-"""What an instance takes itself for.
-
-The pattern: an instance near the store that stands still, or has much to do, while a question to the store is under
-way.
-"""
+"""An instance's own announcement, when it is suspended or busy during a call to the store."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -22,7 +18,7 @@
 
 
 class _Stalling(Clock):
-    """Goes on while the instance stands still."""
+    """A clock that includes the time during which the instance is suspended."""
 
     def __init__(self) -> None:
         self.stood_still = 0.0
@@ -48,10 +44,12 @@
 
 
 class DistanceTest(unittest.TestCase):
-    """Whether the store is in another region."""
+    """Detection of whether the store is in another region."""
 
     def test_a_freeze_makes_no_instance_far(self) -> None:
-        """Guards against a head that wakes up, takes itself for far, and follows an instance that follows it."""
+        """Guards against an instance that considers the store far after a suspension, and follows
+        an instance that follows it.
+        """
 
         async def body(_: StandInStore, clock: _Stalling, announcements: Announcements) -> None:
             before = announcements.own
--- a/fireflyfork/programs/tests/test_decision_log.py
+++ b/fireflyfork/programs/tests/test_decision_log.py
@@ -1,4 +1,4 @@
-"""What the owner's decisions leave in the log and in the metrics."""
+"""Log lines and metrics of the owner's decisions."""
 
 import unittest
 
@@ -25,7 +25,7 @@
 
 
 class _StoodClock(Clock):
-    """A second that does not pass until the test says so."""
+    """A clock that only the test advances."""
 
     def __init__(self) -> None:
         self.seconds = 100.0
@@ -38,7 +38,7 @@
 
 
 class DecisionLogTest(unittest.TestCase):
-    """Lines are bounded, counters are not."""
+    """Lines are limited, counters are not."""
 
     def setUp(self) -> None:
         self.lines: list[str] = []
@@ -71,8 +71,11 @@
                 self.assertIn(line, self.metrics.text())
 
     def test_a_flood_of_decisions_is_counted_whole_and_logged_in_part(self) -> None:
-        """Many jobs are cancelled in one moment. A line for each would use up the processor that their
-        callers need; without a word on what is missing, whoever reads the log would trust it.
+        """Guards against a flood of log lines, and against lines that are left out without notice.
+
+        When many jobs are cancelled at once, a line for each would use up the processor time that
+        their callers need. Without a line about the missing ones, readers would take the log for
+        complete.
         """
         notes: list[Note] = [RunEnded(TASK, 1, EXECUTOR, EndReason.STOPPED, 100)] * (
             LINES_A_SECOND + 50
@@ -86,7 +89,7 @@
         self.assertIn(total, self.metrics.text())
 
     def test_a_busy_owner_logs_some_jobs_whole(self) -> None:
-        """Guards against logs that tell a part of every job and explain none."""
+        """Guards against logs with a part of every job, which explain none."""
         jobs = [f"{number:016x}" for number in range(4 * LINES_A_SECOND)]
         self._play(jobs, seconds=5)
         self.lines.clear()
@@ -96,7 +99,7 @@
         self.assertEqual(logged.count(1), 0)
 
     def test_once_it_is_calm_again_all_jobs_are_logged(self) -> None:
-        """Guards against one busy moment after which an owner hardly logs anything."""
+        """Guards against one busy moment after which an owner logs hardly anything."""
         self._play([f"{number:016x}" for number in range(4 * LINES_A_SECOND)], seconds=5)
         few = [f"{number:016x}" for number in range(10)]
         self._play(few, seconds=200)
@@ -105,7 +108,7 @@
         self.assertEqual(len(self.lines), 2 * len(few))
 
     def _play(self, jobs: list[str], seconds: int) -> None:
-        """In each second a task of each job ends, and then the job."""
+        """End a task of each job and then the job, once in each second."""
         for _ in range(seconds):
             self.clock.seconds += 1.0
             for job in jobs:
--- a/fireflyfork/programs/tests/test_job_requests.py
+++ b/fireflyfork/programs/tests/test_job_requests.py
@@ -1,4 +1,4 @@
-"""What callers are told while the store fails."""
+"""Answers to callers while the store fails."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -31,7 +31,7 @@
 
 
 class JobRequestsTest(unittest.TestCase):
-    """A refusal is true, and an acceptance lasts."""
+    """A refused request has had no effect, and an accepted one is stored."""
 
     def test_a_job_is_stored_before_its_caller_hears_of_it(self) -> None:
         async def body(store: StandInStore, requests: JobRequests) -> None:
@@ -51,8 +51,11 @@
         _play(body)
 
     def test_a_write_whose_answer_was_lost_is_never_called_refused(self) -> None:
-        """The store makes the change, its answer is lost, and then it turns the instance away. A caller
-        told that its booking was not taken would book elsewhere, and the booking would run as well.
+        """Guards against refusing a job that was stored.
+
+        The store executes the write, its answer is lost, and the store then refuses the repeated
+        write. A caller told that its booking was refused would book elsewhere, and both bookings
+        would run.
         """
 
         async def body(store: StandInStore, requests: JobRequests) -> None:
@@ -72,8 +75,10 @@
         _play(body)
 
     def test_an_instance_that_the_store_does_not_answer_refuses_at_once(self) -> None:
-        """The store is cut off from one instance. Its callers waited for a timeout each before they
-        could try another instance, which the store still served.
+        """Guards against callers that wait for a timeout of an instance that is cut off from the
+        store.
+
+        They could get an answer from another instance, which the store still answers.
         """
 
         async def body(store: StandInStore, requests: JobRequests) -> None:
--- a/fireflyfork/programs/tests/test_job_service.py
+++ b/fireflyfork/programs/tests/test_job_service.py
@@ -1,4 +1,4 @@
-"""What callers are told about queues while the configuration changes."""
+"""Answers to callers about queues while the configuration changes."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -15,7 +15,7 @@
 
 THIN_MBPS = 0.05
 LARGE_BYTES = 50_000
-"""Take eight seconds on the thin link."""
+"""Takes eight seconds over the thin link."""
 
 
 def _play(
@@ -36,12 +36,13 @@
 
 
 class UnknownQueuesTest(unittest.TestCase):
-    """That a queue doesn't exist is said only if it is true."""
+    """Callers get 404 for a queue only if it doesn't exist."""
 
     def test_not_while_a_newer_configuration_is_on_its_way(self) -> None:
-        """A large configuration takes longer to arrive over a thin link than changes may take. Meanwhile
-        callers of a queue that it adds were told that there is no such queue, and didn't try another
-        instance.
+        """Guards against 404 for a queue that a newer configuration has added.
+
+        A large configuration takes longer to arrive over a thin link than the time within which it
+        has to be in force. A caller that gets 404 in that time doesn't try another instance.
         """
 
         async def body(store: StandInStore, instance: CallerInstance) -> None:
@@ -55,7 +56,9 @@
         _play(body, THIN_MBPS)
 
     def test_not_while_the_store_does_not_answer(self) -> None:
-        """An instance that is cut off from the store can't know what the operator has written."""
+        """Guards against 404 from an instance that is cut off from the store and can't receive new
+        versions.
+        """
 
         async def body(store: StandInStore, instance: CallerInstance) -> None:
             store.trouble.silent.add(NodeName("n-0"))
@@ -69,8 +72,9 @@
         _play(body)
 
     def test_always_while_nothing_is_wrong(self) -> None:
-        """Callers that ask for a queue that never was are told so at once, also while the configuration
-        changes now and then. Told to come back, they would do so for nothing.
+        """Guards against 503 for a queue that never existed, after which callers retry without use.
+
+        The configuration changes now and then, without ever adding the queue.
         """
 
         async def body(store: StandInStore, instance: CallerInstance) -> None:
--- a/fireflyfork/programs/tests/test_log_sink.py
+++ b/fireflyfork/programs/tests/test_log_sink.py
@@ -1,4 +1,4 @@
-"""Log lines never wait for their reader."""
+"""Log sinks that never wait for their reader."""
 
 import io
 import json
@@ -9,7 +9,7 @@
 
 
 class PipeSinkTest(unittest.TestCase):
-    """A pipe whose reader falls behind."""
+    """Pipes whose reader falls behind or ends."""
 
     def setUp(self) -> None:
         self.reader, self.writer = os.pipe()
@@ -27,8 +27,10 @@
             data += part
 
     def test_a_reader_that_has_stopped_does_not_stop_the_program(self) -> None:
-        """The collector of a log hangs, and its pipe fills up. A program that waits for it serves
-        nobody until somebody restarts the collector.
+        """Guards against a program that waits for a log collector.
+
+        If the collector hangs, its pipe fills up. A program that blocks on it would serve no
+        request until the collector is restarted.
         """
         sink = PipeSink(self.writer, most_pending=10_000)
         for number in range(5_000):
@@ -51,7 +53,7 @@
         self.assertEqual((data + self._read()).split(), [b"%d" % n for n in range(3_000)])
 
     def test_a_reader_that_has_gone_is_borne(self) -> None:
-        """The collector is restarted, and the old pipe is broken. The program goes on."""
+        """Guards against errors when the collector is restarted and the old pipe is broken."""
         reader, writer = os.pipe()
         sink = PipeSink(writer)
         os.close(reader)
@@ -61,7 +63,7 @@
 
 
 class SinkToTest(unittest.TestCase):
-    """Which sink a stream gets."""
+    """Selection of the sink for a stream."""
 
     def test_streams_that_take_everything_are_written_directly(self) -> None:
         stream = io.StringIO()
--- a/fireflyfork/programs/tests/test_loop_report.py
+++ b/fireflyfork/programs/tests/test_loop_report.py
@@ -1,4 +1,4 @@
-"""What an instance says of its processor time, its calls to the store and their bytes."""
+"""Reports of an instance's processor time, store calls and transferred bytes."""
 
 import unittest
 
@@ -15,7 +15,7 @@
 
 
 class LoopReportTest(unittest.TestCase):
-    """Reports over time."""
+    """Log lines and metrics over several reports."""
 
     def setUp(self) -> None:
         self.used = 0.0
@@ -40,7 +40,7 @@
         trio.run(main)
 
     def test_each_line_tells_of_its_own_seconds(self) -> None:
-        """Guards against sums that are added up again by whoever reads the lines."""
+        """Guards against cumulative values, which readers of the lines would add up again."""
         self._work(1.5)
         self.report.report(1.0)
         self._work(0.5)
@@ -66,7 +66,7 @@
         self.assertEqual(first["lag_ms"], 250)
 
     def test_little_used_activities_are_added_up(self) -> None:
-        """Guards against lines that grow with the activities there are."""
+        """Guards against lines that grow with the number of activities."""
         for number in range(30):
             self._work(1.0 + number, f"activity {number}")
         self.report.report(1.0)
@@ -76,7 +76,7 @@
         self.assertEqual(sum(spent.values()), 1000 * self.used)
 
     def test_the_account_reads_the_line(self) -> None:
-        """Guards against a line whose fields the command looks for in vain."""
+        """Guards against log fields with names that the ``account`` command doesn't read."""
         self._work(1.5)
         self.report.report(1.0)
         (account,) = account_loops([line(10.0, "loop time", **self.lines[0])]).values()
--- a/fireflyfork/programs/tests/test_queue_keeper.py
+++ b/fireflyfork/programs/tests/test_queue_keeper.py
@@ -1,4 +1,4 @@
-"""Which configuration an instance has in force."""
+"""The version of the configuration that an instance has in force."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -39,7 +39,7 @@
 
 
 class QueueKeeperTest(unittest.TestCase):
-    """Newer versions come into force in time, older ones never again."""
+    """Newer versions come into force in time, and older ones never replace them."""
 
     def test_a_change_is_in_force_within_a_second(self) -> None:
         async def body(store: StandInStore, versions: list[int]) -> None:
@@ -51,8 +51,8 @@
         _play(body)
 
     def test_the_log_tells_how_long_its_answer_took_and_how_large_it_is(self) -> None:
-        """Guards against a configuration that came late, of which nobody can tell whether it was asked for late
-        or long on its way.
+        """Guards against a late configuration whose log line doesn't show whether the request or
+        the answer was late.
         """
         lines: list[dict[str, object]] = []
         sink = logger.add(lambda line: lines.append(dict(line.record["extra"])))
@@ -76,8 +76,10 @@
         self.assertAlmostEqual(seconds, 0.7, delta=0.05)
 
     def test_an_older_version_does_not_come_back(self) -> None:
-        """Answers overtake each other, or an operator's tool writes an old file. Callers would be
-        sent to executors that have been taken out of service.
+        """Guards against an older version replacing a newer one.
+
+        Answers may arrive out of order, or an operator's tool may write an old file. Callers would
+        then be sent to executors that were taken out of service.
         """
 
         async def body(store: StandInStore, versions: list[int]) -> None:
@@ -101,7 +103,10 @@
         _play(body)
 
     def test_an_instance_that_hears_of_no_change_asks_seldom(self) -> None:
-        """The store's operators pay for each call, and every instance of the fleet makes these."""
+        """Guards against frequent requests while nothing changes.
+
+        The store's operators pay for each call, and every instance of the fleet makes these calls.
+        """
 
         async def body(store: StandInStore, versions: list[int]) -> None:
             store.put(CONFIGURATION_KEY, _configuration(7))
@@ -113,8 +118,10 @@
         _play(body)
 
     def test_a_version_is_not_missed_while_the_store_is_away_or_forgets(self) -> None:
-        """The store is away when the operator writes, and has dropped its history when it is back. An
-        instance that only waited for the next change would stay behind until there is one.
+        """Guards against a version that is missed because of an outage and lost history.
+
+        The store is away when the operator writes, and has dropped its history when it is back. An
+        instance that only waited for the next change would have an old version until that change.
         """
 
         async def body(store: StandInStore, versions: list[int]) -> None:
--- a/fireflyfork/programs/tests/test_replica_follower.py
+++ b/fireflyfork/programs/tests/test_replica_follower.py
@@ -1,7 +1,7 @@
-"""A configuration that goes on from instance to instance.
+"""Distribution of a configuration from instance to instance.
 
-The pattern: a head that follows the store, and instances of its failure domain that follow it, while the head,
-the store or the way between them fails.
+A head follows the store, and the instances of its failure domain follow the head, while the head,
+the store or the link between them fails.
 """
 
 import unittest
@@ -24,11 +24,11 @@
 SOON_SECONDS = 0.3
 MEMBERS = 8
 PHASES = 8
-"""Of the questions that are under way when something happens."""
+"""Number of different times, within the wait of the pending requests, at which an event occurs."""
 
 
 async def _domain(fleet: Fleet) -> tuple[Follower, list[Follower]]:
-    """A head and the instances that follow it, with version 3 in force."""
+    """Start a head and instances that follow it, with version 3 in force."""
     fleet.configure(3)
     head = fleet.start(0, Given())
     members = [fleet.start(number, Given(0)) for number in range(1, 1 + MEMBERS)]
@@ -37,7 +37,9 @@
 
 
 async def _domain_of_two_heads(fleet: Fleet) -> tuple[list[Follower], list[Follower]]:
-    """A head, the one that follows it first, and instances that follow either, with version 3 in force."""
+    """Start a head, a second one that follows it, and instances that follow either, with version 3
+    in force.
+    """
     fleet.configure(3)
     heads = [fleet.start(0, Given()), fleet.start(1, Given(0))]
     members = [fleet.start(number, Given(0, 1)) for number in range(2, 2 + MEMBERS)]
@@ -46,7 +48,7 @@
 
 
 class ReplicaFollowerTest(unittest.TestCase):
-    """Changes are in force everywhere in time, from whomever they are heard."""
+    """Changes are in force everywhere in time, whichever upstream reports them."""
 
     def _all_hold(self, members: list[Follower], version: int) -> None:
         self.assertEqual([one.versions[-1] for one in members], [version] * len(members))
@@ -61,7 +63,9 @@
         play(body)
 
     def test_those_who_follow_an_instance_ask_the_store_nothing(self) -> None:
-        """Each instance read the whole configuration over the link between regions, and filled it."""
+        """Guards against a link between regions filled by instances that each read the whole
+        configuration.
+        """
 
         async def body(fleet: Fleet) -> None:
             head, members = await _domain(fleet)
@@ -74,7 +78,10 @@
         play(body)
 
     def test_a_change_is_in_force_in_time_while_the_head_goes(self) -> None:
-        """The head is killed, frozen or turned away by the store, just before or after a change."""
+        """Guards against a missed change when the head is killed, frozen or cut off from the store.
+
+        The head fails just before or just after the change.
+        """
         for how in ("killed", "frozen", "turned away"):
             for lead in (-0.01, 0.01, 0.4):
                 with self.subTest(how, lead=lead):
@@ -101,7 +108,9 @@
         play(body)
 
     def test_an_upstream_that_is_behind_takes_nothing_back(self) -> None:
-        """A head that the store turns away still holds an old version, and routes that were removed."""
+        """Guards against an outdated head that restores an old version with routes that were
+        removed.
+        """
 
         async def body(fleet: Fleet) -> None:
             head, members = await _domain(fleet)
@@ -114,7 +123,9 @@
         play(body)
 
     def test_who_can_not_know_of_a_change_says_so(self) -> None:
-        """Neither the head nor the store is reached: what isn't known here may have been added since."""
+        """Guards against an instance that claims to be current while it reaches neither the head
+        nor the store.
+        """
 
         async def body(fleet: Fleet) -> None:
             head, members = await _domain(fleet)
@@ -126,7 +137,7 @@
         play(body)
 
     def test_an_answer_that_was_long_under_way_proves_nothing_of_now(self) -> None:
-        """An answer over a full link says that nothing newer is in force; since then something may be."""
+        """Guards against a delayed answer being taken as proof that no newer version is in force."""
 
         async def late(sender: NodeName, _receiver: NodeName, _size: int) -> None:
             if sender == "n-0":
@@ -146,7 +157,7 @@
         play(body)
 
     def test_instances_that_start_together_wait_for_their_head(self) -> None:
-        """All are restarted at once. Were they all to read from the store, they would fill the link."""
+        """Guards against a full link when all instances restart at once and read from the store."""
 
         async def body(fleet: Fleet) -> None:
             fleet.configure(3)
@@ -160,7 +171,9 @@
         play(body)
 
     def test_instances_far_from_the_store_wait_until_others_are_announced(self) -> None:
-        """Guards against a full link after all have lost power: nobody is announced any more when they start."""
+        """Guards against a full link after a power failure, when no instance is announced yet at
+        the start.
+        """
 
         async def body(fleet: Fleet) -> None:
             fleet.configure(3)
@@ -179,7 +192,7 @@
         play(body)
 
     def test_an_instance_far_from_the_store_starts_where_nobody_else_does(self) -> None:
-        """Guards against an instance that waits for others for ever."""
+        """Guards against an instance that waits for other instances forever."""
 
         async def body(fleet: Fleet) -> None:
             fleet.configure(3)
@@ -192,7 +205,7 @@
         play(body)
 
     def test_instances_start_without_a_head_that_is_gone(self) -> None:
-        """It is still announced when they start."""
+        """Guards against waiting for a head that has failed but is still announced."""
 
         async def body(fleet: Fleet) -> None:
             fleet.configure(3)
@@ -203,7 +216,7 @@
         play(body)
 
     def test_a_chain_of_heads_is_as_quick(self) -> None:
-        """The head of a far failure domain follows one near the store."""
+        """Guards against delays when the head of a far failure domain follows one near the store."""
 
         async def body(fleet: Fleet) -> None:
             fleet.configure(3)
@@ -221,7 +234,10 @@
         play(body)
 
     def test_instances_that_follow_each_other_turn_to_the_store(self) -> None:
-        """They saw different announcements. Each took the other's word for what is newest."""
+        """Guards against instances that follow each other and each consider the other one current.
+
+        This happens when they have seen different announcements.
+        """
 
         async def body(fleet: Fleet) -> None:
             fleet.configure(3)
@@ -235,7 +251,9 @@
         play(body)
 
     def test_what_the_operator_removes_goes_everywhere(self) -> None:
-        """A wave of upkeep that is withdrawn would go on at an owner that doesn't hear of it."""
+        """Guards against a withdrawn wave of upkeep that an owner continues because it misses the
+        removal.
+        """
 
         async def body(fleet: Fleet) -> None:
             _, members = await _domain(fleet)
@@ -251,7 +269,10 @@
         play(body)
 
     def test_a_better_instance_is_followed_once_it_is_there(self) -> None:
-        """When all start together the first one sees nobody of its failure domain, and chose one far away."""
+        """Guards against staying with a far upstream after a better one has appeared.
+
+        When all instances start together, the first one sees none of its own failure domain.
+        """
 
         async def body(fleet: Fleet) -> None:
             fleet.configure(3)
@@ -270,7 +291,7 @@
         play(body)
 
     def test_a_change_is_in_force_in_time_while_both_upstreams_go(self) -> None:
-        """Guards against two upstreams that are waited for one after the other, beyond the bound."""
+        """Guards against waits for two failed upstreams that together exceed the time bound."""
         for how in ("killed", "frozen", "turned away"):
             for number in range(PHASES):
                 with self.subTest(how, number=number):
@@ -294,7 +315,7 @@
         play(body)
 
     def test_changes_are_in_force_in_time_for_as_long_as_both_upstreams_are_cut_off(self) -> None:
-        """Guards against a return to upstreams that the store doesn't answer, time and again."""
+        """Guards against repeated returns to upstreams that the store doesn't answer."""
 
         async def body(fleet: Fleet) -> None:
             gone, members = await _domain_of_two_heads(fleet)
@@ -307,7 +328,9 @@
         play(body)
 
     def test_changes_are_heard_of_while_a_better_upstream_is_looked_for(self) -> None:
-        """Guards against an instance that is deaf while the store takes its time to list the others."""
+        """Guards against changes that are missed while the store takes long to list the other
+        instances.
+        """
 
         async def body(fleet: Fleet) -> None:
             fleet.configure(3)
@@ -324,7 +347,9 @@
         play(body)
 
     def test_upstreams_are_returned_to_though_the_store_lists_nobody(self) -> None:
-        """Guards against an instance that only the store has left, and that doesn't turn to those it knows."""
+        """Guards against an instance that is cut off from the store and doesn't return to its known
+        upstreams.
+        """
 
         async def body(fleet: Fleet) -> None:
             fleet.configure(3)
@@ -346,10 +371,12 @@
 
 
 class ReplicaAnswersTest(unittest.TestCase):
-    """What one replica tells, and when."""
+    """Content and timing of a replica's answers."""
 
     def test_a_change_that_took_longer_on_its_way_is_told_at_once(self) -> None:
-        """Guards against followers that hear of a change late, since it came later than the word before it."""
+        """Guards against followers that receive a change late because it took longer than the
+        preceding answer.
+        """
         replica = KeyReplica(lambda _: None)
         replica.note_known(Revision(7), 10.0)
         answers = ReplicaAnswers(replica, trio.current_time, 100.0)
--- a/fireflyfork/programs/tests/test_scheduler_node.py
+++ b/fireflyfork/programs/tests/test_scheduler_node.py
@@ -1,4 +1,4 @@
-"""What callers of an instance see while it stops."""
+"""Answers to callers of an instance while it stops."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -14,11 +14,11 @@
 
 JOB_ID = "00000000000000ff"
 IDLE_REAL_SECONDS = 0.01
-"""The virtual clock jumps once nothing has come over the sockets for so long."""
+"""The virtual clock advances after this time without data on the sockets."""
 SLOW_FACTOR = 500.0
-"""The store's answers take 2 s: longer than a stopping instance has left."""
+"""Makes the store's answers take 2 s, which is longer than a stopping instance has left."""
 SHORTLY = 0.2
-"""Seconds before or after the moment from which on an instance begins nothing more."""
+"""Seconds before or after the time from which a stopping instance starts no more requests."""
 
 
 def _play(body: Callable[[RunningNode], Awaitable[None]]) -> None:
@@ -30,18 +30,20 @@
 
 
 async def _stop_up_to(node: RunningNode, seconds: float) -> None:
-    """Signal the stop, and wait until so long before the last moments."""
+    """Signal the stop, and wait until ``seconds`` before the instance stops accepting requests."""
     node.stop.set()
     await trio.sleep(node.grace_seconds - CLOSE_MARGIN_SECONDS - seconds)
 
 
 class StoppingTest(unittest.TestCase):
-    """Planned work on an instance costs no caller an answer."""
+    """Every request is answered when an instance is stopped as planned."""
 
     def test_requests_under_way_are_answered_though_the_store_is_late(self) -> None:
-        """Shortly before a stopping instance ends, requests come over connections that are open, and the
-        store answers late: its link is full. The process ended while they waited. Their connections were
-        closed without an answer, and callers could not tell whether their jobs had been accepted.
+        """Guards against connections that are closed without an answer at the end of the process.
+
+        Requests arrive over open connections shortly before the end, and the store answers late
+        because its link is full. Without an answer, callers can't tell whether their jobs were
+        accepted.
         """
         for method, status in (("POST", 504), ("DELETE", 504), ("GET", 503)):
             with self.subTest(method):
@@ -58,8 +60,8 @@
                 _play(body)
 
     def test_requests_in_the_last_moments_are_refused_at_once(self) -> None:
-        """A request that comes over an open connection in the last moments may no longer be carried out
-        in time. The connection was closed under its caller.
+        """Guards against closing the connection of a request that can't be completed before the
+        end.
         """
 
         async def body(node: RunningNode) -> None:
@@ -75,8 +77,9 @@
         _play(body)
 
     def test_a_job_that_comes_in_parts_is_refused_before_the_end(self) -> None:
-        """The last part of a job isn't there when the instance ends. Its caller was cut off, though it
-        is certain that the job was not accepted.
+        """Guards against closing a connection before the body of a job has arrived completely.
+
+        The caller has to be told that the job wasn't accepted, which is certain in this case.
         """
 
         async def body(node: RunningNode) -> None:
@@ -89,8 +92,8 @@
         _play(body)
 
     def test_requests_are_carried_out_until_then(self) -> None:
-        """An instance that sent everybody away from the signal on would turn away callers whose new
-        connections the load balancer still sends to it.
+        """Guards against refusals from the stop signal on, while the load balancer still opens new
+        connections.
         """
 
         async def body(node: RunningNode) -> None:
