--- a/fireflyfork/programs/_recovery_reads.py
+++ b/fireflyfork/programs/_recovery_reads.py
@@ -57,7 +57,7 @@
 
 
 async def until_answered(what: str, call: Callable[[], Awaitable[_Answer]]) -> _Answer:
-    """Repeat a call to the store until it succeeds; ``what`` names it in the log."""
+    """Repeat a call to the store until it succeeds; ``name`` identifies it in the log."""
     while True:
         try:
             return await call()
--- a/fireflyfork/programs/_replica_follower.py
+++ b/fireflyfork/programs/_replica_follower.py
@@ -156,7 +156,7 @@
                 return
 
     async def _choose(self, otherwise: tuple[ReplicaPlace, ...]) -> tuple[ReplicaPlace, ...]:
-        """Return the upstreams, or ``otherwise`` if they can't be determined within
+        """Return the upstreams, or ``fallback`` if they can't be determined within
         ``CHOOSE_SECONDS``.
         """
         with trio.move_on_after(CHOOSE_SECONDS):
