--- a/fireflyfork/programs/_announcements.py
+++ b/fireflyfork/programs/_announcements.py
@@ -23,11 +23,10 @@
 FAR_STORE_SECONDS = 0.02
 """Round trips above this cross regions: they take 40 ms, compared to 5 ms within a region."""
 SHAKEN_SECONDS = 300.0
-"""How long the strength of an instance is reduced after it had to give up a service: a thin link
-remains thin.
+"""How long the strength of an instance is reduced after it had to give up a service.
 
-If this were shorter than the slowest recovery, equally slow instances would pass the service on
-forever, each before its recovery completes."""
+A thin link remains thin. If this were shorter than the slowest recovery, equally slow instances
+would pass the service on forever, each before its recovery completes."""
 SHAKEN_SHARE = 0.2
 """Factor of its strength during that time: it wins a service only when hardly any other instance
 can."""
@@ -151,9 +150,7 @@
         )
 
     async def run(self) -> None:
-        """Announce until cancelled. While the store is away no instance is announced, and none can
-        bid.
-        """
+        """Announce until cancelled. While the store is away, no instance can announce or bid."""
         lease: LeaseId | None = None
         announced: _Record | None = None
         while True:
--- a/fireflyfork/programs/_clocks.py
+++ b/fireflyfork/programs/_clocks.py
@@ -11,9 +11,7 @@
 
     @abstractmethod
     def now(self) -> float:
-        """Return seconds on a monotonic clock that includes the time during which the instance is
-        suspended.
-        """
+        """Return seconds on a monotonic clock that keeps running while the instance is suspended."""
 
     @abstractmethod
     def unix_ms(self) -> int:
--- a/fireflyfork/programs/_executor_polls.py
+++ b/fireflyfork/programs/_executor_polls.py
@@ -28,8 +28,7 @@
 
 Each poll is paid for. The lease is five times longer, so it survives the loss of several polls."""
 DISTURBED_POLL_SECONDS = 0.5
-"""Poll wait for executors on which tasks without a reservation share the machine with serving
-tasks.
+"""Poll wait for executors that run both serving tasks and tasks without a reservation.
 
 Tail latency is measured over half a second, and a value above its target has to be noticed within
 the next half second."""
@@ -75,11 +74,10 @@
 A new owner has no connection to any executor, and has to renew its own lease in the store while it
 opens them."""
 ORPHANED_LEASE_SECONDS = 2.5
-"""Time without a confirmation of the ownership by the store after which the owner stops renewing
-leases.
+"""Time without confirmed ownership after which the owner stops renewing leases.
 
-If the owner went on, its successor could never tell when a task has ended on an executor that only
-the old owner reaches."""
+The store confirms the ownership. If the owner went on without it, its successor could never tell
+when a task has ended on an executor that only the old owner reaches."""
 
 
 @dataclass(slots=True, eq=False)
@@ -139,14 +137,14 @@
         self._ended = True
 
     def wake(self, executor: ExecutorState) -> None:
-        """Resume polling an executor that may be idle, because an order is being sent to it."""
+        """Resume polling an executor that may be idle."""
         event = self._wake.get(executor)
         if event is not None:
             event.set()
 
     def attend(self, executor: ExecutorState) -> None:
-        """Resume polling an executor unless it is idle, after a change of its registration or a
-        restart.
+        """Resume polling an executor unless it is idle, after its registration changed or it
+        restarted.
 
         Nothing else would resume a paused loop. A restarted executor would never be asked what it
         runs, and would get no task. An executor that left would stay known, and successors would
--- a/fireflyfork/programs/_job_requests.py
+++ b/fireflyfork/programs/_job_requests.py
@@ -33,11 +33,10 @@
 
 
 class JobRequests:
-    """Carries out requests about jobs. It holds no state: a job is stored before its caller gets
-    the answer.
+    """Carries out requests about jobs.
 
-    Every method raises StoreRefusedError if nothing was done, and StoreUnavailableError if the
-    outcome is unknown.
+    The class holds no state: a job is stored before its caller gets the answer. Every method raises
+    StoreRefusedError if nothing was done, and StoreUnavailableError if the outcome is unknown.
     """
 
     def __init__(self, store: CoordinationStore, changed: Callable[[], None]) -> None:
@@ -46,9 +45,7 @@
         self._changed = changed
 
     async def submit(self, spec: JobSpec) -> None:
-        """Accept a job. A job that was already accepted, by this or another instance, is left
-        unchanged.
-        """
+        """Accept a job. A job that any instance has accepted before is left unchanged."""
         self._refuse_without_store()
         await self._store_new(job_key(spec.job), encode_job(spec))
         logger.info("job accepted", job=spec.job, queue=spec.queue, tasks=spec.task_count)
--- a/fireflyfork/programs/_key_replica.py
+++ b/fireflyfork/programs/_key_replica.py
@@ -66,9 +66,7 @@
             self._put(item)
 
     def note_known(self, as_of: Revision, known_at: float) -> None:
-        """Record that all changes up to revision ``as_of`` and before time ``known_at`` are
-        included.
-        """
+        """Record that all changes up to ``as_of``, and before ``known_at``, are included."""
         # An answer with a newer revision may have taken longer to arrive than the answer before it,
         # so its ``known_at`` may be earlier.
         advanced = as_of > self._as_of or known_at > self._known_at
@@ -111,9 +109,7 @@
     """Answers requests of other instances from a replica."""
 
     def __init__(self, replica: KeyReplica, now: Callable[[], float], stale_seconds: float) -> None:
-        """Set up; followers leave this instance when the replica has been out of date for
-        ``stale_seconds``.
-        """
+        """Set up the source; ``stale_seconds`` is when followers leave an outdated replica."""
         self._replica = replica
         self._now = now
         self._stale_seconds = stale_seconds
@@ -140,8 +136,9 @@
         return self._replica.known_at <= question.mark and self._replica.as_of <= question.after
 
     def _patience(self) -> float:
-        """Return how long a request may wait, so that the follower learns in time that it has to
-        leave.
+        """Return the maximum wait of a request.
+
+        It lets the follower learn in time that it has to leave.
         """
         until_stale = self._replica.known_at + self._stale_seconds - self._now()
         return min(max(until_stale, SHORTEST_WAIT_SECONDS), LONGEST_WAIT_SECONDS)
--- a/fireflyfork/programs/_loop_report.py
+++ b/fireflyfork/programs/_loop_report.py
@@ -20,8 +20,9 @@
 
 
 class LoopReport:
-    """Logs a line every ``REPORT_SECONDS`` with the profile of the last second, and registers the
-    counters.
+    """Logs a line every ``REPORT_SECONDS`` with a profile of the loop, and registers counters.
+
+    The profile covers the last second of the interval.
     """
 
     def __init__(
--- a/fireflyfork/programs/_prefix_watch.py
+++ b/fireflyfork/programs/_prefix_watch.py
@@ -77,9 +77,7 @@
 
     @property
     def asked_at(self) -> float:
-        """When the last request was sent, by ``now``. The callbacks receive the answer to this
-        request.
-        """
+        """When the last request was sent, by ``now``. Callbacks receive the answer to this request."""
         return self._asked_at
 
     async def run(
--- a/fireflyfork/programs/_queue_keeper.py
+++ b/fireflyfork/programs/_queue_keeper.py
@@ -27,14 +27,13 @@
 from ._replica_follower import NoUpstreams, ReplicaFollower, Upstreams
 
 CURRENT_SHARE = 0.8
-"""Share of the time within which a change has to be in force, after which knowledge counts as
-outdated.
+"""Share of the time limit for changes after which this instance's knowledge counts as outdated.
 
-Answers arrive well within it unless they are large, the link is full, or the store doesn't answer.
-"""
+Within this limit, a change has to be in force. Answers arrive well within this share of it unless
+they are large, the link is full, or the store doesn't answer."""
 
 STALE_SHARE = 0.7
-"""Share of the same time after which an upstream with outdated knowledge is no longer followed."""
+"""Share of the same limit after which an upstream with outdated knowledge is no longer followed."""
 
 
 class QueueKeeper:
@@ -85,8 +84,7 @@
 
     @property
     def is_current(self) -> bool:
-        """Whether this instance has every version of the configuration that must be in force by
-        now.
+        """Whether this instance has every version that must be in force by now.
 
         A large version takes time over a full link, and an instance that gets no answer from the
         store receives none. Such an instance can't tell that a queue doesn't exist.
--- a/fireflyfork/programs/_replica_follower.py
+++ b/fireflyfork/programs/_replica_follower.py
@@ -1,5 +1,6 @@
-"""Keeps a replica of keys of the store up to date, from other instances if possible, otherwise from
-the store.
+"""Keeps a replica of keys of the store up to date, from other instances or the store.
+
+Other instances are followed if possible.
 """
 
 from __future__ import annotations
@@ -36,11 +37,10 @@
 
 When many instances start together, the first ones see only some of the others."""
 TURN_SECONDS = 0.4
-"""Time for the next upstream to report a newer state after one has failed; it may itself be
-switching to the store.
+"""Time for the next upstream to report a newer state after one has failed.
 
-The silence of an upstream is tolerated for most of the time within which a change has to be in
-force, but only once."""
+It may itself be switching to the store. The silence of an upstream is tolerated for most of the
+time within which a change has to be in force, but only once."""
 CHOOSE_SECONDS = 0.5
 """Maximum time to look for other upstreams, during which no upstream is asked for changes.
 
@@ -60,16 +60,12 @@
 
     @abstractmethod
     async def choose(self) -> tuple[ReplicaPlace, ...]:
-        """Return the upstreams in order of preference; an empty tuple means that the store is
-        followed.
-        """
+        """Return the upstreams in order of preference, or none to follow the store."""
 
     @property
     @abstractmethod
     def awaited(self) -> bool:
-        """Whether a starting instance may be announced soon that would be a better upstream than
-        the store.
-        """
+        """Whether a better upstream than the store may be announced soon by a starting instance."""
 
 
 class NoUpstreams(Upstreams):
@@ -156,9 +152,7 @@
                 return
 
     async def _choose(self, otherwise: tuple[ReplicaPlace, ...]) -> tuple[ReplicaPlace, ...]:
-        """Return the upstreams, or ``fallback`` if they can't be determined within
-        ``CHOOSE_SECONDS``.
-        """
+        """Return the upstreams, or ``fallback`` if they aren't known in ``CHOOSE_SECONDS``."""
         with trio.move_on_after(CHOOSE_SECONDS):
             self._chosen = await self._upstreams.choose()
             return self._chosen
--- a/fireflyfork/programs/_run_orders.py
+++ b/fireflyfork/programs/_run_orders.py
@@ -70,8 +70,9 @@
         self._limits.pop(executor, None)
 
     async def carry_out(self, command: RunCommand) -> None:
-        """Send one order and report its answer. Raises OwnershipLostError if it reports a higher
-        token.
+        """Send one order and report its answer to the scheduler.
+
+        Raises OwnershipLostError if the executor has seen a higher fencing token.
         """
         executor = command.run.executor
         limit = self._limits.setdefault(executor, trio.CapacityLimiter(CALLS_AT_ONCE))
--- a/fireflyfork/programs/_service_journal.py
+++ b/fireflyfork/programs/_service_journal.py
@@ -180,9 +180,7 @@
         return len(jobs) == MOST_REMOVED
 
     async def _left_behind(self, key: str, decode: Callable[[bytes], _Value]) -> _Value | None:
-        """Read what an earlier owner stored under a key, or None if the key is missing or not
-        readable.
-        """
+        """Return what an earlier owner stored under a key, or None if missing or not readable."""
         item = await self._store.read(key)
         if item is None:
             return None
@@ -195,9 +193,7 @@
             return None
 
     async def _gather(self) -> None:
-        """Wait for more changes to store, unless executors have to be stored before they can get
-        runs.
-        """
+        """Wait for more changes, unless executors have to be stored before they can get runs."""
         with trio.move_on_after(GATHER_SECONDS):
             while not self._scheduler.executors_changed:
                 await self._changed.wait()
--- a/fireflyfork/programs/_service_lease.py
+++ b/fireflyfork/programs/_service_lease.py
@@ -58,8 +58,9 @@
 
     @property
     def token(self) -> FencingToken:
-        """Fencing token: executors obey the highest one. Revisions of the store rise with each
-        change of owner.
+        """Fencing token, which rises with each change of owner. Executors obey the highest one.
+
+        It is a revision of the store.
         """
         return FencingToken(self.owner_revision)
 
--- a/fireflyfork/programs/_service_owner.py
+++ b/fireflyfork/programs/_service_owner.py
@@ -47,16 +47,14 @@
 The lease has to outlast a change of owner, about 2 s, and an outage of the store of 4 or 5 s. Tasks
 on an executor that is cut off can't run elsewhere before it ends."""
 LEASE_SHARE = 0.95
-"""Share of the platform's longest lease that is used if that lease is shorter than
-``LEASE_SECONDS``."""
+"""Limits the lease to this share of the platform's longest lease."""
 UNHEARD_MARGIN_SECONDS = 0.5
 """Margin for the clocks of executors, which may be 2% slow."""
 HAND_OVER_SECONDS = 0.6
 """Time to store pending changes before a planned hand-over: several writes of 5 ms each."""
 CLEANUP_SECONDS = 10.0
 RETENTION_MARGIN_SECONDS = 180.0
-"""Time for which jobs that are over stay in the store, in addition to the time for which their
-state must be readable.
+"""Extra time for which jobs that are over stay in the store after their state must be readable.
 
 It allows for clock differences and late repeats of requests. The jobs are then removed, a few every
 ten seconds; otherwise each new owner would read more of them."""
@@ -186,9 +184,7 @@
             self.kick()
 
     async def run(self) -> None:
-        """Recover and work until the ownership is lost, recovery is cancelled, or ``resign`` is
-        called.
-        """
+        """Recover and work until ownership or recovery is given up, or ``resign`` is called."""
         try:
             async with trio.open_nursery() as nursery:
                 with trio.CancelScope() as recovery:
--- a/fireflyfork/programs/_succession.py
+++ b/fireflyfork/programs/_succession.py
@@ -73,9 +73,7 @@
                 return
 
     async def follow_others(self, resign: Callable[[], Awaitable[None]]) -> None:
-        """Use other instances as relays, and resign once one of them could do this owner's work far
-        better.
-        """
+        """Use other instances as relays. Resign once one of them could do the work far better."""
         self._use_relays(await self._announced())
         while True:
             await trio.sleep(HAND_OVER_CHECK_SECONDS)
@@ -87,9 +85,7 @@
             self._use_relays(others)
 
     async def _announced(self) -> list[Standing]:
-        """Return the announcements of all instances, or an empty list while the store doesn't
-        answer.
-        """
+        """Return all instances' announcements, or an empty list if the store doesn't answer."""
         try:
             return await self._announcements.others()
         except StoreError as error:
--- a/fireflyfork/programs/_turns.py
+++ b/fireflyfork/programs/_turns.py
@@ -25,9 +25,7 @@
     """
 
     def __init__(self, at_once: int, loop_time: LoopTime) -> None:
-        """Allow ``at_once`` concurrent calls; ``loop_time`` distinguishes a late loop from a late
-        answer.
-        """
+        """Allow ``max_concurrent`` calls. ``loop_time`` tells a late loop from a late answer."""
         self._limit = trio.CapacityLimiter(at_once)
         self._loop_time = loop_time
 
--- a/fireflyfork/programs/_work_intake.py
+++ b/fireflyfork/programs/_work_intake.py
@@ -51,8 +51,9 @@
         self._kick = kick
 
     def watch(self) -> PrefixWatch:
-        """Return a watch that passes changes to the scheduler. Its ``run`` raises
-        OwnershipLostError.
+        """Return a watch that passes changes to the scheduler.
+
+        The watch raises OwnershipLostError from its ``run`` method.
         """
         return PrefixWatch(
             self._store,
--- a/fireflyfork/programs/tests/test_announcements.py
+++ b/fireflyfork/programs/tests/test_announcements.py
@@ -47,8 +47,9 @@
     """Detection of whether the store is in another region."""
 
     def test_a_freeze_makes_no_instance_far(self) -> None:
-        """Guards against an instance that considers the store far after a suspension, and follows
-        an instance that follows it.
+        """Guards against an instance that considers the store far after a suspension.
+
+        It would then follow an instance that follows it.
         """
 
         async def body(_: StandInStore, clock: _Stalling, announcements: Announcements) -> None:
--- a/fireflyfork/programs/tests/test_job_requests.py
+++ b/fireflyfork/programs/tests/test_job_requests.py
@@ -75,10 +75,9 @@
         _play(body)
 
     def test_an_instance_that_the_store_does_not_answer_refuses_at_once(self) -> None:
-        """Guards against callers that wait for a timeout of an instance that is cut off from the
-        store.
+        """Guards against callers that wait for an instance that is cut off from the store.
 
-        They could get an answer from another instance, which the store still answers.
+        They would wait for a timeout, although the store still answers another instance.
         """
 
         async def body(store: StandInStore, requests: JobRequests) -> None:
--- a/fireflyfork/programs/tests/test_job_service.py
+++ b/fireflyfork/programs/tests/test_job_service.py
@@ -56,8 +56,9 @@
         _play(body, THIN_MBPS)
 
     def test_not_while_the_store_does_not_answer(self) -> None:
-        """Guards against 404 from an instance that is cut off from the store and can't receive new
-        versions.
+        """Guards against 404 from an instance that is cut off from the store.
+
+        Such an instance can't receive new versions.
         """
 
         async def body(store: StandInStore, instance: CallerInstance) -> None:
--- a/fireflyfork/programs/tests/test_late_loop.py
+++ b/fireflyfork/programs/tests/test_late_loop.py
@@ -75,14 +75,13 @@
 
 
 class LateLoopTest(unittest.TestCase):
-    """Guards against an owner that attributes its own lateness to its executors and makes more
-    calls because of it.
+    """Guards against an owner that attributes its own lateness to its executors.
+
+    It would make more calls because of it.
     """
 
     def test_a_stall_makes_no_executor_suspect(self) -> None:
-        """Guards against probes and lost leases after the owner had no processor time for one
-        second.
-        """
+        """Guards against probes and lost leases after one second without processor time."""
         counts = _play(busy=1.0, idle=0.0, stall_at=20.5)
         self.assertEqual((counts.silent, counts.fresh_polls), (0, 0))
 
@@ -96,8 +95,9 @@
                 self.assertLessEqual(counts.polls, punctual.polls)
 
     def test_an_owner_that_is_far_behind_asks_its_executors_half_as_often(self) -> None:
-        """Guards against polls that overload the owner of too many executors, until it renews no
-        lease in time and all runs lapse at once.
+        """Guards against polls that overload the owner of too many executors.
+
+        The owner would then renew no lease in time, and all runs would lapse at once.
         """
         punctual = _play(busy=0.0, idle=0.0)
         counts = _play(busy=0.7, idle=0.2)
--- a/fireflyfork/programs/tests/test_many_starts.py
+++ b/fireflyfork/programs/tests/test_many_starts.py
@@ -74,7 +74,5 @@
     """Guards against an owner that falls behind and, because of that, sends all starts again."""
 
     def test_starts_that_wait_for_their_owner_are_neither_void_nor_lapse(self) -> None:
-        """Guards against starts whose deadline or lease ends before their owner has sent or renewed
-        them.
-        """
+        """Guards against starts whose deadline or lease ends before they are sent or renewed."""
         self.assertEqual(_play(), (TASKS, TASKS, 0))
--- a/fireflyfork/programs/tests/test_prefix_watch.py
+++ b/fireflyfork/programs/tests/test_prefix_watch.py
@@ -13,10 +13,9 @@
 
 
 def _follow(gather_seconds: float) -> tuple[int, float]:
-    """Return the store calls in ten seconds with 20 writes per second, and the longest delay of a
-    write.
+    """Return the number of store calls and the longest delay of a report, in seconds.
 
-    The delay is in seconds from the write to its report.
+    A key is written 20 times per second for ten seconds.
     """
 
     async def main() -> tuple[int, float]:
--- a/fireflyfork/programs/tests/test_probes.py
+++ b/fireflyfork/programs/tests/test_probes.py
@@ -106,9 +106,7 @@
     """Executors that are probed while a poll is late."""
 
     def test_executors_that_hang_do_not_keep_probes_from_others(self) -> None:
-        """Guards against one failed connection that makes a healthy executor unavailable for
-        seconds.
-        """
+        """Guards against one failed connection that makes a healthy executor unusable for seconds."""
         answered: list[float] = []
         names = [*(f"i-{number}" for number in range(HANGING)), SILENT]
 
@@ -126,9 +124,7 @@
         self.assertLess(answered[0], LATE_SECONDS + rounds * (PROBE_PATIENCE_SECONDS + 0.5))
 
     def test_executors_behind_a_frozen_relay_are_found_directly(self) -> None:
-        """Guards against a failure domain whose executors appear silent while their relay is
-        frozen.
-        """
+        """Guards against executors that appear silent only because their relay is frozen."""
         names = [f"i-{number}" for number in range(HANGING)]
 
         async def main() -> float:
--- a/fireflyfork/programs/tests/test_queue_keeper.py
+++ b/fireflyfork/programs/tests/test_queue_keeper.py
@@ -51,8 +51,9 @@
         _play(body)
 
     def test_the_log_tells_how_long_its_answer_took_and_how_large_it_is(self) -> None:
-        """Guards against a late configuration whose log line doesn't show whether the request or
-        the answer was late.
+        """Guards against a late configuration whose cause the log doesn't show.
+
+        The line must show whether the request or the answer was late.
         """
         lines: list[dict[str, object]] = []
         sink = logger.add(lambda line: lines.append(dict(line.record["extra"])))
--- a/fireflyfork/programs/tests/test_replica_follower.py
+++ b/fireflyfork/programs/tests/test_replica_follower.py
@@ -37,8 +37,9 @@
 
 
 async def _domain_of_two_heads(fleet: Fleet) -> tuple[list[Follower], list[Follower]]:
-    """Start a head, a second one that follows it, and instances that follow either, with version 3
-    in force.
+    """Start two heads and instances that follow either, with version 3 in force.
+
+    The second head follows the first.
     """
     fleet.configure(3)
     heads = [fleet.start(0, Given()), fleet.start(1, Given(0))]
@@ -63,9 +64,7 @@
         play(body)
 
     def test_those_who_follow_an_instance_ask_the_store_nothing(self) -> None:
-        """Guards against a link between regions filled by instances that each read the whole
-        configuration.
-        """
+        """Guards against a full link because each instance reads the whole configuration."""
 
         async def body(fleet: Fleet) -> None:
             head, members = await _domain(fleet)
@@ -108,9 +107,7 @@
         play(body)
 
     def test_an_upstream_that_is_behind_takes_nothing_back(self) -> None:
-        """Guards against an outdated head that restores an old version with routes that were
-        removed.
-        """
+        """Guards against an outdated head that restores an old version with removed routes."""
 
         async def body(fleet: Fleet) -> None:
             head, members = await _domain(fleet)
@@ -123,9 +120,7 @@
         play(body)
 
     def test_who_can_not_know_of_a_change_says_so(self) -> None:
-        """Guards against an instance that claims to be current while it reaches neither the head
-        nor the store.
-        """
+        """Guards against claiming to be current without reaching the head or the store."""
 
         async def body(fleet: Fleet) -> None:
             head, members = await _domain(fleet)
@@ -171,9 +166,7 @@
         play(body)
 
     def test_instances_far_from_the_store_wait_until_others_are_announced(self) -> None:
-        """Guards against a full link after a power failure, when no instance is announced yet at
-        the start.
-        """
+        """Guards against a full link after a power failure, when no instance is announced."""
 
         async def body(fleet: Fleet) -> None:
             fleet.configure(3)
@@ -251,9 +244,7 @@
         play(body)
 
     def test_what_the_operator_removes_goes_everywhere(self) -> None:
-        """Guards against a withdrawn wave of upkeep that an owner continues because it misses the
-        removal.
-        """
+        """Guards against an owner that continues a withdrawn wave of upkeep."""
 
         async def body(fleet: Fleet) -> None:
             _, members = await _domain(fleet)
@@ -328,9 +319,7 @@
         play(body)
 
     def test_changes_are_heard_of_while_a_better_upstream_is_looked_for(self) -> None:
-        """Guards against changes that are missed while the store takes long to list the other
-        instances.
-        """
+        """Guards against missed changes while the store takes long to list the instances."""
 
         async def body(fleet: Fleet) -> None:
             fleet.configure(3)
@@ -347,9 +336,7 @@
         play(body)
 
     def test_upstreams_are_returned_to_though_the_store_lists_nobody(self) -> None:
-        """Guards against an instance that is cut off from the store and doesn't return to its known
-        upstreams.
-        """
+        """Guards against a follower that is cut off from the store and ignores known upstreams."""
 
         async def body(fleet: Fleet) -> None:
             fleet.configure(3)
@@ -374,9 +361,7 @@
     """Content and timing of a replica's answers."""
 
     def test_a_change_that_took_longer_on_its_way_is_told_at_once(self) -> None:
-        """Guards against followers that receive a change late because it took longer than the
-        preceding answer.
-        """
+        """Guards against late reports of a change that took longer than the preceding answer."""
         replica = KeyReplica(lambda _: None)
         replica.note_known(Revision(7), 10.0)
         answers = ReplicaAnswers(replica, trio.current_time, 100.0)
--- a/fireflyfork/programs/tests/test_scheduler_node.py
+++ b/fireflyfork/programs/tests/test_scheduler_node.py
@@ -39,7 +39,7 @@
     """Every request is answered when an instance is stopped as planned."""
 
     def test_requests_under_way_are_answered_though_the_store_is_late(self) -> None:
-        """Guards against connections that are closed without an answer at the end of the process.
+        """Guards against connections closed without an answer at the end of the process.
 
         Requests arrive over open connections shortly before the end, and the store answers late
         because its link is full. Without an answer, callers can't tell whether their jobs were
@@ -60,8 +60,9 @@
                 _play(body)
 
     def test_requests_in_the_last_moments_are_refused_at_once(self) -> None:
-        """Guards against closing the connection of a request that can't be completed before the
-        end.
+        """Guards against closing the connection of a request that arrives too late.
+
+        It can't be completed before the process ends, so it must be refused.
         """
 
         async def body(node: RunningNode) -> None:
@@ -92,8 +93,9 @@
         _play(body)
 
     def test_requests_are_carried_out_until_then(self) -> None:
-        """Guards against refusals from the stop signal on, while the load balancer still opens new
-        connections.
+        """Guards against refusals that begin with the stop signal.
+
+        The load balancer still opens new connections at that time.
         """
 
         async def body(node: RunningNode) -> None:
--- a/fireflyfork/programs/tests/test_service_journal.py
+++ b/fireflyfork/programs/tests/test_service_journal.py
@@ -158,9 +158,9 @@
     """Consistency of ends and stored progress."""
 
     def test_an_end_is_forgotten_only_when_it_is_stored(self) -> None:
-        """Guards against forgetting an end that isn't stored, whose task the next owner would run
-        again.
+        """Guards against forgetting an end that isn't stored.
 
-        Writes are refused, lost, late or repeated, or the owner is stopped during one.
+        The next owner would run its task again. Writes are refused, lost, late or repeated, or the
+        owner is stopped during one.
         """
         run_state_machine_as_test(JournalMachine, settings=settings(max_examples=EXAMPLES))
--- a/fireflyfork/programs/tests/test_service_lease.py
+++ b/fireflyfork/programs/tests/test_service_lease.py
@@ -30,8 +30,7 @@
     """An answer that is read late doesn't show that the lease has ended."""
 
     def test_an_owner_whose_loop_is_late_keeps_its_service(self) -> None:
-        """Guards against an owner that doesn't renew its lease while its own loop hasn't read the
-        last answer.
+        """Guards against an owner that waits for its own late loop before it renews its lease.
 
         The service would pass from one instance to the next, each with the same load.
         """
--- a/fireflyfork/programs/tests/test_service_owner.py
+++ b/fireflyfork/programs/tests/test_service_owner.py
@@ -13,8 +13,9 @@
 
 
 class LostOwnershipTest(unittest.TestCase):
-    """Jobs that are accepted after a change of owner belong to the successor, which starts them
-    without confirmation.
+    """Jobs that are accepted after a change of owner belong to the successor only.
+
+    The successor starts them without confirmation.
     """
 
     def test_an_owner_that_was_replaced_while_it_recovered_starts_nothing(self) -> None:
