--- a/fireflyfork/programs/_replica_follower.py
+++ b/fireflyfork/programs/_replica_follower.py
@@ -182,8 +182,8 @@
     ) -> tuple[ReplicaPlace, ...]:
         """Follow an upstream for as long as it answers and is itself up to date.
 
-        The first answer, and the first that is up to date, must arrive within ``patience`` seconds.
-        Returns the upstreams to follow instead if there is a better one.
+        The first answer, and the first that is up to date, must arrive within
+        ``first_answer_seconds``. Returns the upstreams to follow instead if there is a better one.
         """
         logger.info("following an instance", upstream=place.node)
         self._upstream = place.node
