--- a/fireflyfork/programs/_replica_follower.py
+++ b/fireflyfork/programs/_replica_follower.py
@@ -224,8 +224,8 @@
     def _take(self, answer: ReplicaAnswer) -> None:
         """Apply an answer to the replica.
 
-        The answer may have been delayed. Its content was valid, at the latest, once the request had
-        waited at the upstream for the reported time since it was sent.
+        The answer may have been delayed. Its content is therefore assumed to have been current only
+        until the send time of the request plus the time that the request waited at the upstream.
         """
         self._replica.take_answer(answer)
         told_at = min(self._asked_at + answer.waited_seconds, self._now())
