--- a/fireflyfork/programs/_announced_upstreams.py
+++ b/fireflyfork/programs/_announced_upstreams.py
@@ -20,17 +20,19 @@
         self._known: list[Standing] = []
 
     @property
-    def awaited(self) -> bool:
+    def worth_waiting_for(self) -> bool:
         """See Upstreams. For an instance near the store, no upstream is better than the store."""
         return not self._announcements.own.near_store
 
     async def choose(self) -> tuple[ReplicaPlace, ...]:
         """See Upstreams. While the store doesn't answer, the previous announcements are used."""
         try:
-            self._known = await self._announcements.others()
+            self._known = await self._announcements.list_instances()
         except StoreError as error:
             logger.debug("other instances not listed", error=str(error))
         chosen = choose_upstreams(self._announcements.own, self._known)
         return tuple(
-            ReplicaPlace(one.node, one.replica) for one in chosen if one.replica is not None
+            ReplicaPlace(instance.node, instance.replica)
+            for instance in chosen
+            if instance.replica is not None
         )
--- a/fireflyfork/programs/_announcements.py
+++ b/fireflyfork/programs/_announcements.py
@@ -22,12 +22,12 @@
 RENEW_SECONDS = 2.0
 FAR_STORE_SECONDS = 0.02
 """Round trips above this cross regions: they take 40 ms, compared to 5 ms within a region."""
-SHAKEN_SECONDS = 300.0
+FAILURE_PENALTY_SECONDS = 300.0
 """How long the strength of an instance is reduced after it had to give up a service.
 
 A thin link remains thin. If this were shorter than the slowest recovery, equally slow instances
 would pass the service on forever, each before its recovery completes."""
-SHAKEN_SHARE = 0.2
+FAILURE_PENALTY_FACTOR = 0.2
 """Factor of its strength during that time: it wins a service only when hardly any other instance
 can."""
 
@@ -74,18 +74,18 @@
         self._replica = replica
         self._near = True
         self._near_measured = False
-        self._seemed_far = False
-        self._shaken_until = 0.0
+        self._last_was_far = False
+        self._penalized_until = 0.0
         self._changed = trio.Event()
 
     @property
     def own(self) -> Standing:
         """This instance with its current strength, reduced after a failure."""
-        share = SHAKEN_SHARE if self.shaken else 1.0
-        return replace(self.capable, strength=share * self.capable.strength)
+        share = FAILURE_PENALTY_FACTOR if self.penalized else 1.0
+        return replace(self.unpenalized, strength=share * self.unpenalized.strength)
 
     @property
-    def capable(self) -> Standing:
+    def unpenalized(self) -> Standing:
         """This instance with its full strength, regardless of failures."""
         return Standing(
             self._node,
@@ -97,9 +97,9 @@
         )
 
     @property
-    def shaken(self) -> bool:
+    def penalized(self) -> bool:
         """Whether this instance had to give up a service in the last ``FAILURE_PENALTY_SECONDS``."""
-        return self._clock.now() < self._shaken_until
+        return self._clock.now() < self._penalized_until
 
     def note_round_trip(self, seconds: float) -> None:
         """Record the duration in seconds of a small call to the store.
@@ -109,9 +109,9 @@
         first may include a time during which this instance itself was suspended.
         """
         near = seconds <= FAR_STORE_SECONDS
-        doubtful = self._near_measured and self._near and not near and not self._seemed_far
-        self._seemed_far = not near
-        if doubtful:
+        unconfirmed = self._near_measured and self._near and not near and not self._last_was_far
+        self._last_was_far = not near
+        if unconfirmed:
             return
         if near != self._near or not self._near_measured:
             self._near = near
@@ -120,15 +120,15 @@
 
     def note_failure(self) -> None:
         """Record that this instance couldn't do an owner's work."""
-        self._shaken_until = self._clock.now() + SHAKEN_SECONDS
+        self._penalized_until = self._clock.now() + FAILURE_PENALTY_SECONDS
         self._changed.set()
 
-    async def others(self) -> list[Standing]:
+    async def list_instances(self) -> list[Standing]:
         """Return the announcements of all instances, including this one. Raises StoreError."""
-        begun = self._clock.now()
+        sent_at = self._clock.now()
         listing = await self._store.list(INSTANCE_PREFIX)
-        self.note_round_trip(self._clock.now() - begun)
-        found = []
+        self.note_round_trip(self._clock.now() - sent_at)
+        standings = []
         for item in listing.items:
             try:
                 record = msgspec.json.decode(item.value, type=_Record)
@@ -136,8 +136,8 @@
                 logger.error("announcement not readable", key=item.key, error=str(error))
                 continue
             node = NodeName(item.key.removeprefix(INSTANCE_PREFIX))
-            found.append(_standing(node, record))
-        return found
+            standings.append(_standing(node, record))
+        return standings
 
     def _record(self) -> _Record:
         own = self.own
--- a/fireflyfork/programs/_turns.py
+++ b/fireflyfork/programs/_call_limiter.py
@@ -10,33 +10,33 @@
 
 from ..adapters import LoopTime
 
-TURN_SECONDS = 0.2
+SLOT_SECONDS = 0.2
 """Loop time after which a call no longer counts towards the limit.
 
 A call that takes longer is waiting for its peer or its link, not for this process, so the next call
 may start."""
 
 
-class Turns:
+class CallLimiter:
     """Limits the number of concurrent calls; waiting calls start in order.
 
     Concurrent calls all finish when the last one does. If there are many, each finishes too late,
     and the loop has long iterations during which nothing else runs.
     """
 
-    def __init__(self, at_once: int, loop_time: LoopTime) -> None:
+    def __init__(self, max_concurrent: int, loop_time: LoopTime) -> None:
         """Allow ``max_concurrent`` calls. ``loop_time`` tells a late loop from a late answer."""
-        self._limit = trio.CapacityLimiter(at_once)
+        self._limit = trio.CapacityLimiter(max_concurrent)
         self._loop_time = loop_time
 
     @asynccontextmanager
-    async def turn(self) -> AsyncIterator[None]:
+    async def acquire_slot(self) -> AsyncIterator[None]:
         """Wait for a slot, and release it at the end of the block or after ``SLOT_SECONDS``."""
         borrower = object()
         await self._limit.acquire_on_behalf_of(borrower)
-        give_back = partial(self._limit.release_on_behalf_of, borrower)
-        end = self._loop_time.after(TURN_SECONDS, give_back)
+        release = partial(self._limit.release_on_behalf_of, borrower)
+        timer = self._loop_time.after(SLOT_SECONDS, release)
         try:
             yield
         finally:
-            end.go_off()
+            timer.go_off()
--- a/fireflyfork/programs/_decision_log.py
+++ b/fireflyfork/programs/_decision_log.py
@@ -17,9 +17,9 @@
 from ._decision_metrics import count_decision
 from ._metrics import Metrics
 
-LINES_A_SECOND = 400
+MAX_LINES_PER_SECOND = 400
 """A line takes about 50 us of an instance's fraction of a core."""
-SMALLEST_SHARE = 1 / 64
+MIN_SHARE = 1 / 64
 GROWTH_SECONDS = 20.0
 """Minimum time between a change of the sample and its next growth.
 
@@ -44,13 +44,13 @@
         self._clock = clock
         self._service = service
         self._metrics = metrics
-        self._share = 1.0
-        self._changed_at = clock.now()
+        self._sampled_share = 1.0
+        self._share_changed_at = clock.now()
         self._second = 0
         self._decided = 0
         """Decisions in this second, logged or not."""
         self._written = 0
-        self._left_out = 0
+        self._skipped = 0
 
     def write(self, notes: list[Note]) -> None:
         """Count all notes, and log those in the sample up to the limit."""
@@ -58,18 +58,18 @@
             count_decision(self._metrics, note)
             self._begin_second()
             self._decided += 1
-            if self._is_sampled(note) and self._written < LINES_A_SECOND:
+            if self._is_sampled(note) and self._written < MAX_LINES_PER_SECOND:
                 self._written += 1
                 logger.info(_MESSAGES[type(note)], service=self._service, **_fields(note))
             else:
-                self._left_out += 1
+                self._skipped += 1
 
     def _is_sampled(self, note: Note) -> bool:
         match note:
             case TaskSent() | RunEnded():
-                return in_sample(job_of_task(note.task), self._share)
+                return in_sample(job_of_task(note.task), self._sampled_share)
             case JobOver():
-                return in_sample(note.job, self._share)
+                return in_sample(note.job, self._sampled_share)
             case ExecutorGivenUp():
                 return True
 
@@ -77,30 +77,32 @@
         second = int(self._clock.now())
         if second == self._second:
             return
-        if self._left_out:
+        if self._skipped:
             self._adjust_share()
             logger.warning(
                 "decisions not logged",
                 service=self._service,
-                lines=self._left_out,
-                share=self._share,
+                lines=self._skipped,
+                share=self._sampled_share,
             )
-        self._second, self._decided, self._written, self._left_out = second, 0, 0, 0
+        self._second, self._decided, self._written, self._skipped = second, 0, 0, 0
 
     def _adjust_share(self) -> None:
         """Adjust the share of jobs whose decisions are logged from now on."""
         now = self._clock.now()
-        if self._decided * self._share > LINES_A_SECOND:
-            self._share = max(SMALLEST_SHARE, self._share / 2)
-            self._changed_at = now
+        if self._decided * self._sampled_share > MAX_LINES_PER_SECOND:
+            self._sampled_share = max(MIN_SHARE, self._sampled_share / 2)
+            self._share_changed_at = now
         elif (
-            2 * self._share * self._decided < LINES_A_SECOND
-            and now - self._changed_at >= GROWTH_SECONDS
+            2 * self._sampled_share * self._decided < MAX_LINES_PER_SECOND
+            and now - self._share_changed_at >= GROWTH_SECONDS
         ):
-            self._share = min(1.0, 2 * self._share)
-            self._changed_at = now
+            self._sampled_share = min(1.0, 2 * self._sampled_share)
+            self._share_changed_at = now
 
 
 def _fields(note: Note) -> dict[str, object]:
     values = {field.name: getattr(note, field.name) for field in fields(note)}
-    return {name: one.value if isinstance(one, Enum) else one for name, one in values.items()}
+    return {
+        name: value.value if isinstance(value, Enum) else value for name, value in values.items()
+    }
--- a/fireflyfork/programs/_executor_polls.py
+++ b/fireflyfork/programs/_executor_polls.py
@@ -18,10 +18,10 @@
     Scheduler,
     Shed,
 )
+from ._call_limiter import CallLimiter
 from ._clocks import Clock
 from ._service_journal import OwnershipLostError, ServiceJournal
 from ._service_lease import Term
-from ._turns import Turns
 
 POLL_SECONDS = 1.0
 """How long the executor holds a poll open while no run ends.
@@ -43,37 +43,37 @@
 
 An executor lists an end again until it is stored, so an earlier poll would return at once. While
 the store is away, polls continue at this interval."""
-GATHER_SECONDS = 0.05
+END_BATCH_SECONDS = 0.05
 """Delay after ends of runs before the next poll, to receive several ends with one paid poll.
 
 The tasks of a step end close together. The delay costs a job a tenth of the smallest slack that its
 objective leaves."""
-FIRST_RETRY_SECONDS = 0.05
-LONGEST_RETRY_SECONDS = 0.8
-MOST_DOUBLINGS = 10
+MIN_RETRY_SECONDS = 0.05
+MAX_RETRY_SECONDS = 0.8
+MAX_RETRY_DOUBLINGS = 10
 """Limits the exponent of the retry delay, which would overflow a float during a long silence."""
-LATE_SECONDS = 0.6
+LATE_ANSWER_SECONDS = 0.6
 """Loop time after which an answer counts as late, in addition to the wait of the poll.
 
 A call takes 1 ms, or 45 ms to another region."""
-PATIENCE_SECONDS = 5.0
+POLL_TIMEOUT_SECONDS = 5.0
 """Timeout of a poll, as long as a lease.
 
 A late answer may list ends. If it were dropped, the owner would consider those runs lost and start
 their tasks a second time."""
-PROBE_PATIENCE_SECONDS = 1.5
+PROBE_TIMEOUT_SECONDS = 1.5
 """Timeout of a probe. It is short so that probes of other executors get their turn while the late
 poll continues."""
-PROBES_AT_ONCE = 24
+MAX_CONCURRENT_PROBES = 24
 """Maximum number of concurrent probes over all executors.
 
 Late answers are caused by a full link or a busy executor, and more calls would prolong either."""
-FIRST_POLLS_AT_ONCE = 64
+MAX_CONCURRENT_FIRST_POLLS = 64
 """Maximum number of concurrent first polls.
 
 A new owner has no connection to any executor, and has to renew its own lease in the store while it
 opens them."""
-ORPHANED_LEASE_SECONDS = 2.5
+MAX_UNCONFIRMED_SECONDS = 2.5
 """Time without confirmed ownership after which the owner stops renewing leases.
 
 The store confirms the ownership. If the owner went on without it, its successor could never tell
@@ -88,7 +88,7 @@
     in_time: bool = True
     """False once the answer is late."""
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
-    over: bool = False
+    finished: bool = False
     """Whether the poll was answered, given up, or made unnecessary by the answer to a probe."""
 
     def note_late(self) -> None:
@@ -107,8 +107,8 @@
         term: Term,
         clock: Clock,
         lease_seconds: float,
-        known_owner_at: Callable[[], float],
-        kick: Callable[[], None],
+        confirmed_owner_at: Callable[[], float],
+        request_dispatch: Callable[[], None],
         loop_time: LoopTime,
     ) -> None:
         """Initialize the polls of one term of ownership.
@@ -123,26 +123,26 @@
         self._term = term
         self._clock = clock
         self._lease_ms = int(lease_seconds * 1000)
-        self._known_owner_at = known_owner_at
-        self._kick = kick
+        self._confirmed_owner_at = confirmed_owner_at
+        self._request_dispatch = request_dispatch
         self._loop_time = loop_time
-        self._probes = trio.CapacityLimiter(PROBES_AT_ONCE)
-        self._first_polls = Turns(FIRST_POLLS_AT_ONCE, loop_time)
-        self._probed: set[ExecutorState] = set()
-        self._ended = False
-        self._wake: dict[ExecutorState, trio.Event] = {}
+        self._probe_limiter = trio.CapacityLimiter(MAX_CONCURRENT_PROBES)
+        self._first_poll_limiter = CallLimiter(MAX_CONCURRENT_FIRST_POLLS, loop_time)
+        self._probing: set[ExecutorState] = set()
+        self._stopped = False
+        self._wake_events: dict[ExecutorState, trio.Event] = {}
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Process no more answers: ends that executors list from now on are left to the next owner."""
-        self._ended = True
+        self._stopped = True
 
     def wake(self, executor: ExecutorState) -> None:
         """Resume polling an executor that may be idle."""
-        event = self._wake.get(executor)
+        event = self._wake_events.get(executor)
         if event is not None:
             event.set()
 
-    def attend(self, executor: ExecutorState) -> None:
+    def wake_unless_idle(self, executor: ExecutorState) -> None:
         """Resume polling an executor unless it is idle, after its registration changed or it
         restarted.
 
@@ -158,18 +158,18 @@
         """Poll until the executor has been removed from the scheduler. Raises OwnershipLostError."""
         try:
             async with trio.open_nursery() as nursery:
-                async with self._first_polls.turn():
-                    if self._goes_on(executor):
+                async with self._first_poll_limiter.acquire_slot():
+                    if self._is_active(executor):
                         await self._poll(executor, nursery)
-                while self._goes_on(executor):
-                    await self._pause(executor)
+                while self._is_active(executor):
+                    await self._wait_for_next_poll(executor)
                     await self._poll(executor, nursery)
                 nursery.cancel_scope.cancel()
         finally:
             self._calls.forget(executor.executor)
 
-    def _goes_on(self, executor: ExecutorState) -> bool:
-        return not self._ended and self._scheduler.executors.get(executor.executor) is executor
+    def _is_active(self, executor: ExecutorState) -> bool:
+        return not self._stopped and self._scheduler.executors.get(executor.executor) is executor
 
     async def _poll(self, executor: ExecutorState, nursery: trio.Nursery) -> None:
         """Poll once. While the answer is late, probe the executor over new connections.
@@ -178,92 +178,97 @@
         answer lists, and the executor would appear silent for as long as the link is full.
         """
         poll = _Poll(self._clock.now())
-        wait = self._wait(executor)
+        wait = self._poll_wait(executor)
         alarm = self._loop_time.after(
-            wait + LATE_SECONDS, partial(self._note_late, executor, poll, nursery)
+            wait + LATE_ANSWER_SECONDS, partial(self._note_late, executor, poll, nursery)
         )
         try:
             with poll.scope:
-                await self._ask(executor, poll, wait, PATIENCE_SECONDS)
+                await self._send_poll(executor, poll, wait, POLL_TIMEOUT_SECONDS)
         finally:
-            poll.over = True
+            poll.finished = True
             alarm.cancel()
 
     def _note_late(self, executor: ExecutorState, poll: _Poll, nursery: trio.Nursery) -> None:
         poll.note_late()
         if executor.heard_at < poll.sent_at:
-            self._note_silence(executor, CallOutcome.UNKNOWN, "no answer in the expected time")
+            self._note_failed_poll(executor, CallOutcome.UNKNOWN, "no answer in the expected time")
         nursery.start_soon(self._probe, executor, poll)
 
-    async def _probe(self, executor: ExecutorState, late: _Poll) -> None:
+    async def _probe(self, executor: ExecutorState, late_poll: _Poll) -> None:
         """Probe over new connections until the late poll or a probe is answered.
 
         If only the connection of the late poll has failed, a probe over a new connection is
         answered at once.
         """
-        if executor in self._probed:
+        if executor in self._probing:
             return
-        self._probed.add(executor)
+        self._probing.add(executor)
         try:
-            delay = FIRST_RETRY_SECONDS
-            while not late.over and self._goes_on(executor):
-                async with self._probes:
-                    answered = late.over or await self._probe_once(executor)
+            delay = MIN_RETRY_SECONDS
+            while not late_poll.finished and self._is_active(executor):
+                async with self._probe_limiter:
+                    answered = late_poll.finished or await self._probe_once(executor)
                 if answered:
-                    late.scope.cancel()
+                    late_poll.scope.cancel()
                     return
                 await trio.sleep(delay)
-                delay = min(2 * delay, LONGEST_RETRY_SECONDS)
+                delay = min(2 * delay, MAX_RETRY_SECONDS)
         finally:
-            self._probed.discard(executor)
+            self._probing.discard(executor)
 
     async def _probe_once(self, executor: ExecutorState) -> bool:
         probe = _Poll(self._clock.now())
-        alarm = self._loop_time.after(LATE_SECONDS, probe.note_late)
+        alarm = self._loop_time.after(LATE_ANSWER_SECONDS, probe.note_late)
         try:
-            return await self._ask(executor, probe, 0.0, PROBE_PATIENCE_SECONDS, fresh=True)
+            return await self._send_poll(executor, probe, 0.0, PROBE_TIMEOUT_SECONDS, fresh=True)
         finally:
             alarm.cancel()
 
-    async def _ask(
+    async def _send_poll(
         self,
         executor: ExecutorState,
         poll: _Poll,
         wait: float,
-        patience: float,
+        timeout: float,
         fresh: bool = False,
     ) -> bool:
         """Send a poll and process its answer. Return whether there was one."""
-        forget = executor.forgettable_end
-        known = executor.registration
+        forgettable_end = executor.forgettable_end
+        registration = executor.registration
         answer = await self._calls.poll(
-            ExecutorPlace(known.executor, known.address, known.incarnation, known.failure_domain),
+            ExecutorPlace(
+                registration.executor,
+                registration.address,
+                registration.incarnation,
+                registration.failure_domain,
+            ),
             self._term.token,
-            PollRequest(forget, self._lease(executor, poll.sent_at), wait, patience),
+            PollRequest(forgettable_end, self._extend_lease(executor, poll.sent_at), wait, timeout),
             fresh,
         )
-        if self._ended:
+        if self._stopped:
             return True
         now = self._clock.now()
         if answer.outcome is CallOutcome.FENCED:
             raise OwnershipLostError(f"{executor.executor} reported a higher fencing token")
-        if self._met_next_life(executor, poll.sent_at, answer, now):
+        if self._detects_restart(executor, poll.sent_at, answer, now):
             return True
         if answer.outcome is not CallOutcome.ACCEPTED:
-            self._note_silence(executor, answer.outcome, answer.why)
+            self._note_failed_poll(executor, answer.outcome, answer.why)
             return False
         if executor.failed_polls:
             seconds = round(now - poll.sent_at, 3)
             logger.info("executor answers again", executor=executor.executor, seconds=seconds)
-        executor.told_end = max(executor.told_end, forget)
+        executor.told_end = max(executor.told_end, forgettable_end)
         now_ms = self._clock.unix_ms()
         self._scheduler.poll_answered(executor, poll.sent_at, answer, now, now_ms, poll.in_time)
         if answer.ended:
             self._journal.notify()
-        self._kick()
+        self._request_dispatch()
         return True
 
-    def _note_silence(self, executor: ExecutorState, outcome: CallOutcome, why: str) -> None:
+    def _note_failed_poll(self, executor: ExecutorState, outcome: CallOutcome, why: str) -> None:
         if executor.failed_polls == 0:
             logger.info(
                 "executor doesn't answer",
@@ -274,56 +279,56 @@
             )
         self._scheduler.poll_failed(executor, self._clock.now())
 
-    def _met_next_life(
+    def _detects_restart(
         self, executor: ExecutorState, sent_at: float, answer: PollAnswer, now: float
     ) -> bool:
         if answer.outcome is not CallOutcome.OTHER_INCARNATION:
             return False
         return self._scheduler.incarnation_met(executor, answer.incarnation, sent_at, now)
 
-    async def _pause(self, executor: ExecutorState) -> None:
+    async def _wait_for_next_poll(self, executor: ExecutorState) -> None:
         if executor.failed_polls:
-            doublings = min(executor.failed_polls - 1, MOST_DOUBLINGS)
-            await trio.sleep(min(FIRST_RETRY_SECONDS * 2**doublings, LONGEST_RETRY_SECONDS))
+            doublings = min(executor.failed_polls - 1, MAX_RETRY_DOUBLINGS)
+            await trio.sleep(min(MIN_RETRY_SECONDS * 2**doublings, MAX_RETRY_SECONDS))
         elif executor.unstored_ends:
-            await trio.sleep(GATHER_SECONDS)
+            await trio.sleep(END_BATCH_SECONDS)
             if executor.unstored_ends:
                 await self._journal.wait_stored(STORE_WAIT_SECONDS)
         elif self._idle(executor):
             event = trio.Event()
-            self._wake[executor] = event
+            self._wake_events[executor] = event
             await event.wait()
-            del self._wake[executor]
+            del self._wake_events[executor]
 
     @staticmethod
     def _idle(executor: ExecutorState) -> bool:
         # An executor whose last answer was late gets no work until a timely answer, so polling goes
         # on.
-        known = executor.polled_at is not None and not executor.answers_late
-        quiet = not executor.runs and executor.told_end == executor.seen_end
-        return known and quiet and executor.registered
+        timely = executor.polled_at is not None and not executor.answers_late
+        has_no_work = not executor.runs and executor.told_end == executor.seen_end
+        return timely and has_no_work and executor.registered
 
-    def _lease(self, executor: ExecutorState, now: float) -> int | None:
+    def _extend_lease(self, executor: ExecutorState, now: float) -> int | None:
         """Extend the lease of the executor's runs and return its end on the executor's clock.
 
         Returns None to leave the lease unchanged. The lease of an executor that doesn't answer
         isn't extended: only its answers may be lost, and each renewal would postpone the time from
         which its tasks may run elsewhere.
         """
-        orphaned = now - self._known_owner_at() > ORPHANED_LEASE_SECONDS
-        if executor.polled_at is None or executor.failed_polls or orphaned:
+        unconfirmed = now - self._confirmed_owner_at() > MAX_UNCONFIRMED_SECONDS
+        if executor.polled_at is None or executor.failed_polls or unconfirmed:
             return None
-        until = executor.clock(now) + self._lease_ms
-        executor.grant_lease(until)
-        return until
+        until_ms = executor.clock(now) + self._lease_ms
+        executor.grant_lease(until_ms)
+        return until_ms
 
-    def _wait(self, executor: ExecutorState) -> float:
+    def _poll_wait(self, executor: ExecutorState) -> float:
         if executor.polled_at is None or executor.failed_polls or executor.unstored_ends:
             return 0.0
         if self._scheduler.shed >= Shed.POLLS:
             return SHED_POLL_SECONDS
-        serves = fills = False
+        has_serving_tasks = has_filling_tasks = False
         for run in executor.runs.values():
-            serves = serves or bool(run.task.spec.tail_target_ms)
-            fills = fills or run.task.spec.uses_leftover_cpu
-        return DISTURBED_POLL_SECONDS if serves and fills else POLL_SECONDS
+            has_serving_tasks = has_serving_tasks or bool(run.task.spec.tail_target_ms)
+            has_filling_tasks = has_filling_tasks or run.task.spec.uses_leftover_cpu
+        return DISTURBED_POLL_SECONDS if has_serving_tasks and has_filling_tasks else POLL_SECONDS
--- a/fireflyfork/programs/_outside.py
+++ b/fireflyfork/programs/_external_clients.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outside:
+class ExternalClients:
     """The clients of the platform's services, each behind its abstract class."""
 
     store: CoordinationStore
--- a/fireflyfork/programs/_job_requests.py
+++ b/fireflyfork/programs/_job_requests.py
@@ -27,7 +27,7 @@
 )
 from ._scheduling_keys import cancel_key, job_key, pending_key, progress_key
 
-WRITE_TRIES = 2
+MAX_WRITE_ATTEMPTS = 2
 """A write whose answer was lost is sent once more, which settles whether it succeeded. After that
 the caller is better served by another instance."""
 
@@ -98,18 +98,18 @@
         Raises StoreRefusedError only if this call can't have written anything: a caller that gets
         the answer "not accepted" must be able to rely on it.
         """
-        unsure: StoreUnavailableError | None = None
-        for _ in range(WRITE_TRIES):
+        unknown_outcome: StoreUnavailableError | None = None
+        for _ in range(MAX_WRITE_ATTEMPTS):
             try:
                 await self._store.commit({key: Revision(0)}, (Put(key, value),))
                 return
             except StoreConflictError:
                 return
             except StoreRefusedError as error:
-                if unsure is None:
+                if unknown_outcome is None:
                     raise
-                raise unsure from error
+                raise unknown_outcome from error
             except StoreUnavailableError as error:
-                unsure = error
-        if unsure is not None:
-            raise unsure
+                unknown_outcome = error
+        if unknown_outcome is not None:
+            raise unknown_outcome
--- a/fireflyfork/programs/_job_service.py
+++ b/fireflyfork/programs/_job_service.py
@@ -17,7 +17,7 @@
 from ._metrics import Metrics
 from ._time_left import TimeLeft
 
-LONGEST_BODY_BYTES = 262_144
+MAX_BODY_BYTES = 262_144
 """Maximum body size that the platform's configuration allows callers to send."""
 RETRY_AFTER: tuple[Header, ...] = ((b"retry-after", b"1"),)
 """Asks for a retry after 1 s, the smallest value of the header: a change of owner or a short outage
@@ -47,7 +47,7 @@
         self._metrics = metrics
         self._queues = queues
         self._is_current = is_current
-        self._time = TimeLeft()
+        self._time_left = TimeLeft()
 
     def end_in(self, seconds: float) -> None:
         """Refuse new requests from now on, and answer the requests in progress within ``seconds``.
@@ -55,11 +55,11 @@
         The store may answer only after the process has ended. A request that is still waiting at
         that point would lose its connection, and its caller would never learn the outcome.
         """
-        self._time.end_in(seconds)
+        self._time_left.end_in(seconds)
 
     async def handle(self, exchange: Exchange) -> None:
         """See HttpHandler."""
-        if self._time.is_ending:
+        if self._time_left.is_ending:
             error = StoppingError(Verdict.NOT_RUN)
             await self._refuse(exchange, error.status, error.reason)
             return
@@ -72,11 +72,11 @@
         host = (head.header(b"host") or "").rpartition(":")[0] or (head.header(b"host") or "")
         queue = table.find(host, path)
         if queue is None:
-            await self._unknown(exchange)
+            await self._answer_unknown_queue(exchange)
             return
-        rest = path[len(queue.path_prefix) :]
+        subpath = path[len(queue.path_prefix) :]
         try:
-            await self._of_queue(exchange, queue, rest)
+            await self._handle_queue_request(exchange, queue, subpath)
         except BadRequestError as error:
             await exchange.answer_json(error.status, {"error": error.reason})
         except StoppingError as error:
@@ -88,7 +88,7 @@
             status = 503 if exchange.head.method == "GET" else 504
             await self._refuse(exchange, status, str(error))
 
-    async def _unknown(self, exchange: Exchange) -> None:
+    async def _answer_unknown_queue(self, exchange: Exchange) -> None:
         if self._is_current():
             await exchange.answer_json(404, {"error": "no such queue"})
         else:
@@ -97,14 +97,16 @@
                 exchange, 503, "no such queue in a configuration that may be outdated"
             )
 
-    async def _of_queue(self, exchange: Exchange, queue: QueueTerms, rest: str) -> None:
+    async def _handle_queue_request(
+        self, exchange: Exchange, queue: QueueTerms, subpath: str
+    ) -> None:
         method = exchange.head.method
-        if not rest and method == "GET":
+        if not subpath and method == "GET":
             await self._pending(exchange, queue)
             return
-        job = parse_job_id(rest)
+        job = parse_job_id(subpath)
         if job is None:
-            await exchange.answer_json(404, {"error": f"{rest[:40]!r} is no job id"})
+            await exchange.answer_json(404, {"error": f"{subpath[:40]!r} is no job id"})
         elif method == "POST":
             await self._submit(exchange, queue, job)
         elif method == "GET":
@@ -116,33 +118,33 @@
 
     async def _submit(self, exchange: Exchange, queue: QueueTerms, job: JobId) -> None:
         try:
-            whole = collect(exchange.body(), LONGEST_BODY_BYTES)
-            body = await self._time.wait(whole, Verdict.NOT_RUN)
+            received_body = collect(exchange.body(), MAX_BODY_BYTES)
+            body = await self._time_left.wait(received_body, Verdict.NOT_RUN)
         except HttpError as error:
             logger.info("job not received", job=job, error=str(error))
             exchange.abort()
             return
-        begun = self._clock.now()
+        started_at = self._clock.now()
         spec = decode_job(body, job, queue, self._clock.unix_ms())
-        await self._time.wait(self._requests.submit(spec), Verdict.MAY_HAVE_RUN)
-        self._metrics.observe("fireflyfork_accept_seconds", self._clock.now() - begun)
+        await self._time_left.wait(self._requests.submit(spec), Verdict.MAY_HAVE_RUN)
+        self._metrics.observe("fireflyfork_accept_seconds", self._clock.now() - started_at)
         await exchange.answer(200, b"{}", (_JSON,))
 
     async def _state(self, exchange: Exchange, job: JobId) -> None:
-        state = await self._time.wait(self._requests.state(job), Verdict.NOT_RUN)
+        state = await self._time_left.wait(self._requests.state(job), Verdict.NOT_RUN)
         if state is None:
             await exchange.answer_json(410, {"error": "no such job"})
             return
         await exchange.answer(200, encode_state(state), (_JSON,))
 
     async def _cancel(self, exchange: Exchange, job: JobId) -> None:
-        if await self._time.wait(self._requests.cancel(job), Verdict.MAY_HAVE_RUN):
+        if await self._time_left.wait(self._requests.cancel(job), Verdict.MAY_HAVE_RUN):
             await exchange.answer(200, b"{}", (_JSON,))
         else:
             await exchange.answer_json(410, {"error": "no such job"})
 
     async def _pending(self, exchange: Exchange, queue: QueueTerms) -> None:
-        count = await self._time.wait(self._requests.pending(queue), Verdict.NOT_RUN)
+        count = await self._time_left.wait(self._requests.pending(queue), Verdict.NOT_RUN)
         await exchange.answer(200, encode_pending(count), (_JSON,))
 
     async def _refuse(self, exchange: Exchange, status: int, reason: str) -> None:
--- a/fireflyfork/programs/_key_replica.py
+++ b/fireflyfork/programs/_key_replica.py
@@ -17,11 +17,11 @@
     StoreListing,
 )
 
-LONGEST_WAIT_SECONDS = 0.8
+MAX_WAIT_SECONDS = 0.8
 """Maximum wait of a request while there is no change. Each answer shows that the instance is alive.
 """
-SHORTEST_WAIT_SECONDS = 0.1
-_NOTHING = Revision(0)
+MIN_WAIT_SECONDS = 0.1
+_NO_REVISION = Revision(0)
 
 
 class KeyReplica:
@@ -31,7 +31,7 @@
         """Create an empty replica. ``changed`` is called for each key that is written or removed."""
         self._changed = changed
         self._items: dict[str, StoredItem] = {}
-        self._as_of = _NOTHING
+        self._as_of = _NO_REVISION
         self._known_at = -inf
         self._advanced = trio.Event()
 
@@ -89,8 +89,8 @@
         await self._advanced.wait()
 
     def _put(self, item: StoredItem) -> None:
-        held = self._items.get(item.key)
-        if held is None or held.revision < item.revision:
+        current = self._items.get(item.key)
+        if current is None or current.revision < item.revision:
             self._items[item.key] = item
             self._changed(StoreChange(item.key, item.revision, item))
 
@@ -99,13 +99,13 @@
             self._remove(key, as_of)
 
     def _remove(self, key: str, revision: Revision) -> None:
-        held = self._items.get(key)
-        if held is not None and held.revision <= revision:
+        current = self._items.get(key)
+        if current is not None and current.revision <= revision:
             del self._items[key]
             self._changed(StoreChange(key, revision, None))
 
 
-class ReplicaAnswers(ReplicaSource):
+class KeyReplicaSource(ReplicaSource):
     """Answers requests of other instances from a replica."""
 
     def __init__(self, replica: KeyReplica, now: Callable[[], float], stale_seconds: float) -> None:
@@ -116,29 +116,29 @@
 
     async def answer(self, question: ReplicaQuestion) -> ReplicaAnswer:
         """See ReplicaSource."""
-        asked = self._now()
+        received_at = self._now()
         replica = self._replica
-        if self._has_nothing_to_tell(question):
-            with trio.move_on_after(self._patience()):
+        if self._has_no_news(question):
+            with trio.move_on_after(self._max_wait_seconds()):
                 await replica.wait_advanced()
         return ReplicaAnswer(
             replica.as_of,
             self._now() - replica.known_at,
-            self._now() - asked,
+            self._now() - received_at,
             replica.known_at,
             replica.revisions(),
             replica.changed_after(question.after),
         )
 
-    def _has_nothing_to_tell(self, question: ReplicaQuestion) -> bool:
+    def _has_no_news(self, question: ReplicaQuestion) -> bool:
         if question.mark is None:
             return False
         return self._replica.known_at <= question.mark and self._replica.as_of <= question.after
 
-    def _patience(self) -> float:
+    def _max_wait_seconds(self) -> float:
         """Return the maximum wait of a request.
 
         It lets the follower learn in time that it has to leave.
         """
         until_stale = self._replica.known_at + self._stale_seconds - self._now()
-        return min(max(until_stale, SHORTEST_WAIT_SECONDS), LONGEST_WAIT_SECONDS)
+        return min(max(until_stale, MIN_WAIT_SECONDS), MAX_WAIT_SECONDS)
--- a/fireflyfork/programs/_log_sink.py
+++ b/fireflyfork/programs/_log_sink.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-MOST_PENDING_BYTES = 256 * 1024
+MAX_PENDING_BYTES = 256 * 1024
 """Maximum size of the lines that are queued for a slow reader.
 
 This is about 1,200 lines, which is three seconds of the busiest instance and a small part of its
@@ -47,35 +47,35 @@
     queued up to a limit, then dropped and counted.
     """
 
-    def __init__(self, descriptor: int, most_pending: int = MOST_PENDING_BYTES) -> None:
+    def __init__(self, descriptor: int, max_pending: int = MAX_PENDING_BYTES) -> None:
         """Set the descriptor to non-blocking mode; ``max_pending`` is in bytes."""
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
-        self._most_pending = most_pending
+        self._most_pending = max_pending
         self._pending: deque[bytes] = deque()
         self._pending_bytes = 0
-        self._left_out = 0
+        self._dropped = 0
 
     def write(self, line: bytes) -> None:
         """See LineSink."""
         self._flush()
-        if self._left_out and self._room_for(line):
-            self._keep(msgspec.json.encode(self._left_out_line()) + b"\n")
-            self._left_out = 0
-        if self._room_for(line):
-            self._keep(line)
+        if self._dropped and self._has_room_for(line):
+            self._enqueue(msgspec.json.encode(self._dropped_record()) + b"\n")
+            self._dropped = 0
+        if self._has_room_for(line):
+            self._enqueue(line)
         else:
-            self._left_out += 1
+            self._dropped += 1
         self._flush()
 
-    def _left_out_line(self) -> dict[str, object]:
+    def _dropped_record(self) -> dict[str, object]:
         message = "log lines left out: their reader has fallen behind"
-        return {"level": "WARNING", "message": message, "lines": self._left_out}
+        return {"level": "WARNING", "message": message, "lines": self._dropped}
 
-    def _room_for(self, line: bytes) -> bool:
+    def _has_room_for(self, line: bytes) -> bool:
         return self._pending_bytes + len(line) <= self._most_pending
 
-    def _keep(self, line: bytes) -> None:
+    def _enqueue(self, line: bytes) -> None:
         self._pending.append(line)
         self._pending_bytes += len(line)
 
--- a/fireflyfork/programs/_loop_report.py
+++ b/fireflyfork/programs/_loop_report.py
@@ -12,7 +12,7 @@
 from ._metrics import Metrics
 
 REPORT_SECONDS = 10.0
-LOOK_SECONDS = 1.0
+PROFILE_SECONDS = 1.0
 """How long the loop is profiled in each report interval."""
 ACTIVITIES_REPORTED = 12
 """Number of busiest activities that a report lists; the time of the remaining ones is summed."""
@@ -39,12 +39,12 @@
         """
         self._profile = profile
         self._lag = lag
-        self._calls = _Growth(lambda: store.calls)
-        self._received = _Growth(lambda: store.bytes_received)
-        self._sent = _Growth(lambda: store.bytes_sent)
-        self._relay_received = _Growth(lambda: relays.received)
-        self._relay_sent = _Growth(lambda: relays.sent)
-        self._reported: Mapping[str, float] = {}
+        self._calls = _CounterGrowth(lambda: store.calls)
+        self._received = _CounterGrowth(lambda: store.bytes_received)
+        self._sent = _CounterGrowth(lambda: store.bytes_sent)
+        self._relay_received = _CounterGrowth(lambda: relays.received)
+        self._relay_sent = _CounterGrowth(lambda: relays.sent)
+        self._reported_spent: Mapping[str, float] = {}
         metrics.gauge("fireflyfork_loop_lag_seconds", lag)
         metrics.counters("fireflyfork_loop_seconds_total", "activity", lambda: profile.spent)
         metrics.counters("fireflyfork_store_calls_total", "purpose", lambda: store.calls)
@@ -62,20 +62,23 @@
     async def run(self) -> None:
         """Report until cancelled."""
         while True:
-            await trio.sleep(REPORT_SECONDS - LOOK_SECONDS)
-            begun = trio.current_time()
+            await trio.sleep(REPORT_SECONDS - PROFILE_SECONDS)
+            started_at = trio.current_time()
             with self._profile.looking():
-                await trio.sleep(LOOK_SECONDS)
-            self.report(trio.current_time() - begun)
+                await trio.sleep(PROFILE_SECONDS)
+            self.report(trio.current_time() - started_at)
 
     def report(self, looked_seconds: float) -> None:
         """Log what has been used since the last report, of which ``looked_seconds`` were profiled."""
         spent = dict(self._profile.spent)
-        seconds = {name: spent[name] - self._reported.get(name, 0.0) for name in spent}
+        seconds = {name: spent[name] - self._reported_spent.get(name, 0.0) for name in spent}
         logger.info(
             "loop time",
             looked_ms=round(1000 * looked_seconds),
-            spent_ms={name: round(1000 * one) for name, one in _busiest(seconds).items()},
+            spent_ms={
+                name: round(1000 * activity_seconds)
+                for name, activity_seconds in _busiest(seconds).items()
+            },
             store_calls=self._calls.take(),
             store_received=self._received.take(),
             store_sent=self._sent.take(),
@@ -83,10 +86,10 @@
             relay_sent=self._relay_sent.take(),
             lag_ms=round(1000 * self._lag()),
         )
-        self._reported = spent
+        self._reported_spent = spent
 
 
-class _Growth:
+class _CounterGrowth:
     """Computes the growth of counters between reports."""
 
     def __init__(self, counted: Callable[[], Mapping[str, int]]) -> None:
@@ -106,5 +109,7 @@
     ordered = sorted(seconds.items(), key=lambda item: -item[1])
     busiest = dict(ordered[:ACTIVITIES_REPORTED])
     if len(ordered) > ACTIVITIES_REPORTED:
-        busiest[OTHERS] = sum(one for _, one in ordered[ACTIVITIES_REPORTED:])
+        busiest[OTHERS] = sum(
+            activity_seconds for _, activity_seconds in ordered[ACTIVITIES_REPORTED:]
+        )
     return busiest
--- a/fireflyfork/programs/_metrics.py
+++ b/fireflyfork/programs/_metrics.py
@@ -29,7 +29,7 @@
         self._histograms: dict[tuple[str, Labels], HdrHistogram] = {}
         self._sums: Counter[tuple[str, Labels]] = Counter()
         self._gauges: dict[str, Gauge] = {}
-        self._kept_elsewhere: dict[str, tuple[str, CountersByLabel]] = {}
+        self._external_counters: dict[str, tuple[str, CountersByLabel]] = {}
 
     def count(self, name: str, amount: int = 1, **labels: str) -> None:
         """Add ``amount`` to a counter."""
@@ -57,7 +57,7 @@
 
         ``values`` returns their totals by the value of ``label``.
         """
-        self._kept_elsewhere[name] = (label, values)
+        self._external_counters[name] = (label, values)
 
     def text(self) -> str:
         """Return all metrics in the Prometheus text format."""
@@ -68,7 +68,7 @@
             yield f"# TYPE {name} counter"
             rows = sorted((labels, n) for (key, labels), n in self._counters.items() if key == name)
             yield from (f"{name}{_text(labels)} {number}" for labels, number in rows)
-        for name, (label, values) in sorted(self._kept_elsewhere.items()):
+        for name, (label, values) in sorted(self._external_counters.items()):
             yield f"# TYPE {name} counter"
             for value, number in sorted(values().items()):
                 yield f"{name}{_text(((label, value),))} {number:.15g}"
--- a/fireflyfork/programs/_prefix_watch.py
+++ b/fireflyfork/programs/_prefix_watch.py
@@ -24,13 +24,13 @@
         store: CoordinationStore,
         prefix: str,
         wait_seconds: float,
-        listed: Callable[[StoreListing], None],
-        changed: Callable[[StoreChange], None],
-        answered: Callable[[], None] = lambda: None,
+        on_listing: Callable[[StoreListing], None],
+        on_change: Callable[[StoreChange], None],
+        on_answer: Callable[[], None] = lambda: None,
         gather_seconds: float = 0.0,
         confirm_seconds: float | None = None,
         now: Callable[[], float] = trio.current_time,
-        heard: Callable[[float], None] = lambda _: None,
+        on_confirmed: Callable[[float], None] = lambda _: None,
     ) -> None:
         """Set up a watch that reports to callbacks; ``run`` starts it.
 
@@ -49,13 +49,13 @@
         self._store = store
         self._prefix = prefix
         self._wait_seconds = wait_seconds
-        self._listed = listed
-        self._changed = changed
-        self._answered = answered
+        self._on_listing = on_listing
+        self._on_change = on_change
+        self._on_answer = on_answer
         self._gather_seconds = gather_seconds
         self._confirm_seconds = wait_seconds if confirm_seconds is None else confirm_seconds
         self._now = now
-        self._heard = heard
+        self._on_confirmed = on_confirmed
         self._known_at = -inf
         self._asked_at = -inf
         self._as_of = Revision(0)
@@ -98,25 +98,25 @@
 
     async def _list(self, until: Callable[[], bool]) -> None:
         while not until():
-            asked = self._asked_at = self._now()
+            sent_at = self._asked_at = self._now()
             try:
                 listing = await self._store.list(self._prefix)
             except StoreError as error:
                 logger.debug("prefix not listed", prefix=self._prefix, error=str(error))
                 await trio.sleep(RETRY_SECONDS)
                 continue
-            self._answered()
-            self._listed(listing)
+            self._on_answer()
+            self._on_listing(listing)
             self._as_of = listing.as_of
-            self._known_at = asked
-            self._heard(asked)
+            self._known_at = sent_at
+            self._on_confirmed(sent_at)
             return
 
     async def _follow(self, until: Callable[[], bool]) -> None:
         """Process changes until the store has lost its history or ``until`` returns True."""
         wait = self._confirm_seconds
         while not until():
-            asked = self._asked_at = self._now()
+            sent_at = self._asked_at = self._now()
             try:
                 answer = await self._store.changes(self._prefix, self._as_of, wait)
             except StoreHistoryLostError as error:
@@ -127,13 +127,13 @@
                 wait = self._confirm_seconds
                 await trio.sleep(RETRY_SECONDS)
                 continue
-            self._answered()
+            self._on_answer()
             for change in answer.changes:
-                self._changed(change)
+                self._on_change(change)
             self._as_of = max(self._as_of, answer.as_of)
-            in_vain = not answer.changes
-            self._known_at = min(asked + wait, self._now()) if in_vain else asked
-            self._heard(asked)
-            wait = self._wait_seconds if in_vain else self._confirm_seconds
+            unchanged = not answer.changes
+            self._known_at = min(sent_at + wait, self._now()) if unchanged else sent_at
+            self._on_confirmed(sent_at)
+            wait = self._wait_seconds if unchanged else self._confirm_seconds
             if self._gather_seconds and answer.changes:
                 await trio.sleep(self._gather_seconds)
--- a/fireflyfork/programs/_queue_keeper.py
+++ b/fireflyfork/programs/_queue_keeper.py
@@ -23,7 +23,7 @@
     decode_wave,
     is_wave,
 )
-from ._key_replica import KeyReplica, ReplicaAnswers
+from ._key_replica import KeyReplica, KeyReplicaSource
 from ._replica_follower import NoUpstreams, ReplicaFollower, Upstreams
 
 CURRENT_SHARE = 0.8
@@ -58,7 +58,7 @@
         self._changed = changed
         self._bound_seconds = bound_seconds
         self._now = now
-        self._replica = KeyReplica(self._followed)
+        self._replica = KeyReplica(self._apply_change)
         self._follower = ReplicaFollower(
             self._replica,
             store,
@@ -70,12 +70,12 @@
         )
         self._table: QueueTable | None = None
         self._waves: dict[str, UpkeepWave] = {}
-        self.known = trio.Event()
+        self.configured = trio.Event()
 
     @property
-    def answers(self) -> ReplicaSource:
+    def replica_source(self) -> ReplicaSource:
         """Source from which other instances read this instance's replica of the operator's keys."""
-        return ReplicaAnswers(self._replica, self._now, STALE_SHARE * self._bound_seconds)
+        return KeyReplicaSource(self._replica, self._now, STALE_SHARE * self._bound_seconds)
 
     @property
     def table(self) -> QueueTable | None:
@@ -89,8 +89,8 @@
         A large version takes time over a full link, and an instance that gets no answer from the
         store receives none. Such an instance can't tell that a queue doesn't exist.
         """
-        unheard = self._now() - self._replica.known_at
-        return unheard <= CURRENT_SHARE * self._bound_seconds
+        outdated_seconds = self._now() - self._replica.known_at
+        return outdated_seconds <= CURRENT_SHARE * self._bound_seconds
 
     @property
     def waves(self) -> tuple[UpkeepWave, ...]:
@@ -101,15 +101,15 @@
         """Follow the operator's keys until cancelled."""
         await self._follower.run()
 
-    def _followed(self, change: StoreChange) -> None:
+    def _apply_change(self, change: StoreChange) -> None:
         if change.item is not None:
-            self._take(change.item)
+            self._apply_item(change.item)
         else:
             self._waves.pop(change.key, None)
 
-    def _take(self, item: StoredItem) -> None:
+    def _apply_item(self, item: StoredItem) -> None:
         if is_wave(item.key):
-            self._take_wave(item)
+            self._apply_wave(item)
         if item.key != CONFIGURATION_KEY:
             return
         try:
@@ -130,9 +130,9 @@
             seconds=round(self._now() - self._follower.asked_at, 3),
         )
         self._changed(table)
-        self.known.set()
+        self.configured.set()
 
-    def _take_wave(self, item: StoredItem) -> None:
+    def _apply_wave(self, item: StoredItem) -> None:
         wave = decode_wave(item)
         if wave is not None:
             self._waves[item.key] = wave
--- a/fireflyfork/programs/_recovery_reads.py
+++ b/fireflyfork/programs/_recovery_reads.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeftBehind:
+class RecoveryState:
     """State that earlier owners, callers and executors have stored."""
 
     last_known: tuple[ExecutorRegistration, ...]
@@ -34,7 +34,7 @@
     registrations: StoreListing
 
 
-async def read_left_behind(store: CoordinationStore, journal: ServiceJournal) -> LeftBehind:
+async def read_recovery_state(store: CoordinationStore, journal: ServiceJournal) -> RecoveryState:
     """Read all parts of the state concurrently, and retry each until the store answers.
 
     Sequential calls made recovery seven round trips long: a third of a second in another region,
@@ -51,26 +51,26 @@
     async with trio.open_nursery() as nursery:
         for reading in (opened, last_known, learned, work, progress, registrations):
             nursery.start_soon(reading.run)
-    return LeftBehind(
+    return RecoveryState(
         last_known.answer, learned.answer, work.answer, progress.answer, registrations.answer
     )
 
 
-async def until_answered(what: str, call: Callable[[], Awaitable[_Answer]]) -> _Answer:
+async def retry_until_answered(name: str, call: Callable[[], Awaitable[_Answer]]) -> _Answer:
     """Repeat a call to the store until it succeeds; ``name`` identifies it in the log."""
     while True:
         try:
             return await call()
         except StoreError as error:
-            logger.info("recovery waits for the store", reading=what, error=str(error))
+            logger.info("recovery waits for the store", reading=name, error=str(error))
             await trio.sleep(RETRY_SECONDS)
 
 
 class _Reading(Generic[_Answer]):
     """Reads one part of the state and holds the answer."""
 
-    def __init__(self, what: str, call: Callable[[], Awaitable[_Answer]]) -> None:
-        self._what = what
+    def __init__(self, name: str, call: Callable[[], Awaitable[_Answer]]) -> None:
+        self._label = name
         self._call = call
         self._answers: list[_Answer] = []
 
@@ -79,4 +79,4 @@
         return self._answers[-1]
 
     async def run(self) -> None:
-        self._answers.append(await until_answered(self._what, self._call))
+        self._answers.append(await retry_until_answered(self._label, self._call))
--- a/fireflyfork/programs/_registration_intake.py
+++ b/fireflyfork/programs/_registration_intake.py
@@ -28,8 +28,8 @@
         scheduler: Scheduler,
         service: ServiceName,
         clock: Clock,
-        attend: Callable[[ExecutorState], None],
-        kick: Callable[[], None],
+        wake_executor: Callable[[ExecutorState], None],
+        request_dispatch: Callable[[], None],
     ) -> None:
         """Set up the intake; no call is made.
 
@@ -40,8 +40,8 @@
         self._scheduler = scheduler
         self._service = service
         self._clock = clock
-        self._attend = attend
-        self._kick = kick
+        self._wake_executor = wake_executor
+        self._request_dispatch = request_dispatch
 
     def watch(self) -> PrefixWatch:
         """Return a watch that passes changes of registrations to the scheduler while it runs."""
@@ -54,10 +54,12 @@
             gather_seconds=GATHER_SECONDS,
         )
 
-    def stored(self, items: Iterable[StoredItem]) -> tuple[ExecutorRegistration, ...]:
+    def service_registrations(
+        self, items: Iterable[StoredItem]
+    ) -> tuple[ExecutorRegistration, ...]:
         """Return the registrations of the service among stored items."""
-        found = map(self._registration, items)
-        return tuple(one for one in found if one is not None)
+        registrations = map(self._registration, items)
+        return tuple(registration for registration in registrations if registration is not None)
 
     def _registration(self, item: StoredItem) -> ExecutorRegistration | None:
         registration = decode_registration(item)
@@ -76,13 +78,13 @@
         registration = self._registration(change.item) if change.item is not None else None
         if registration is not None:
             self._scheduler.register(registration, self._clock.now())
-            self._attend(self._scheduler.executors[registration.executor])
+            self._wake_executor(self._scheduler.executors[registration.executor])
         else:
             self._unregister(registered_executor(change.key))
-        self._kick()
+        self._request_dispatch()
 
     def _unregister(self, name: ExecutorId) -> None:
         executor = self._scheduler.executors.get(name)
         self._scheduler.unregister(name, self._clock.now())
         if executor is not None:
-            self._attend(executor)
+            self._wake_executor(executor)
--- a/fireflyfork/programs/_replica_follower.py
+++ b/fireflyfork/programs/_replica_follower.py
@@ -36,7 +36,7 @@
 """How long an upstream is followed before the instance looks for a better one.
 
 When many instances start together, the first ones see only some of the others."""
-TURN_SECONDS = 0.4
+NEXT_UPSTREAM_SECONDS = 0.4
 """Time for the next upstream to report a newer state after one has failed.
 
 It may itself be switching to the store. The silence of an upstream is tolerated for most of the
@@ -64,7 +64,7 @@
 
     @property
     @abstractmethod
-    def awaited(self) -> bool:
+    def worth_waiting_for(self) -> bool:
         """Whether a better upstream than the store may be announced soon by a starting instance."""
 
 
@@ -72,7 +72,7 @@
     """Makes the follower use the store only."""
 
     @property
-    def awaited(self) -> bool:
+    def worth_waiting_for(self) -> bool:
         """See Upstreams."""
         return False
 
@@ -115,7 +115,7 @@
             replica.take_change,
             confirm_seconds=CONFIRM_SECONDS,
             now=now,
-            heard=self._heard_from_store,
+            on_confirmed=self._note_store_answer,
         )
 
     @property
@@ -131,42 +131,46 @@
     async def run(self) -> None:
         """Follow until cancelled."""
         if self._peers is not None:
-            await self._start(self._peers)
+            await self._get_first_state(self._peers)
         while True:
             await self._follow_store()
             if self._peers is not None:
-                await self._follow_any(await self._choose(self._chosen), self._peers)
+                await self._follow_first_usable(await self._choose(self._chosen), self._peers)
 
-    async def _start(self, peers: ReplicaPeers) -> None:
+    async def _get_first_state(self, peers: ReplicaPeers) -> None:
         """Get the first state from another instance if one is available or may be soon."""
-        until = self._now() + START_SECONDS
+        deadline = self._now() + START_SECONDS
         self._chosen = await self._upstreams.choose()
-        while not self._replica.as_of and self._now() < until:
+        while not self._replica.as_of and self._now() < deadline:
             if self._chosen:
-                await self._follow_any(self._chosen, peers)
+                await self._follow_first_usable(self._chosen, peers)
                 await trio.sleep(START_RETRY_SECONDS)
-            elif self._upstreams.awaited:
+            elif self._upstreams.worth_waiting_for:
                 await trio.sleep(START_CHOOSE_SECONDS)
                 self._chosen = await self._choose(())
             else:
                 return
 
-    async def _choose(self, otherwise: tuple[ReplicaPlace, ...]) -> tuple[ReplicaPlace, ...]:
+    async def _choose(self, fallback: tuple[ReplicaPlace, ...]) -> tuple[ReplicaPlace, ...]:
         """Return the upstreams, or ``fallback`` if they aren't known in ``CHOOSE_SECONDS``."""
         with trio.move_on_after(CHOOSE_SECONDS):
             self._chosen = await self._upstreams.choose()
             return self._chosen
-        return otherwise
+        return fallback
 
-    async def _follow_any(self, places: tuple[ReplicaPlace, ...], peers: ReplicaPeers) -> None:
+    async def _follow_first_usable(
+        self, places: tuple[ReplicaPlace, ...], peers: ReplicaPeers
+    ) -> None:
         """Follow the first usable upstream, or better ones that appear in the meantime."""
-        patience = inf
+        first_answer_seconds = inf
         while places:
             first, *others = places
-            better = await self._follow(first, peers, patience)
+            better = await self._follow(first, peers, first_answer_seconds)
             places = better or tuple(others)
             # Without any state, the replica can't cause an outdated configuration to be used.
-            patience = inf if better or not self._replica.as_of else TURN_SECONDS
+            first_answer_seconds = (
+                inf if better or not self._replica.as_of else NEXT_UPSTREAM_SECONDS
+            )
 
     async def _follow_store(self) -> None:
         """Follow the store until it is time to look for an upstream."""
@@ -174,11 +178,11 @@
         after = self._replica.as_of or None
         await self._watch.run(after, lambda: self._now() >= review_at)
 
-    def _heard_from_store(self, _: float) -> None:
+    def _note_store_answer(self, _: float) -> None:
         self._replica.note_known(self._watch.as_of, self._watch.known_at)
 
     async def _follow(
-        self, place: ReplicaPlace, peers: ReplicaPeers, patience: float
+        self, place: ReplicaPlace, peers: ReplicaPeers, first_answer_seconds: float
     ) -> tuple[ReplicaPlace, ...]:
         """Follow an upstream for as long as it answers and is itself up to date.
 
@@ -190,7 +194,7 @@
         better: tuple[ReplicaPlace, ...] = ()
         try:
             async with peers.connect(place) as peer:
-                better = await self._ask_while_fresh(peer, place, patience)
+                better = await self._follow_while_fresh(peer, place, first_answer_seconds)
             reason = "a better instance is available" if better else "out of date"
         except PeerError as error:
             reason = str(error)
@@ -198,14 +202,14 @@
         logger.info("upstream left", upstream=place.node, reason=reason)
         return better
 
-    async def _ask_while_fresh(
-        self, peer: ReplicaPeer, place: ReplicaPlace, patience: float
+    async def _follow_while_fresh(
+        self, peer: ReplicaPeer, place: ReplicaPlace, first_answer_seconds: float
     ) -> tuple[ReplicaPlace, ...]:
-        begun = self._now()
-        borne_until = begun + min(patience, self._stale_seconds)
-        review_at = begun + UPSTREAM_REVIEW_SECONDS
+        started_at = self._now()
+        tolerated_until = started_at + min(first_answer_seconds, self._stale_seconds)
+        review_at = started_at + UPSTREAM_REVIEW_SECONDS
         mark: float | None = None
-        while self._is_fresh() or self._now() <= borne_until:
+        while self._is_fresh() or self._now() <= tolerated_until:
             if self._now() >= review_at:
                 places = await self._choose(())
                 if places and places[0] != place:
@@ -213,20 +217,20 @@
                 review_at = self._now() + UPSTREAM_REVIEW_SECONDS
             self._asked_at = self._now()
             question = ReplicaQuestion(self._replica.as_of, mark)
-            answer = await peer.ask(question, patience if mark is None else inf)
-            self._take(answer)
+            answer = await peer.ask(question, first_answer_seconds if mark is None else inf)
+            self._apply_answer(answer)
             mark = answer.mark
         return ()
 
     def _is_fresh(self) -> bool:
         return self._now() - self._replica.known_at <= self._stale_seconds
 
-    def _take(self, answer: ReplicaAnswer) -> None:
+    def _apply_answer(self, answer: ReplicaAnswer) -> None:
         """Apply an answer to the replica.
 
         The answer may have been delayed. Its content is therefore assumed to have been current only
         until the send time of the request plus the time that the request waited at the upstream.
         """
         self._replica.take_answer(answer)
-        told_at = min(self._asked_at + answer.waited_seconds, self._now())
-        self._replica.note_known(answer.as_of, told_at - answer.age_seconds)
+        valid_at = min(self._asked_at + answer.waited_seconds, self._now())
+        self._replica.note_known(answer.as_of, valid_at - answer.age_seconds)
--- a/fireflyfork/programs/_run_orders.py
+++ b/fireflyfork/programs/_run_orders.py
@@ -21,17 +21,17 @@
     StartRun,
     StopRun,
 )
+from ._call_limiter import CallLimiter
 from ._clocks import Clock
 from ._executor_polls import ExecutorPolls
 from ._service_journal import OwnershipLostError
-from ._turns import Turns
 
-CALLS_AT_ONCE = 6
+MAX_ORDERS_PER_EXECUTOR = 6
 """Maximum number of concurrent orders to one executor, in addition to the poll.
 
 An executor accepts 64 connections in total, and starts are sent in groups of at most the tasks of a
 step."""
-STARTS_AT_ONCE = 64
+MAX_CONCURRENT_STARTS = 64
 """Maximum number of concurrent starts.
 
 Concurrent calls all finish when the last one does. With more of them, an owner that is short of
@@ -48,7 +48,7 @@
         polls: ExecutorPolls,
         token: FencingToken,
         clock: Clock,
-        kick: Callable[[], None],
+        request_dispatch: Callable[[], None],
         loop_time: LoopTime,
     ) -> None:
         """Set up the orders of one term of ownership.
@@ -61,13 +61,13 @@
         self._polls = polls
         self._token = token
         self._clock = clock
-        self._kick = kick
-        self._limits: dict[ExecutorState, trio.CapacityLimiter] = {}
-        self._starts = Turns(STARTS_AT_ONCE, loop_time)
+        self._request_dispatch = request_dispatch
+        self._order_limiters: dict[ExecutorState, trio.CapacityLimiter] = {}
+        self._start_limiter = CallLimiter(MAX_CONCURRENT_STARTS, loop_time)
 
     def forget(self, executor: ExecutorState) -> None:
         """Drop the state of an executor that was removed from the scheduler."""
-        self._limits.pop(executor, None)
+        self._order_limiters.pop(executor, None)
 
     async def carry_out(self, command: RunCommand) -> None:
         """Send one order and report its answer to the scheduler.
@@ -75,7 +75,9 @@
         Raises OwnershipLostError if the executor has seen a higher fencing token.
         """
         executor = command.run.executor
-        limit = self._limits.setdefault(executor, trio.CapacityLimiter(CALLS_AT_ONCE))
+        limit = self._order_limiters.setdefault(
+            executor, trio.CapacityLimiter(MAX_ORDERS_PER_EXECUTOR)
+        )
         async with limit:
             answer = await self._order(command, executor)
         if answer.outcome is CallOutcome.FENCED:
@@ -91,21 +93,26 @@
             case PaceRun(run):
                 self._scheduler.pace_answered(run, answer)
                 return
-        self._polls.attend(executor)
-        self._kick()
+        self._polls.wake_unless_idle(executor)
+        self._request_dispatch()
 
     async def _order(self, command: RunCommand, executor: ExecutorState) -> OrderAnswer:
         if not isinstance(command, StartRun):
             return await self._send(command, executor)
-        async with self._starts.turn():
+        async with self._start_limiter.acquire_slot():
             if not self._scheduler.start_leaves(command.run, self._clock.now()):
                 return OrderAnswer(CallOutcome.PAST_DEADLINE, None)
             return await self._send(command, executor)
 
     async def _send(self, command: RunCommand, executor: ExecutorState) -> OrderAnswer:
         run = command.run
-        known = executor.registration
-        place = ExecutorPlace(known.executor, known.address, run.incarnation, known.failure_domain)
+        registration = executor.registration
+        place = ExecutorPlace(
+            registration.executor,
+            registration.address,
+            run.incarnation,
+            registration.failure_domain,
+        )
         self._polls.wake(executor)
         if isinstance(command, StopRun):
             return await self._calls.stop(place, self._token, run.task.name, run.attempt)
--- a/fireflyfork/programs/_scheduler_node.py
+++ b/fireflyfork/programs/_scheduler_node.py
@@ -21,11 +21,11 @@
 from ._announced_upstreams import AnnouncedUpstreams
 from ._announcements import Announcements
 from ._clocks import Clock
+from ._external_clients import ExternalClients
 from ._job_requests import JobRequests
 from ._job_service import JobService
 from ._loop_report import LoopReport
 from ._metrics import METRICS_TEXT, Metrics
-from ._outside import Outside
 from ._queue_keeper import QueueKeeper
 from ._service_candidate import ServiceCandidate
 from ._service_owner import ServiceOwner
@@ -50,8 +50,8 @@
         self._node = node
 
     async def handle(self, exchange: Exchange) -> None:
-        found = exchange.head.target.partition("?")[0] == READINESS_PATH
-        await exchange.answer((200 if self._node.ready else 503) if found else 404, b"")
+        is_readiness_path = exchange.head.target.partition("?")[0] == READINESS_PATH
+        await exchange.answer((200 if self._node.ready else 503) if is_readiness_path else 404, b"")
 
 
 class _MetricsPage(HttpHandler):
@@ -68,14 +68,14 @@
     def __init__(
         self,
         settings: NodeSettings,
-        outside: Outside,
+        clients: ExternalClients,
         clock: Clock,
         random: Random,
     ) -> None:
         """Create and connect all parts; ``run`` starts them."""
         self._settings = settings
-        self._store = outside.store
-        self._outside = outside
+        self._store = clients.store
+        self._external_clients = clients
         self._clock = clock
         self._random = random
         self._metrics = Metrics()
@@ -91,31 +91,31 @@
         )
         self._keeper = QueueKeeper(
             self._store,
-            self._configured,
+            self._apply_configuration,
             settings.bounds.configuration,
             clock.now,
             AnnouncedUpstreams(self._announcements),
-            outside.replica_peers,
+            clients.replica_peers,
         )
-        self._relay = RelayServer(outside.relay_calls)
+        self._relay = RelayServer(clients.relay_calls)
         self._report = LoopReport(
-            outside.loop_profile,
-            lambda: outside.loop_time.lag,
-            outside.store,
-            outside.relay_traffic,
+            clients.loop_profile,
+            lambda: clients.loop_time.lag,
+            clients.store,
+            clients.relay_traffic,
             self._metrics,
         )
         self._candidates: dict[ServiceName, ServiceCandidate] = {}
         self._nursery: trio.Nursery | None = None
         self._stopping = False
-        self._service = JobService(
+        self._job_service = JobService(
             JobRequests(self._store, self._job_changed),
             clock,
             self._metrics,
             lambda: self._keeper.table,
             lambda: self._keeper.is_current,
         )
-        self._callers = HttpServer(self._service)
+        self._callers = HttpServer(self._job_service)
         self._readiness = HttpServer(_Readiness(self))
 
     @property
@@ -138,7 +138,7 @@
                 nursery.start_soon(self._relay.run, await listen(relay.host, relay.port))
             replica = self._settings.replica_address
             if replica is not None:
-                server = ReplicaServer(self._keeper.answers)
+                server = ReplicaServer(self._keeper.replica_source)
                 nursery.start_soon(server.run, await listen(replica.host, replica.port))
             nursery.start_soon(self._keeper.run)
             nursery.start_soon(self._announcements.run)
@@ -149,7 +149,7 @@
             nursery.cancel_scope.cancel()
 
     async def _stop(self) -> None:
-        begun = self._clock.now()
+        started_at = self._clock.now()
         logger.info(
             "stopping", owned=sorted(name for name, one in self._candidates.items() if one.owner)
         )
@@ -158,43 +158,43 @@
         async with trio.open_nursery() as nursery:
             for candidate in self._candidates.values():
                 nursery.start_soon(candidate.stop)
-        await trio.sleep(max(0.0, NOTICE_SECONDS - (self._clock.now() - begun)))
+        await trio.sleep(max(0.0, NOTICE_SECONDS - (self._clock.now() - started_at)))
         self._callers.announce_stop()
-        left = self._settings.bounds.termination_grace - CLOSE_MARGIN_SECONDS
-        await trio.sleep(max(0.0, left - (self._clock.now() - begun)))
+        accepting_seconds = self._settings.bounds.termination_grace - CLOSE_MARGIN_SECONDS
+        await trio.sleep(max(0.0, accepting_seconds - (self._clock.now() - started_at)))
         # Connections stay open during the wait: a new request on one is refused rather than cut
         # off.
-        self._service.end_in(LAST_REQUESTS_SECONDS)
+        self._job_service.end_in(LAST_REQUESTS_SECONDS)
         await trio.sleep(LAST_REQUESTS_SECONDS)
         self._callers.stop()
         with trio.move_on_after(LAST_ANSWERS_SECONDS):
             await self._callers.wait_ended()
         logger.info("stopped", connections=self._callers.connection_count)
 
-    def _configured(self, table: QueueTable) -> None:
+    def _apply_configuration(self, table: QueueTable) -> None:
         for owner in self._owners():
             owner.configure(table)
         if self._nursery is None or self._stopping:
             return
         for service in sorted(table.services):
             if service not in self._candidates:
-                candidate = self._candidate(service)
+                candidate = self._create_candidate(service)
                 self._candidates[service] = candidate
                 self._nursery.start_soon(candidate.run)
 
     def _job_changed(self) -> None:
         for owner in self._owners():
-            owner.kick()
+            owner.request_dispatch()
 
     def _owners(self) -> list[ServiceOwner]:
         candidates = self._candidates.values()
-        return [owner for one in candidates if (owner := one.owner) is not None]
+        return [owner for candidate in candidates if (owner := candidate.owner) is not None]
 
-    def _candidate(self, service: ServiceName) -> ServiceCandidate:
+    def _create_candidate(self, service: ServiceName) -> ServiceCandidate:
         return ServiceCandidate(
             service,
             self._settings.node,
-            self._outside,
+            self._external_clients,
             self._clock,
             self._random,
             self._metrics,
--- a/fireflyfork/programs/_service_candidate.py
+++ b/fireflyfork/programs/_service_candidate.py
@@ -12,8 +12,8 @@
 from ..platform import PlatformBounds
 from ._announcements import Announcements
 from ._clocks import Clock
+from ._external_clients import ExternalClients
 from ._metrics import Metrics
-from ._outside import Outside
 from ._service_lease import ServiceLease
 from ._service_owner import HAND_OVER_SECONDS, ServiceOwner
 
@@ -25,7 +25,7 @@
         self,
         service: ServiceName,
         node: NodeName,
-        outside: Outside,
+        clients: ExternalClients,
         clock: Clock,
         random: Random,
         metrics: Metrics,
@@ -41,17 +41,17 @@
         """
         self._service = service
         self._node = node
-        self._outside = outside
+        self._external_clients = clients
         self._clock = clock
         self._metrics = metrics
         self._bounds = bounds
         self._queues = queues
         self._waves = waves
         self._announcements = announcements
-        self._lease = ServiceLease(service, node, outside.store, clock, random, announcements)
+        self._lease = ServiceLease(service, node, clients.store, clock, random, announcements)
         self._owner: ServiceOwner | None = None
         self._stopping = False
-        self._waiting = trio.CancelScope()
+        self._bid_scope = trio.CancelScope()
 
     @property
     def owner(self) -> ServiceOwner | None:
@@ -61,14 +61,14 @@
     async def run(self) -> None:
         """Bid for the ownership, run the owner and release the ownership, until ``stop``."""
         while not self._stopping:
-            with trio.CancelScope() as self._waiting:
-                term = await self._lease.win()
-            if self._waiting.cancelled_caught:
+            with trio.CancelScope() as self._bid_scope:
+                term = await self._lease.acquire()
+            if self._bid_scope.cancelled_caught:
                 return
             self._owner = ServiceOwner(
                 term,
                 self._node,
-                self._outside,
+                self._external_clients,
                 self._clock,
                 self._metrics,
                 self._bounds,
@@ -86,11 +86,11 @@
             finally:
                 self._owner = None
             with trio.move_on_after(HAND_OVER_SECONDS):
-                await self._lease.resign(term)
+                await self._lease.release(term)
 
     async def stop(self) -> None:
         """Stop bidding, store all pending changes and release the ownership at once."""
         self._stopping = True
-        self._waiting.cancel()
+        self._bid_scope.cancel()
         if self._owner is not None:
             await self._owner.resign(HAND_OVER_SECONDS)
--- a/fireflyfork/programs/_service_journal.py
+++ b/fireflyfork/programs/_service_journal.py
@@ -35,20 +35,20 @@
 )
 from ._service_lease import Term
 
-MOST_JOBS = 26
+MAX_JOBS_PER_WRITE = 26
 """Maximum number of jobs in one write.
 
 A transaction takes 32 rows. The two conditions, the journal's number, the pending counts, the known
 executors and what was learned use six of them."""
-MOST_REMOVED = 10
+MAX_JOBS_PER_REMOVAL = 10
 """Maximum number of jobs in one removal, with three keys each, within the same 32 rows."""
-GATHER_SECONDS = 0.025
+WRITE_BATCH_SECONDS = 0.025
 """Time during which changes are collected into one write: a store call takes 4 ms, and calls are
 paid for."""
 RETRY_SECONDS = 0.1
-PENDING_SECONDS = 0.5
+PENDING_INTERVAL_SECONDS = 0.5
 """Minimum interval between writes of the counts of waiting jobs, which may be up to 2 s old."""
-LEARNED_SECONDS = 2.0
+LEARNED_INTERVAL_SECONDS = 2.0
 """Minimum interval between writes of what was learned, which go out with other writes.
 
 The value is about 3 KB, and two more seconds of observations hardly change any learned effect."""
@@ -85,27 +85,29 @@
         self._term = term
         self._scheduler = scheduler
         self._confirmed = confirmed
-        self._written = Revision(0)
-        self._number = 0
+        self._last_write = Revision(0)
+        self._write_count = 0
         self._changed = trio.Event()
         self._stored = trio.Event()
-        self._pending: dict[str, int] = {}
+        self._stored_pending: dict[str, int] = {}
         self._pending_at = 0.0
         self._learned_at = 0.0
 
     async def open(self) -> None:
         """Read the revision of the last write of earlier owners. Raises StoreError."""
         item = await self._store.read(journal_key(self._term.service))
-        self._written = item.revision if item is not None else Revision(0)
+        self._last_write = item.revision if item is not None else Revision(0)
 
     async def last_known_executors(self) -> tuple[ExecutorRegistration, ...]:
         """Return the executors that an earlier owner had stored. Raises StoreError."""
-        known = await self._left_behind(executors_key(self._term.service), decode_registrations)
-        return known if known is not None else ()
+        executors = await self._read_stored_value(
+            executors_key(self._term.service), decode_registrations
+        )
+        return executors if executors is not None else ()
 
     async def last_learned(self) -> tuple[LearnedFit, ...]:
         """Return what an earlier owner had learned. Raises StoreError."""
-        learned = await self._left_behind(learned_key(self._term.service), decode_learned)
+        learned = await self._read_stored_value(learned_key(self._term.service), decode_learned)
         return learned if learned is not None else ()
 
     def notify(self) -> None:
@@ -122,7 +124,7 @@
         while True:
             await self._changed.wait()
             self._changed = trio.Event()
-            await self._gather()
+            await self._wait_for_batch()
             while self._has_work():
                 if not await self.flush():
                     await trio.sleep(RETRY_SECONDS)
@@ -130,25 +132,25 @@
     async def flush(self) -> bool:
         """Store one batch. Return False if the store was unavailable. Raises OwnershipLostError."""
         changes = self._scheduler.jobs.changes
-        jobs = changes.take(MOST_JOBS)
+        jobs = changes.take(MAX_JOBS_PER_WRITE)
         pending = self._pending_to_store()
         executors = self._scheduler.take_changed_executors()
         try:
             await self._write(jobs, pending, executors)
         except TransactionConflictError as error:
-            self._put_back(executors)
-            self._settle(error)
+            self._restore_unstored(executors)
+            self._resolve_conflict(error)
             return False
         except OwnershipLostError:
-            self._put_back(executors)
+            self._restore_unstored(executors)
             raise
         except StoreError as error:
-            self._put_back(executors)
+            self._restore_unstored(executors)
             logger.debug("journal not written", service=self._term.service, error=str(error))
             return False
         changes.stored()
         if pending is not None:
-            self._pending = pending
+            self._stored_pending = pending
             self._pending_at = trio.current_time()
         self._scheduler.note_stored()
         if executors is not None:
@@ -164,7 +166,7 @@
         Raises OwnershipLostError. A job's key identifies late repeats of its request, so it is kept
         much longer than any repeat may take.
         """
-        jobs = self._scheduler.jobs.expired(before_ms, MOST_REMOVED)
+        jobs = self._scheduler.jobs.expired(before_ms, MAX_JOBS_PER_REMOVAL)
         if not jobs:
             return False
         keys = tuple(key(name) for name in jobs for key in (job_key, cancel_key, progress_key))
@@ -177,9 +179,11 @@
             logger.debug("old jobs not removed", service=self._term.service, error=str(error))
             return False
         self._scheduler.jobs.forget(jobs)
-        return len(jobs) == MOST_REMOVED
+        return len(jobs) == MAX_JOBS_PER_REMOVAL
 
-    async def _left_behind(self, key: str, decode: Callable[[bytes], _Value]) -> _Value | None:
+    async def _read_stored_value(
+        self, key: str, decode: Callable[[bytes], _Value]
+    ) -> _Value | None:
         """Return what an earlier owner stored under a key, or None if missing or not readable."""
         item = await self._store.read(key)
         if item is None:
@@ -192,14 +196,14 @@
             logger.error("state of an earlier owner not readable", key=key, error=str(error))
             return None
 
-    async def _gather(self) -> None:
+    async def _wait_for_batch(self) -> None:
         """Wait for more changes, unless executors have to be stored before they can get runs."""
-        with trio.move_on_after(GATHER_SECONDS):
+        with trio.move_on_after(WRITE_BATCH_SECONDS):
             while not self._scheduler.executors_changed:
                 await self._changed.wait()
                 self._changed = trio.Event()
 
-    def _put_back(self, executors: tuple[ExecutorRegistration, ...] | None) -> None:
+    def _restore_unstored(self, executors: tuple[ExecutorRegistration, ...] | None) -> None:
         self._scheduler.jobs.changes.put_back()
         if executors is not None:
             self._scheduler.executors_not_stored()
@@ -211,8 +215,8 @@
 
     def _pending_to_store(self) -> dict[str, int] | None:
         pending = {str(queue): n for queue, n in self._scheduler.jobs.pending().items()}
-        due = trio.current_time() - self._pending_at >= PENDING_SECONDS
-        return pending if due and pending != self._pending else None
+        due = trio.current_time() - self._pending_at >= PENDING_INTERVAL_SECONDS
+        return pending if due and pending != self._stored_pending else None
 
     async def _write(
         self,
@@ -221,8 +225,8 @@
         executors: tuple[ExecutorRegistration, ...] | None,
     ) -> None:
         service = self._term.service
-        self._number += 1
-        mark = f"{self._term.number}.{self._number}".encode("ascii")
+        self._write_count += 1
+        mark = f"{self._term.number}.{self._write_count}".encode("ascii")
         puts = [Put(journal_key(service), mark)]
         for name in jobs:
             job = self._scheduler.jobs.get(name)
@@ -230,7 +234,7 @@
                 puts.append(Put(progress_key(name), encode_progress(job.stored())))
         if pending is not None:
             puts.append(Put(pending_key(service), msgspec.json.encode(pending)))
-        if trio.current_time() - self._learned_at >= LEARNED_SECONDS:
+        if trio.current_time() - self._learned_at >= LEARNED_INTERVAL_SECONDS:
             # If this write fails, the next one follows two seconds later; no other state depends on
             # it.
             self._learned_at = trio.current_time()
@@ -239,14 +243,14 @@
             puts.append(Put(executors_key(service), encode_registrations(executors)))
         expected = {
             owner_key(service): self._term.owner_revision,
-            journal_key(service): self._written,
+            journal_key(service): self._last_write,
         }
-        self._written = await self._store.commit(expected, tuple(puts))
+        self._last_write = await self._store.commit(expected, tuple(puts))
 
-    def _settle(self, error: TransactionConflictError) -> None:
+    def _resolve_conflict(self, error: TransactionConflictError) -> None:
         """Resolve a conflict, caused either by an own write that got no answer or by a new owner."""
         owner = error.found.get(owner_key(self._term.service))
         if owner is None or owner.revision != self._term.owner_revision:
             raise OwnershipLostError("another owner has taken over, or the lease has ended")
-        last = error.found.get(journal_key(self._term.service))
-        self._written = last.revision if last is not None else Revision(0)
+        journal_item = error.found.get(journal_key(self._term.service))
+        self._last_write = journal_item.revision if journal_item is not None else Revision(0)
--- a/fireflyfork/programs/_service_lease.py
+++ b/fireflyfork/programs/_service_lease.py
@@ -28,13 +28,13 @@
 failure of an owner and the next start of a task."""
 RENEW_SECONDS = 0.3
 """Three renewals may be lost before the lease ends. Each costs a tenth of a read."""
-FOLLOW_SECONDS = 2.0
+WATCH_SECONDS = 2.0
 """How long one request for changes waits.
 
 A failed connection is noticed after this time, and one call every two seconds costs almost nothing.
 """
 RETRY_SECONDS = 0.15
-SPREAD_SECONDS = 0.03
+BID_JITTER_SECONDS = 0.03
 """Range of the random delay of bids, which lets one write usually settle the ownership."""
 
 
@@ -89,13 +89,13 @@
         self._random = random
         self._announcements = announcements
 
-    async def win(self) -> Term:
+    async def acquire(self) -> Term:
         """Wait until the service is vacant and acquire its ownership."""
         while True:
             try:
                 await self._wait_vacant()
-                await trio.sleep(await self._delay())
-                term = await self._take()
+                await trio.sleep(await self._bid_delay())
+                term = await self._write_owner_key()
             except StoreConflictError:
                 continue
             except StoreError as error:
@@ -121,7 +121,7 @@
                 logger.debug("lease not renewed", service=self._service, error=str(error))
             await trio.sleep(RENEW_SECONDS)
 
-    async def resign(self, term: Term) -> None:
+    async def release(self, term: Term) -> None:
         """Remove the owner key, so that the service is vacant at once."""
         key = owner_key(self._service)
         try:
@@ -132,9 +132,9 @@
     async def _wait_vacant(self) -> None:
         key = owner_key(self._service)
         while True:
-            begun = self._clock.now()
+            sent_at = self._clock.now()
             listing = await self._store.list(key)
-            self._announcements.note_round_trip(self._clock.now() - begun)
+            self._announcements.note_round_trip(self._clock.now() - sent_at)
             if all(item.key != key for item in listing.items):
                 return
             # The watch starts at the listing, not at the revision of the owner key, which the store
@@ -145,28 +145,31 @@
     async def _wait_removed(self, key: str, after: Revision) -> bool:
         while True:
             try:
-                answer = await self._store.changes(key, after, FOLLOW_SECONDS)
+                answer = await self._store.changes(key, after, WATCH_SECONDS)
             except StoreHistoryLostError:
                 return False
-            own = [change for change in answer.changes if change.key == key]
-            if own and own[-1].item is None:
+            owner_changes = [change for change in answer.changes if change.key == key]
+            if owner_changes and owner_changes[-1].item is None:
                 return True
             after = max(after, answer.as_of)
 
-    async def _delay(self) -> float:
-        others = await self._announcements.others()
-        spread = self._random.random() * SPREAD_SECONDS
+    async def _bid_delay(self) -> float:
+        others = await self._announcements.list_instances()
+        spread = self._random.random() * BID_JITTER_SECONDS
         return bid_delay(self._announcements.own, others) + spread
 
-    async def _take(self) -> Term | None:
-        key, terms = owner_key(self._service), term_key(self._service)
-        last = await self._store.read(terms)
-        number = int(last.value) + 1 if last is not None else 1
+    async def _write_owner_key(self) -> Term | None:
+        key, counter_key = owner_key(self._service), term_key(self._service)
+        stored_number = await self._store.read(counter_key)
+        number = int(stored_number.value) + 1 if stored_number is not None else 1
         lease = await self._store.grant_lease(LEASE_SECONDS)
         record = OwnerRecord(self._node, f"{self._random.getrandbits(64):016x}")
         value = msgspec.json.encode(record)
-        expected = {key: Revision(0), terms: last.revision if last is not None else Revision(0)}
-        puts = (Put(key, value, lease), Put(terms, str(number).encode("ascii")))
+        expected = {
+            key: Revision(0),
+            counter_key: stored_number.revision if stored_number is not None else Revision(0),
+        }
+        puts = (Put(key, value, lease), Put(counter_key, str(number).encode("ascii")))
         try:
             revision = await self._store.commit(expected, puts)
         except StoreUnavailableError:
--- a/fireflyfork/programs/_service_owner.py
+++ b/fireflyfork/programs/_service_owner.py
@@ -28,10 +28,10 @@
 from ._announcements import Announcements
 from ._clocks import Clock
 from ._decision_log import DecisionLog
-from ._executor_polls import ORPHANED_LEASE_SECONDS, ExecutorPolls
+from ._executor_polls import MAX_UNCONFIRMED_SECONDS, ExecutorPolls
+from ._external_clients import ExternalClients
 from ._metrics import Metrics
-from ._outside import Outside
-from ._recovery_reads import read_left_behind, until_answered
+from ._recovery_reads import read_recovery_state, retry_until_answered
 from ._registration_intake import RegistrationIntake
 from ._run_orders import RunOrders
 from ._scheduling_keys import owner_key
@@ -46,9 +46,9 @@
 
 The lease has to outlast a change of owner, about 2 s, and an outage of the store of 4 or 5 s. Tasks
 on an executor that is cut off can't run elsewhere before it ends."""
-LEASE_SHARE = 0.95
+MAX_LEASE_SHARE = 0.95
 """Limits the lease to this share of the platform's longest lease."""
-UNHEARD_MARGIN_SECONDS = 0.5
+CLOCK_MARGIN_SECONDS = 0.5
 """Margin for the clocks of executors, which may be 2% slow."""
 HAND_OVER_SECONDS = 0.6
 """Time to store pending changes before a planned hand-over: several writes of 5 ms each."""
@@ -63,12 +63,12 @@
 notices."""
 PROOF_RETRY_SECONDS = 0.5
 """Interval of attempts to read the owner key while the store doesn't answer; calls are paid for."""
-ROUND_REST = 3.0
+ROUND_REST_FACTOR = 3.0
 """Length of the rest after a round of placing, as a multiple of the round's own length.
 
 Rounds thus take at most a quarter of the loop's time. Changes during the rest are handled together
 in the next round."""
-LONGEST_ROUND_REST_SECONDS = 0.03
+MAX_ROUND_REST_SECONDS = 0.03
 
 
 class ServiceOwner:
@@ -78,7 +78,7 @@
         self,
         term: Term,
         node: NodeName,
-        outside: Outside,
+        clients: ExternalClients,
         clock: Clock,
         metrics: Metrics,
         bounds: PlatformBounds,
@@ -94,21 +94,23 @@
         metrics.count("fireflyfork_ownerships_total", service=term.service)
         self._term = term
         self._service: ServiceName = term.service
-        self._store = outside.store
-        self._calls = RelayedExecutors(outside.executors, outside.loop_time, outside.relay_traffic)
-        self._advisor = outside.advisor
-        self._profile = outside.loop_profile
-        self._loop_time = outside.loop_time
+        self._store = clients.store
+        self._calls = RelayedExecutors(clients.executors, clients.loop_time, clients.relay_traffic)
+        self._advisor = clients.advisor
+        self._profile = clients.loop_profile
+        self._loop_time = clients.loop_time
         self._metrics = metrics
         self._clock = clock
         self._queues = queues
         self._retention = bounds.status_retention + RETENTION_MARGIN_SECONDS
-        lease = min(LEASE_SECONDS, bounds.longest_lease * LEASE_SHARE)
-        unheard = ORPHANED_LEASE_SECONDS + lease + UNHEARD_MARGIN_SECONDS
-        self._scheduler = Scheduler(SchedulerTerms(self._service, unheard, lease))
-        self._journal = ServiceJournal(self._store, term, self._scheduler, self._confirmed)
+        lease = min(LEASE_SECONDS, bounds.longest_lease * MAX_LEASE_SHARE)
+        unheard_seconds = MAX_UNCONFIRMED_SECONDS + lease + CLOCK_MARGIN_SECONDS
+        self._scheduler = Scheduler(SchedulerTerms(self._service, unheard_seconds, lease))
+        self._journal = ServiceJournal(
+            self._store, term, self._scheduler, self._note_journal_written
+        )
         self._upkeep = UpkeepDuty(
-            self._store, outside.machines, self._scheduler, term, node, clock, waves
+            self._store, clients.machines, self._scheduler, term, node, clock, waves
         )
         self._polls = ExecutorPolls(
             self._scheduler,
@@ -117,36 +119,41 @@
             term,
             clock,
             lease,
-            lambda: self._known_owner_at,
-            self.kick,
-            outside.loop_time,
+            lambda: self._confirmed_owner_at,
+            self.request_dispatch,
+            clients.loop_time,
         )
         self._work_intake = WorkIntake(
-            self._store, self._scheduler, term, clock, self._note_ownership, self.kick
+            self._store, self._scheduler, term, clock, self._note_ownership, self.request_dispatch
         )
         self._registrations = RegistrationIntake(
-            self._store, self._scheduler, self._service, clock, self._polls.attend, self.kick
+            self._store,
+            self._scheduler,
+            self._service,
+            clock,
+            self._polls.wake_unless_idle,
+            self.request_dispatch,
         )
         self._succession = Succession(
             self._service, node, announcements, self._calls, lambda: len(self._scheduler.executors)
         )
         self._ready = False
-        self._log = DecisionLog(clock, self._service, metrics)
+        self._decision_log = DecisionLog(clock, self._service, metrics)
         # Recovery reads don't confirm the ownership: over a thin link they take seconds, and their
         # answers may be old when they arrive.
-        self._known_owner_at = clock.now()
+        self._confirmed_owner_at = clock.now()
         self._proving = False
-        self._work = trio.Event()
+        self._dispatch_requested = trio.Event()
         self._resigning = False
-        self._polled: set[ExecutorState] = set()
+        self._polled_executors: set[ExecutorState] = set()
         self._orders = RunOrders(
             self._scheduler,
             self._calls,
             self._polls,
             term.token,
             clock,
-            self.kick,
-            outside.loop_time,
+            self.request_dispatch,
+            clients.loop_time,
         )
 
     @property
@@ -159,14 +166,14 @@
         """The scheduler of this owner, for status and metrics."""
         return self._scheduler
 
-    def kick(self) -> None:
+    def request_dispatch(self) -> None:
         """Request a round of placing and sending of orders, after a change."""
-        self._work.set()
+        self._dispatch_requested.set()
 
     def configure(self, queues: QueueTable) -> None:
         """Apply a newer version of the configuration."""
         self._scheduler.configure(queues)
-        self.kick()
+        self.request_dispatch()
 
     def _note_ownership(self) -> None:
         """Record that the store has just shown this instance to be the owner.
@@ -175,13 +182,13 @@
         arriving while the one that reports a successor is delayed, and the owner would renew leases
         for longer than its successor waits.
         """
-        self._known_owner_at = self._clock.now()
+        self._confirmed_owner_at = self._clock.now()
 
-    def _confirmed(self, executors: bool) -> None:
+    def _note_journal_written(self, executors: bool) -> None:
         """Record a write of the journal, which only the owner can make."""
         self._note_ownership()
         if executors:
-            self.kick()
+            self.request_dispatch()
 
     async def run(self) -> None:
         """Recover and work until ownership or recovery is given up, or ``resign`` is called."""
@@ -192,18 +199,18 @@
                         self._succession.watch_recovery, lambda: self._ready, recovery
                     )
                     asked_at = self._clock.now()
-                    work, servers_revision = await self._recover()
+                    work_listing, registrations_revision = await self._recover()
                     self._ready = True
                 if not self._ready:
                     return
                 # The watch continues after this listing, so it never reports a successor that the
                 # listing includes.
-                self._work_intake.require_ownership(work)
+                self._work_intake.require_ownership(work_listing)
                 # The listing shows that there was no other owner when it was requested.
                 self._scheduler.note_ownership(asked_at)
                 nursery.start_soon(self._journal.run)
-                nursery.start_soon(self._work_intake.watch().run, work.as_of)
-                nursery.start_soon(self._registrations.watch().run, servers_revision)
+                nursery.start_soon(self._work_intake.watch().run, work_listing.as_of)
+                nursery.start_soon(self._registrations.watch().run, registrations_revision)
                 nursery.start_soon(self._tick, nursery)
                 nursery.start_soon(self._remove_old_jobs)
                 nursery.start_soon(self._upkeep.run)
@@ -224,7 +231,7 @@
         that aren't processed stay on the executors' lists for the next owner.
         """
         self._resigning = True
-        self._polls.end()
+        self._polls.stop()
         with trio.move_on_after(seconds):
             try:
                 while len(self._scheduler.jobs.changes):
@@ -232,19 +239,19 @@
                     await self._journal.wait_stored(seconds)
             except StoreError as error:
                 logger.info("handed over with unstored changes", error=str(error))
-        self.kick()
+        self.request_dispatch()
 
     async def _recover(self) -> tuple[StoreListing, Revision]:
-        begun = self._clock.now()
-        left = await read_left_behind(self._store, self._journal)
-        jobs = self._work_intake.stored_jobs(left.work.items, left.progress.items)
+        started_at = self._clock.now()
+        state = await read_recovery_state(self._store, self._journal)
+        jobs = self._work_intake.stored_jobs(state.work.items, state.progress.items)
         now, now_ms = self._clock.now(), self._clock.unix_ms()
         self._scheduler.configure(self._queues())
-        self._scheduler.adopt(left.learned)
-        registrations = self._registrations.stored(left.registrations.items)
-        self._scheduler.recover(jobs, registrations, left.last_known, now, now_ms)
-        await until_answered("upkeep", self._upkeep.recover)
-        self._work_intake.take_cancellations(left.work.items)
+        self._scheduler.adopt(state.learned)
+        registrations = self._registrations.service_registrations(state.registrations.items)
+        self._scheduler.recover(jobs, registrations, state.last_known, now, now_ms)
+        await retry_until_answered("upkeep", self._upkeep.recover)
+        self._work_intake.take_cancellations(state.work.items)
         logger.info(
             "took ownership",
             service=self._service,
@@ -252,10 +259,10 @@
             token=self._term.token,
             jobs=len(self._scheduler.jobs),
             executors=len(registrations),
-            seconds=round(self._clock.now() - begun, 3),
+            seconds=round(self._clock.now() - started_at, 3),
         )
-        self.kick()
-        return left.work, left.registrations.as_of
+        self.request_dispatch()
+        return state.work, state.registrations.as_of
 
     async def _tick(self, nursery: trio.Nursery) -> None:
         while True:
@@ -265,13 +272,13 @@
                 self._scheduler.check_time(self._clock.now(), self._clock.unix_ms())
             if self._scheduler.wants_proof(self._clock.now()) and not self._proving:
                 nursery.start_soon(self._prove_ownership)
-            self.kick()
+            self.request_dispatch()
 
     def _shed_load(self) -> None:
         """Skip or reduce deferrable work while the event loop is late."""
-        lag, before = self._loop_time.lag, self._scheduler.shed
+        lag, previous = self._loop_time.lag, self._scheduler.shed
         shed = self._scheduler.note_lag(lag)
-        if shed is before:
+        if shed is previous:
             return
         self._metrics.count(
             "fireflyfork_load_shed_total", service=self._service, level=shed.name.lower()
@@ -308,32 +315,32 @@
 
     async def _dispatch(self, nursery: trio.Nursery) -> None:
         while not self._resigning:
-            await self._work.wait()
-            self._work = trio.Event()
-            begun = self._clock.now()
+            await self._dispatch_requested.wait()
+            self._dispatch_requested = trio.Event()
+            started_at = self._clock.now()
             for executor in self._scheduler.take_new_executors():
-                if executor not in self._polled:
-                    self._polled.add(executor)
+                if executor not in self._polled_executors:
+                    self._polled_executors.add(executor)
                     nursery.start_soon(self._keep_polling, executor)
             if not self._resigning:
                 with self._profile.section("placing"):
-                    self._scheduler.place(begun, self._clock.unix_ms())
+                    self._scheduler.place(started_at, self._clock.unix_ms())
             for command in self._scheduler.take_commands():
                 if isinstance(command, AskAdvice):
                     nursery.start_soon(self._ask_advice, command)
                 else:
                     nursery.start_soon(self._orders.carry_out, command)
             with self._profile.section("log of decisions"):
-                self._log.write(self._scheduler.take_notes())
+                self._decision_log.write(self._scheduler.take_notes())
             self._journal.notify()
-            spent = self._clock.now() - begun
-            await trio.sleep(min(ROUND_REST * spent, LONGEST_ROUND_REST_SECONDS))
+            round_seconds = self._clock.now() - started_at
+            await trio.sleep(min(ROUND_REST_FACTOR * round_seconds, MAX_ROUND_REST_SECONDS))
 
     async def _keep_polling(self, executor: ExecutorState) -> None:
         try:
             await self._polls.run(executor)
         finally:
-            self._polled.discard(executor)
+            self._polled_executors.discard(executor)
             self._orders.forget(executor)
 
     async def _ask_advice(self, question: AskAdvice) -> None:
@@ -344,7 +351,7 @@
         else:
             seconds = advice.valid_seconds
             self._scheduler.advised(question, advice.tickets, seconds, now, now_ms)
-        self.kick()
+        self.request_dispatch()
 
 
 def _first_reason(errors: ExceptionGroup[OwnershipLostError]) -> str:
--- a/fireflyfork/programs/_succession.py
+++ b/fireflyfork/programs/_succession.py
@@ -14,7 +14,7 @@
 from ..decisions.jobs import Standing, can_do_better, choose_relays, should_hand_over
 from ._announcements import Announcements
 
-RECOVERY_SECONDS = 4.0
+RECOVERY_CHECK_SECONDS = 4.0
 """Period after which a recovery is checked for an instance that could complete it sooner.
 
 A capable instance recovers within 0.3 s, or within 2 s while the store is a hundred times slower
@@ -55,39 +55,41 @@
         to transfer the stored state.
         """
         for periods in count(1):
-            await trio.sleep(RECOVERY_SECONDS)
+            await trio.sleep(RECOVERY_CHECK_SECONDS)
             if ready():
                 return
-            own = self._announcements.capable
-            others = [one for one in await self._announced() if one.node != own.node]
+            own = self._announcements.unpenalized
+            others = [
+                instance for instance in await self._list_instances() if instance.node != own.node
+            ]
             # If the ownership were given up to an equal a second time, the service would be passed
             # around among slow instances forever.
-            equals = periods >= PERIODS_FOR_EQUALS and not self._announcements.shaken
-            if can_do_better(own, others, equals):
+            accept_equals = periods >= PERIODS_FOR_EQUALS and not self._announcements.penalized
+            if can_do_better(own, others, accept_equals):
                 logger.warning(
                     "ownership given up: recovery takes too long",
                     service=self._service,
-                    seconds=periods * RECOVERY_SECONDS,
+                    seconds=periods * RECOVERY_CHECK_SECONDS,
                 )
                 recovery.cancel()
                 return
 
     async def follow_others(self, resign: Callable[[], Awaitable[None]]) -> None:
         """Use other instances as relays. Resign once one of them could do the work far better."""
-        self._use_relays(await self._announced())
+        self._use_relays(await self._list_instances())
         while True:
             await trio.sleep(HAND_OVER_CHECK_SECONDS)
-            own, others = self._announcements.own, await self._announced()
+            own, others = self._announcements.own, await self._list_instances()
             if should_hand_over(own, others):
                 logger.info("handing over", service=self._service, strength=own.strength)
                 await resign()
                 return
             self._use_relays(others)
 
-    async def _announced(self) -> list[Standing]:
+    async def _list_instances(self) -> list[Standing]:
         """Return all instances' announcements, or an empty list if the store doesn't answer."""
         try:
-            return await self._announcements.others()
+            return await self._announcements.list_instances()
         except StoreError as error:
             logger.debug("other instances not listed", error=str(error))
             return []
@@ -97,7 +99,7 @@
         if others:
             chosen = choose_relays(self._node, others, self._executors())
             self._calls.use(
-                RelayPlace(one.node, one.failure_domain, one.relay)
-                for one in chosen
-                if one.relay is not None and one.failure_domain is not None
+                RelayPlace(instance.node, instance.failure_domain, instance.relay)
+                for instance in chosen
+                if instance.relay is not None and instance.failure_domain is not None
             )
--- a/fireflyfork/programs/_unstored_changes.py
+++ b/fireflyfork/programs/_unstored_changes.py
@@ -35,14 +35,14 @@
 
     def append(self, changes: Iterable[DurableChange]) -> None:
         """Append changes to the queue."""
-        before = len(self._waiting)
+        previous_length = len(self._waiting)
         self._waiting.extend(changes)
-        self._last += len(self._waiting) - before
+        self._last += len(self._waiting) - previous_length
 
-    def take(self, most: int) -> tuple[DurableChange, ...]:
+    def take(self, limit: int) -> tuple[DurableChange, ...]:
         """Remove and return the first ``limit`` changes, to be stored."""
-        taken = tuple(self._waiting[:most])
-        del self._waiting[:most]
+        taken = tuple(self._waiting[:limit])
+        del self._waiting[:limit]
         return taken
 
     def note_stored(self, count: int) -> None:
--- a/fireflyfork/programs/_upkeep_duty.py
+++ b/fireflyfork/programs/_upkeep_duty.py
@@ -28,7 +28,7 @@
 from ._service_journal import OwnershipLostError
 from ._service_lease import Term
 
-STEP_SECONDS = 0.5
+LIST_INTERVAL_SECONDS = 0.5
 """Interval at which machines are listed while a wave is open.
 
 The upkeep of a machine takes about 2 s, and the platform limits the rate of requests."""
@@ -60,7 +60,7 @@
         self._node = node
         self._clock = clock
         self._waves = waves
-        self._over: set[int] = set()
+        self._finished: set[int] = set()
         self._reported: set[int] = set()
 
     async def recover(self) -> None:
@@ -68,39 +68,39 @@
         if not self._waves():
             return
         listing = await self._store.list(UPKEEP_PREFIX)
-        marks = ((item.key.rpartition("/")[2], _mark_of(item)) for item in listing.items)
-        known = [(MachineId(name), mark) for name, mark in marks if mark is not None]
-        self._scheduler.recover_upkeep(known, self._clock.now())
+        marks = ((item.key.rpartition("/")[2], _decode_mark(item)) for item in listing.items)
+        known_marks = [(MachineId(name), mark) for name, mark in marks if mark is not None]
+        self._scheduler.recover_upkeep(known_marks, self._clock.now())
 
     async def run(self) -> None:
         """Carry out waves until cancelled. Raises OwnershipLostError."""
         while True:
-            await trio.sleep(STEP_SECONDS)
-            waves = [wave for wave in self._waves() if wave.number not in self._over]
+            await trio.sleep(LIST_INTERVAL_SECONDS)
+            waves = [wave for wave in self._waves() if wave.number not in self._finished]
             if not waves:
                 # A wave may be withdrawn while machines are emptied for it; they become available
                 # for work again.
                 self._scheduler.next_upkeep((), self._clock.now())
                 continue
             try:
-                await self._step(waves)
+                await self._process_waves(waves)
             except TransactionConflictError as error:
                 raise OwnershipLostError("another owner has taken over") from error
             except StoreError as error:
                 logger.info("upkeep waits for the store", error=str(error))
 
-    async def _step(self, waves: list[UpkeepWave]) -> None:
-        begun = self._clock.now()
+    async def _process_waves(self, waves: list[UpkeepWave]) -> None:
+        started_at = self._clock.now()
         listed = await self._machines.list()
         if listed is None:
             return
-        machines = {one.machine: one for one in listed}
+        machines = {listing.machine: listing for listing in listed}
         views = [await self._view(wave, machines) for wave in waves]
         for view in views:
             await self._report(view)
-        open_views = [view for view in views if view.wave.number not in self._over]
+        open_views = [view for view in views if view.wave.number not in self._finished]
         for wave, machine in self._scheduler.next_upkeep(open_views, self._clock.now()):
-            stale = self._clock.now() - begun > STEP_SECONDS
+            stale = self._clock.now() - started_at > LIST_INTERVAL_SECONDS
             if stale or not await self._order(wave, machines[machine]):
                 # The remaining machines were selected from a listing that is seconds old, in which
                 # a machine that is back at work may still be down.
@@ -112,7 +112,7 @@
         marks = {
             MachineId(item.key.removeprefix(prefix)): mark
             for item in listing.items
-            if (mark := _mark_of(item)) is not None
+            if (mark := _decode_mark(item)) is not None
         }
         return WaveView(wave, machines, marks)
 
@@ -122,11 +122,11 @@
         if not over and number in self._reported:
             return
         key = wave_status_key(number)
-        known = await self._store.read(key)
-        if known is not None and reports_over(known.value):
-            self._over.add(number)
+        stored_status = await self._store.read(key)
+        if stored_status is not None and reports_over(stored_status.value):
+            self._finished.add(number)
             return
-        expected = {key: known.revision if known is not None else Revision(0)}
+        expected = {key: stored_status.revision if stored_status is not None else Revision(0)}
         try:
             await self._store.commit(expected, (Put(key, encode_wave_status(over)),))
         except TransactionConflictError:
@@ -135,7 +135,7 @@
         logger.info("upkeep wave", wave=number, over=over, machines=len(view.wave.machines))
         self._reported.add(number)
         if over:
-            self._over.add(number)
+            self._finished.add(number)
 
     async def _order(self, wave: int, listed: MachineListing) -> bool:
         """Order a machine down. Return False if there was no answer."""
@@ -155,7 +155,7 @@
         await self._store.commit(expected, (put,))
 
 
-def _mark_of(item: StoredItem) -> UpkeepMark | None:
+def _decode_mark(item: StoredItem) -> UpkeepMark | None:
     """Decode a mark, or return None if it isn't readable; its machine is then ordered down again."""
     try:
         return decode_upkeep_mark(item.value)
--- a/fireflyfork/programs/_work_intake.py
+++ b/fireflyfork/programs/_work_intake.py
@@ -36,7 +36,7 @@
         term: Term,
         clock: Clock,
         note_ownership: Callable[[], None],
-        kick: Callable[[], None],
+        request_dispatch: Callable[[], None],
     ) -> None:
         """Set up the intake; no call is made.
 
@@ -48,7 +48,7 @@
         self._term = term
         self._clock = clock
         self._note_ownership = note_ownership
-        self._kick = kick
+        self._request_dispatch = request_dispatch
 
     def watch(self) -> PrefixWatch:
         """Return a watch that passes changes to the scheduler.
@@ -63,21 +63,23 @@
             self._take_change,
             self._note_ownership,
             now=self._clock.now,
-            heard=self._scheduler.note_ownership,
+            on_confirmed=self._scheduler.note_ownership,
         )
 
     def stored_jobs(
         self, work: Iterable[StoredItem], progress: Iterable[StoredItem]
     ) -> tuple[tuple[JobSpec, StoredProgress | None], ...]:
         """Return the service's jobs with their progress. Unreadable items are logged and skipped."""
-        known: dict[str, StoredProgress] = {}
+        progress_by_job: dict[str, StoredProgress] = {}
         for item in progress:
             try:
-                known[item.key.removeprefix(PROGRESS_PREFIX)] = decode_progress(item.value)
+                progress_by_job[item.key.removeprefix(PROGRESS_PREFIX)] = decode_progress(
+                    item.value
+                )
             except StoredFormatError as error:
                 logger.error("progress not readable", key=item.key, error=str(error))
-        jobs = (self._job(item) for item in work if item.key.startswith(JOB_PREFIX))
-        return tuple((spec, known.get(spec.job)) for spec in jobs if spec is not None)
+        jobs = (self._decode_job(item) for item in work if item.key.startswith(JOB_PREFIX))
+        return tuple((spec, progress_by_job.get(spec.job)) for spec in jobs if spec is not None)
 
     def take_cancellations(self, work: Iterable[StoredItem]) -> None:
         """Pass the cancellations among stored items to the scheduler."""
@@ -99,10 +101,10 @@
         without any confirmation. The owner key is on the last page of a listing: if it is still
         this owner's key, this instance also owned the jobs on the earlier pages.
         """
-        own = [item for item in listing.items if item.key == owner_key(self._term.service)]
-        if not own:
+        owner_items = [item for item in listing.items if item.key == owner_key(self._term.service)]
+        if not owner_items:
             raise OwnershipLostError("the owner key was removed")
-        if own[0].revision != self._term.owner_revision:
+        if owner_items[0].revision != self._term.owner_revision:
             raise OwnershipLostError("the owner key was replaced")
 
     def _take_change(self, change: StoreChange) -> None:
@@ -117,12 +119,12 @@
             self._cancel(change.key)
 
     def _accept(self, item: StoredItem) -> None:
-        spec = self._job(item)
+        spec = self._decode_job(item)
         if spec is not None:
             self._scheduler.accept(spec, self._clock.unix_ms())
-            self._kick()
+            self._request_dispatch()
 
-    def _job(self, item: StoredItem) -> JobSpec | None:
+    def _decode_job(self, item: StoredItem) -> JobSpec | None:
         try:
             spec = decode_stored_job(item.value)
         except StoredFormatError as error:
@@ -133,4 +135,4 @@
     def _cancel(self, key: str) -> None:
         job = JobId(key.removeprefix(CANCEL_PREFIX))
         self._scheduler.cancel(job, self._clock.now(), self._clock.unix_ms())
-        self._kick()
+        self._request_dispatch()
--- a/fireflyfork/programs/scheduler.py
+++ b/fireflyfork/programs/scheduler.py
@@ -26,8 +26,8 @@
     settings_path,
 )
 from ._clocks import SystemClock
+from ._external_clients import ExternalClients
 from ._logs import configure_logs
-from ._outside import Outside
 from ._scheduler_node import SchedulerNode
 
 
@@ -43,7 +43,7 @@
     loop_time = LoopTime()
     relay_calls = partial(PlatformExecutors, loop_time)
     executors = relay_calls()
-    outside = Outside(
+    clients = ExternalClients(
         store,
         executors,
         advisor,
@@ -52,7 +52,7 @@
         relay_calls,
         replica_peers=SocketReplicaPeers(loop_time),
     )
-    node = SchedulerNode(settings, outside, clock, random)
+    node = SchedulerNode(settings, clients, clock, random)
     stop = trio.Event()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_stop_on_signal, stop)
--- a/fireflyfork/programs/tests/builders_callers.py
+++ b/fireflyfork/programs/tests/builders_callers.py
@@ -79,7 +79,7 @@
     )
 
 
-async def seen(instance: CallerInstance, queue: str, seconds: float) -> list[int]:
+async def request_statuses(instance: CallerInstance, queue: str, seconds: float) -> list[int]:
     """Request a queue ten times a second for ``seconds`` and return the statuses of the answers."""
     statuses = []
     for _ in range(round(seconds * 10)):
--- a/fireflyfork/programs/tests/builders_journal.py
+++ b/fireflyfork/programs/tests/builders_journal.py
@@ -22,51 +22,51 @@
 from ...adapters import CoordinationStore, Put, StoreChanges, StoredItem, StoreListing
 
 
-class WriteFate(Enum):
+class WriteBehavior(Enum):
     """How the store handles a write."""
 
     DONE = "done"
     REFUSED = "refused"
-    DONE_UNHEARD = "done, without an answer"
+    DONE_UNANSWERED = "done, without an answer"
     LATE = "no answer, and carried out later if its condition still holds"
     NEVER = "no answer, and never carried out"
     TWICE = "done, and once more later"
     CANCELLED = "done, and whoever waited is gone"
 
 
-_DELAYED = (WriteFate.LATE, WriteFate.TWICE)
+_DELAYED_WRITES = (WriteBehavior.LATE, WriteBehavior.TWICE)
 
 
-class FatefulStore(CoordinationStore):
+class FaultyStore(CoordinationStore):
     """A client that handles writes as ``behavior`` says."""
 
     def __init__(self) -> None:
         """Create an empty store that executes all writes."""
-        self.fate = WriteFate.DONE
-        self.kept = StandInStore(Random(1))
-        self._late: deque[tuple[dict[str, Revision], tuple[Put, ...]]] = deque()
+        self.behavior = WriteBehavior.DONE
+        self.backing = StandInStore(Random(1))
+        self._delayed: deque[tuple[dict[str, Revision], tuple[Put, ...]]] = deque()
 
     @property
     def answers(self) -> bool:
         """See CoordinationStore."""
         return True
 
-    def carry_out_late(self) -> None:
+    def execute_delayed(self) -> None:
         """Execute the oldest delayed write, if there is one."""
-        if self._late:
-            self._try(*self._late.popleft())
+        if self._delayed:
+            self._try(*self._delayed.popleft())
 
     async def read(self, key: str) -> StoredItem | None:
         """See CoordinationStore."""
-        return self.kept.get(key)
+        return self.backing.get(key)
 
     async def list(self, prefix: str) -> StoreListing:
         """See CoordinationStore."""
-        return StoreListing(self.kept.under(prefix), self.kept.revision)
+        return StoreListing(self.backing.under(prefix), self.backing.revision)
 
     async def changes(self, prefix: str, after: Revision, wait_seconds: float) -> StoreChanges:
         """See CoordinationStore."""
-        return StoreChanges(self.kept.changes_after(prefix, after), self.kept.revision)
+        return StoreChanges(self.backing.changes_after(prefix, after), self.backing.revision)
 
     async def commit(
         self,
@@ -75,24 +75,24 @@
         removals: tuple[str, ...] = (),
     ) -> Revision:
         """See CoordinationStore."""
-        fate = self.fate
-        if fate is WriteFate.REFUSED:
+        behavior = self.behavior
+        if behavior is WriteBehavior.REFUSED:
             raise StoreRefusedError("refused by the test")
-        if fate in _DELAYED:
-            self._late.append((expected, puts))
-        if fate in (WriteFate.LATE, WriteFate.NEVER):
+        if behavior in _DELAYED_WRITES:
+            self._delayed.append((expected, puts))
+        if behavior in (WriteBehavior.LATE, WriteBehavior.NEVER):
             raise StoreUnavailableError("no answer")
-        if fate is WriteFate.DONE_UNHEARD:
+        if behavior is WriteBehavior.DONE_UNANSWERED:
             self._try(expected, puts)
             raise StoreUnavailableError("the answer was lost")
-        revision = self.kept.apply(expected, puts, removals)
-        if fate is WriteFate.CANCELLED:
+        revision = self.backing.apply(expected, puts, removals)
+        if behavior is WriteBehavior.CANCELLED:
             await trio.sleep_forever()
         return revision
 
     async def grant_lease(self, seconds: float) -> LeaseId:
         """See CoordinationStore."""
-        return self.kept.grant(seconds)
+        return self.backing.grant(seconds)
 
     async def keep_lease(self, lease: LeaseId) -> None:
         """See CoordinationStore."""
@@ -102,10 +102,10 @@
 
     def _try(self, expected: dict[str, Revision], puts: tuple[Put, ...]) -> None:
         with suppress(TransactionConflictError, LeaseEndedError):
-            self.kept.apply(expected, puts, ())
+            self.backing.apply(expected, puts, ())
 
 
-class CountedStore(FatefulStore):
+class FixedCountersStore(FaultyStore):
     """A client whose traffic counters are set by the test."""
 
     def __init__(self) -> None:
--- a/fireflyfork/programs/tests/builders_owner.py
+++ b/fireflyfork/programs/tests/builders_owner.py
@@ -16,8 +16,8 @@
 from ...decisions.jobs.tests.builders_jobs import SERVICE, table
 from ...platform import PlatformBounds
 from .._announcements import Announcements
+from .._external_clients import ExternalClients
 from .._metrics import Metrics
-from .._outside import Outside
 from .._scheduling_keys import job_key, owner_key
 from .._service_lease import Term
 from .._service_owner import ServiceOwner
@@ -27,16 +27,16 @@
 BOUNDS = PlatformBounds(6.0, 0.2, 6.0, 120.0, 2.5)
 
 
-class OwnerWorld:
+class OwnerFixture:
     """A store, executors, and an owner at the start of its term."""
 
-    def __init__(self, nursery: trio.Nursery, executors: int = 1) -> None:
+    def __init__(self, nursery: trio.Nursery, executor_count: int = 1) -> None:
         """Create the parts without starting them; delayed orders are executed in ``nursery``."""
         random = Random(1)
         self.history = History()
         self.store = StandInStore(random)
         room = ExecutorRoom(8000, 16000, 0)
-        names = [EXECUTOR, *(ExecutorId(f"i-{number}") for number in range(1, executors))]
+        names = [EXECUTOR, *(ExecutorId(f"i-{number}") for number in range(1, executor_count))]
         self.executors = {
             name: StandInExecutor(name, SERVICE, room, self.store, self.history, Random(1))
             for name in names
@@ -49,7 +49,7 @@
         self.owner = ServiceOwner(
             Term(SERVICE, 1, LeaseId(0), revision),
             NODE,
-            Outside(
+            ExternalClients(
                 client,
                 calls,
                 NoAdvisor(),
@@ -65,12 +65,12 @@
             Announcements(NODE, 1.0, 1000.0, client, clock),
         )
 
-    def succeed(self) -> None:
+    def replace_owner(self) -> None:
         """End the ownership and give it to another instance."""
         self.store.remove(owner_key(SERVICE))
         self.store.put(owner_key(SERVICE), b"n-1")
 
-    def hand_in(self, spec: JobSpec) -> None:
+    def accept_job(self, spec: JobSpec) -> None:
         """Store an accepted job of a caller."""
         self.history.jobs[spec.job] = spec
         self.store.put(job_key(spec.job), encode_job(spec))
--- a/fireflyfork/programs/tests/builders_replicas.py
+++ b/fireflyfork/programs/tests/builders_replicas.py
@@ -22,7 +22,7 @@
 
 BOUND_SECONDS = 2.5
 """Maximum time until a change has to be in force."""
-NOWHERE = Address("10.0.0.1", 1)
+UNUSED_ADDRESS = Address("10.0.0.1", 1)
 
 
 def node(number: int) -> NodeName:
@@ -53,7 +53,7 @@
     )
 
 
-class Given(Upstreams):
+class FixedUpstreams(Upstreams):
     """Upstreams that the test sets."""
 
     def __init__(self, *numbers: int) -> None:
@@ -64,14 +64,14 @@
         self.far_from_store = False
 
     @property
-    def awaited(self) -> bool:
+    def worth_waiting_for(self) -> bool:
         """See Upstreams."""
         return self.far_from_store
 
     async def choose(self) -> tuple[ReplicaPlace, ...]:
         """See Upstreams."""
         await trio.sleep(self.seconds)
-        return tuple(ReplicaPlace(node(number), NOWHERE) for number in self.numbers)
+        return tuple(ReplicaPlace(node(number), UNUSED_ADDRESS) for number in self.numbers)
 
 
 class Follower:
@@ -115,16 +115,16 @@
 
     def start(self, number: int, upstreams: Upstreams) -> Follower:
         """Start an instance, whose replica is reachable at once."""
-        one = Follower(number, self, upstreams)
-        self._followers[one.node] = one
-        self.network.sources[one.node] = one.keeper.answers
-        self._nursery.start_soon(one.run)
-        return one
+        follower = Follower(number, self, upstreams)
+        self._followers[follower.node] = follower
+        self.network.sources[follower.node] = follower.keeper.replica_source
+        self._nursery.start_soon(follower.run)
+        return follower
 
-    def kill(self, one: Follower) -> None:
+    def kill(self, follower: Follower) -> None:
         """Stop an instance and make its replica unreachable."""
-        one.kill()
-        del self.network.sources[one.node]
+        follower.kill()
+        del self.network.sources[follower.node]
 
     def configure(self, version: int) -> None:
         """Write a version of the configuration as the operator."""
--- a/fireflyfork/programs/tests/builders_scheduler_node.py
+++ b/fireflyfork/programs/tests/builders_scheduler_node.py
@@ -26,7 +26,7 @@
 )
 from ...platform import CONFIGURATION_KEY, parse_node_settings
 from .. import _scheduler_node
-from .._outside import Outside
+from .._external_clients import ExternalClients
 from .._scheduler_node import SchedulerNode
 from .builders_callers import HOST, stored_configuration
 
@@ -51,10 +51,10 @@
         self.grace_seconds = settings.bounds.termination_grace
         client = self.store.client(settings.node)
         executors = StandInExecutorCalls(settings.node, {}, nursery, Random(1))
-        outside = Outside(
+        clients = ExternalClients(
             client, executors, NoAdvisor(), NoMachines(), LoopTime(), lambda: executors
         )
-        self._node = SchedulerNode(settings, outside, VirtualClock(), Random(1))
+        self._node = SchedulerNode(settings, clients, VirtualClock(), Random(1))
         self._callers_port = settings.caller_address.port
         self._ports: dict[int, int] = {}
 
--- a/fireflyfork/programs/tests/test_announcements.py
+++ b/fireflyfork/programs/tests/test_announcements.py
@@ -17,27 +17,29 @@
 FAR_FACTOR = 10.0
 
 
-class _Stalling(Clock):
+class _SuspendableClock(Clock):
     """A clock that includes the time during which the instance is suspended."""
 
     def __init__(self) -> None:
-        self.stood_still = 0.0
+        self.suspended_seconds = 0.0
 
     def now(self) -> float:
         """See Clock."""
-        return trio.current_time() + self.stood_still
+        return trio.current_time() + self.suspended_seconds
 
     def unix_ms(self) -> int:
         """See Clock."""
         return int(self.now() * 1000)
 
 
-def _play(body: Callable[[StandInStore, _Stalling, Announcements], Awaitable[None]]) -> None:
+def _play(
+    body: Callable[[StandInStore, _SuspendableClock, Announcements], Awaitable[None]],
+) -> None:
     async def main() -> None:
-        store, clock = StandInStore(Random(1)), _Stalling()
+        store, clock = StandInStore(Random(1)), _SuspendableClock()
         node, domain = NodeName("n-0"), FailureDomainName("suva")
         announcements = Announcements(node, 1.0, 1000.0, store.client(node), clock, domain)
-        await announcements.others()
+        await announcements.list_instances()
         await body(store, clock, announcements)
 
     trio.run(main, clock=MockClock(autojump_threshold=0))
@@ -52,25 +54,29 @@
         It would then follow an instance that follows it.
         """
 
-        async def body(_: StandInStore, clock: _Stalling, announcements: Announcements) -> None:
+        async def body(
+            _: StandInStore, clock: _SuspendableClock, announcements: Announcements
+        ) -> None:
             before = announcements.own
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(announcements.others)
+                nursery.start_soon(announcements.list_instances)
                 await trio.lowlevel.checkpoint()
-                clock.stood_still += FREEZE_SECONDS
+                clock.suspended_seconds += FREEZE_SECONDS
             self.assertEqual(announcements.own, before)
 
         _play(body)
 
-    def test_a_way_that_has_become_long_does(self) -> None:
-        async def body(store: StandInStore, _: _Stalling, announcements: Announcements) -> None:
+    def test_a_longer_round_trip_makes_the_store_far(self) -> None:
+        async def body(
+            store: StandInStore, _: _SuspendableClock, announcements: Announcements
+        ) -> None:
             self.assertTrue(announcements.own.near_store)
             store.trouble.slow_factor = FAR_FACTOR
             for _number in range(2):
-                await announcements.others()
+                await announcements.list_instances()
             self.assertFalse(announcements.own.near_store)
             store.trouble.slow_factor = 1.0
-            await announcements.others()
+            await announcements.list_instances()
             self.assertTrue(announcements.own.near_store)
 
         _play(body)
--- a/fireflyfork/programs/tests/test_decision_log.py
+++ b/fireflyfork/programs/tests/test_decision_log.py
@@ -17,14 +17,14 @@
     WaitReason,
 )
 from .._clocks import Clock
-from .._decision_log import LINES_A_SECOND, DecisionLog
+from .._decision_log import MAX_LINES_PER_SECOND, DecisionLog
 from .._metrics import Metrics
 
 TASK = TaskName("00000000000000aa.0.0.0")
 EXECUTOR = ExecutorId("i-0")
 
 
-class _StoodClock(Clock):
+class _ManualClock(Clock):
     """A clock that only the test advances."""
 
     def __init__(self) -> None:
@@ -44,7 +44,7 @@
         self.lines: list[str] = []
         logger.remove()
         logger.add(self.lines.append, format="{message} {extra}")
-        self.clock, self.metrics = _StoodClock(), Metrics()
+        self.clock, self.metrics = _ManualClock(), Metrics()
         self.log = DecisionLog(self.clock, "desk", self.metrics)
 
     def test_each_kind_is_counted(self) -> None:
@@ -78,29 +78,29 @@
         complete.
         """
         notes: list[Note] = [RunEnded(TASK, 1, EXECUTOR, EndReason.STOPPED, 100)] * (
-            LINES_A_SECOND + 50
+            MAX_LINES_PER_SECOND + 50
         )
         self.log.write(notes)
-        self.assertEqual(len(self.lines), LINES_A_SECOND)
+        self.assertEqual(len(self.lines), MAX_LINES_PER_SECOND)
         self.clock.seconds += 1.0
         self.log.write(notes[:1])
-        self.assertIn("'lines': 50", self.lines[LINES_A_SECOND])
+        self.assertIn("'lines': 50", self.lines[MAX_LINES_PER_SECOND])
         total = f'fireflyfork_runs_ended_total{{reason="stopped"}} {len(notes) + 1}'
         self.assertIn(total, self.metrics.text())
 
     def test_a_busy_owner_logs_some_jobs_whole(self) -> None:
         """Guards against logs with a part of every job, which explain none."""
-        jobs = [f"{number:016x}" for number in range(4 * LINES_A_SECOND)]
+        jobs = [f"{number:016x}" for number in range(4 * MAX_LINES_PER_SECOND)]
         self._play(jobs, seconds=5)
         self.lines.clear()
         self._play(jobs, seconds=1)
         logged = [sum(job in line for line in self.lines) for job in jobs]
-        self.assertGreater(logged.count(2), LINES_A_SECOND / 8)
+        self.assertGreater(logged.count(2), MAX_LINES_PER_SECOND / 8)
         self.assertEqual(logged.count(1), 0)
 
     def test_once_it_is_calm_again_all_jobs_are_logged(self) -> None:
         """Guards against one busy moment after which an owner logs hardly anything."""
-        self._play([f"{number:016x}" for number in range(4 * LINES_A_SECOND)], seconds=5)
+        self._play([f"{number:016x}" for number in range(4 * MAX_LINES_PER_SECOND)], seconds=5)
         few = [f"{number:016x}" for number in range(10)]
         self._play(few, seconds=200)
         self.lines.clear()
--- a/fireflyfork/programs/tests/test_job_requests.py
+++ b/fireflyfork/programs/tests/test_job_requests.py
@@ -33,7 +33,7 @@
 class JobRequestsTest(unittest.TestCase):
     """A refused request has had no effect, and an accepted one is stored."""
 
-    def test_a_job_is_stored_before_its_caller_hears_of_it(self) -> None:
+    def test_a_job_is_stored_before_it_is_acknowledged(self) -> None:
         async def body(store: StandInStore, requests: JobRequests) -> None:
             await requests.submit(job())
             self.assertIsNotNone(store.get(job_key(job().job)))
@@ -41,7 +41,7 @@
 
         _play(body)
 
-    def test_a_job_that_comes_again_stays_as_it_was(self) -> None:
+    def test_a_repeated_job_changes_nothing(self) -> None:
         async def body(store: StandInStore, requests: JobRequests) -> None:
             await requests.submit(job())
             first = store.get(job_key(job().job))
@@ -50,7 +50,7 @@
 
         _play(body)
 
-    def test_a_write_whose_answer_was_lost_is_never_called_refused(self) -> None:
+    def test_a_write_whose_answer_was_lost_is_never_reported_as_refused(self) -> None:
         """Guards against refusing a job that was stored.
 
         The store executes the write, its answer is lost, and the store then refuses the repeated
--- a/fireflyfork/programs/tests/test_late_loop.py
+++ b/fireflyfork/programs/tests/test_late_loop.py
@@ -13,7 +13,7 @@
 
 from ...decisions.jobs import Scheduler
 from ...decisions.jobs.tests.builders_jobs import job, step
-from .builders_owner import OwnerWorld
+from .builders_owner import OwnerFixture
 
 SECONDS = 60.0
 STARTING_POLLS = 8
@@ -59,12 +59,12 @@
     async def main() -> None:
         with trio.move_on_after(SECONDS):
             async with trio.open_nursery() as nursery:
-                world = OwnerWorld(nursery)
+                world = OwnerFixture(nursery)
                 nursery.start_soon(world.store.run)
                 nursery.start_soon(world.executor.run)
                 nursery.start_soon(world.owner.run)
                 nursery.start_soon(hold_up)
-                world.hand_in(job("00000000000000aa", step(long_running=True)))
+                world.accept_job(job("00000000000000aa", step(long_running=True)))
 
     with (
         patch.object(StandInExecutorCalls, "poll", counted),
--- a/fireflyfork/programs/tests/test_log_sink.py
+++ b/fireflyfork/programs/tests/test_log_sink.py
@@ -32,7 +32,7 @@
         If the collector hangs, its pipe fills up. A program that blocks on it would serve no
         request until the collector is restarted.
         """
-        sink = PipeSink(self.writer, most_pending=10_000)
+        sink = PipeSink(self.writer, max_pending=10_000)
         for number in range(5_000):
             sink.write(b'{"n": %d, "text": "0123456789012345678901234567890123456789"}\n' % number)
         read = self._read()
@@ -52,7 +52,7 @@
             data += self._read() if number % 100 == 0 else b""
         self.assertEqual((data + self._read()).split(), [b"%d" % n for n in range(3_000)])
 
-    def test_a_reader_that_has_gone_is_borne(self) -> None:
+    def test_a_closed_reader_is_tolerated(self) -> None:
         """Guards against errors when the collector is restarted and the old pipe is broken."""
         reader, writer = os.pipe()
         sink = PipeSink(writer)
@@ -72,7 +72,7 @@
         sink.write(b"line\n")
         self.assertEqual(stream.getvalue(), "line\n")
 
-    def test_pipes_are_not_waited_for(self) -> None:
+    def test_pipes_get_a_non_blocking_sink(self) -> None:
         reader, writer = os.pipe()
         with os.fdopen(reader), os.fdopen(writer, "w") as stream:
             self.assertIsInstance(sink_to(stream), PipeSink)
--- a/fireflyfork/programs/tests/test_loop_report.py
+++ b/fireflyfork/programs/tests/test_loop_report.py
@@ -11,7 +11,7 @@
 from ...operations.tests.builders_job_logs import line
 from .._loop_report import LoopReport
 from .._metrics import Metrics
-from .builders_journal import CountedStore
+from .builders_journal import FixedCountersStore
 
 
 class LoopReportTest(unittest.TestCase):
@@ -19,7 +19,7 @@
 
     def setUp(self) -> None:
         self.used = 0.0
-        self.store = CountedStore()
+        self.store = FixedCountersStore()
         self.store.counted_calls["watch work"] = 3
         self.store.counted_received["watch work"] = 450_000
         self.store.counted_sent["commit work"] = 700
@@ -39,7 +39,7 @@
 
         trio.run(main)
 
-    def test_each_line_tells_of_its_own_seconds(self) -> None:
+    def test_each_line_covers_its_own_interval(self) -> None:
         """Guards against cumulative values, which readers of the lines would add up again."""
         self._work(1.5)
         self.report.report(1.0)
@@ -86,7 +86,7 @@
         self.assertEqual(account.store_sent, self.store.bytes_sent)
         self.assertEqual(account.relay_received, self.relays.received)
 
-    def test_metrics_have_the_sums(self) -> None:
+    def test_metrics_are_cumulative(self) -> None:
         self._work(1.5)
         text = self.metrics.text()
         self.assertIn('fireflyfork_loop_seconds_total{activity="placing"} 1.5', text)
--- a/fireflyfork/programs/tests/test_many_first_polls.py
+++ b/fireflyfork/programs/tests/test_many_first_polls.py
@@ -12,34 +12,34 @@
 from fireflyfork_standins.scheduling import StandInExecutorCalls
 
 from .._service_lease import RENEW_SECONDS
-from .builders_owner import OwnerWorld
+from .builders_owner import OwnerFixture
 
 EXECUTORS = 400
-PASSES = 3
+ITERATIONS = 3
 """Loop iterations of one call: to connect, to send, and to process the answer."""
-SECONDS_A_PASS = 0.0015
+ITERATION_SECONDS = 0.0015
 TICK_SECONDS = 0.01
 PLAY_SECONDS = 4.0
 
 
-async def _longest_pass(clock: MockClock) -> tuple[float, int]:
+async def _measure_loop_delay(clock: MockClock) -> tuple[float, int]:
     """Return the longest delay of another task by the loop, and the number of executors reached."""
     async with trio.open_nursery() as nursery:
-        world = OwnerWorld(nursery, EXECUTORS)
+        world = OwnerFixture(nursery, EXECUTORS)
         nursery.start_soon(world.store.run)
         for executor in world.executors.values():
             nursery.start_soon(executor.run)
         await trio.sleep(TICK_SECONDS)
         nursery.start_soon(world.owner.run)
-        longest, end = 0.0, trio.current_time() + PLAY_SECONDS
+        max_delay, end = 0.0, trio.current_time() + PLAY_SECONDS
         while trio.current_time() < end:
-            begun = trio.current_time()
+            started_at = trio.current_time()
             await trio.sleep(TICK_SECONDS)
-            longest = max(longest, trio.current_time() - begun - TICK_SECONDS)
-        known = world.owner.scheduler.executors.values()
-        reached = sum(one.polled_at is not None for one in known)
+            max_delay = max(max_delay, trio.current_time() - started_at - TICK_SECONDS)
+        executors = world.owner.scheduler.executors.values()
+        reached = sum(state.polled_at is not None for state in executors)
         nursery.cancel_scope.cancel()
-    return longest, reached
+    return max_delay, reached
 
 
 class ManyFirstPollsTest(unittest.TestCase):
@@ -51,12 +51,12 @@
         poll = StandInExecutorCalls.poll
 
         async def costly_poll(self, *arguments):  # type: ignore[no-untyped-def]
-            for _ in range(PASSES):
-                clock.jump(SECONDS_A_PASS)
+            for _ in range(ITERATIONS):
+                clock.jump(ITERATION_SECONDS)
                 await trio.lowlevel.checkpoint()
             return await poll(self, *arguments)
 
         with patch.object(StandInExecutorCalls, "poll", costly_poll):
-            longest, reached = trio.run(_longest_pass, clock, clock=clock)
+            max_delay, reached = trio.run(_measure_loop_delay, clock, clock=clock)
         self.assertEqual(reached, EXECUTORS)
-        self.assertLess(longest, RENEW_SECONDS)
+        self.assertLess(max_delay, RENEW_SECONDS)
--- a/fireflyfork/programs/tests/test_many_starts.py
+++ b/fireflyfork/programs/tests/test_many_starts.py
@@ -14,22 +14,22 @@
 
 from ...decisions.jobs import EndReason
 from ...decisions.jobs.tests.builders_jobs import job, step
-from .builders_owner import OwnerWorld
+from .builders_owner import OwnerFixture
 
 EXECUTORS = 60
 TASKS = 6 * EXECUTORS
-PASSES = 4
+ITERATIONS = 4
 """Loop iterations of one call: to connect, to exchange the handshake, to send, and to process the
 answer."""
-SECONDS_A_PASS = 0.0015
+ITERATION_SECONDS = 0.0015
 IDLE_SECONDS = 3.0
 PLAY_SECONDS = 12.0
 
 
-async def _work(clock: MockClock) -> None:
+async def _spend_call_time(clock: MockClock) -> None:
     """Simulate the loop time of one call in several iterations, between which other calls run."""
-    for _ in range(PASSES):
-        clock.jump(SECONDS_A_PASS)
+    for _ in range(ITERATIONS):
+        clock.jump(ITERATION_SECONDS)
         await trio.lowlevel.checkpoint()
 
 
@@ -42,22 +42,22 @@
     async def costly_start(self, *arguments):  # type: ignore[no-untyped-def]
         nonlocal sent
         sent += 1
-        await _work(clock)
+        await _spend_call_time(clock)
         return await start(self, *arguments)
 
     async def costly_poll(self, *arguments):  # type: ignore[no-untyped-def]
-        await _work(clock)
+        await _spend_call_time(clock)
         return await poll(self, *arguments)
 
     async def main() -> tuple[int, int, int]:
         async with trio.open_nursery() as nursery:
-            world = OwnerWorld(nursery, EXECUTORS)
+            world = OwnerFixture(nursery, EXECUTORS)
             nursery.start_soon(world.store.run)
             for executor in world.executors.values():
                 nursery.start_soon(executor.run)
             nursery.start_soon(world.owner.run)
             await trio.sleep(IDLE_SECONDS)
-            world.hand_in(job("00000000000000aa", step(count=TASKS, long_running=True)))
+            world.accept_job(job("00000000000000aa", step(count=TASKS, long_running=True)))
             await trio.sleep(PLAY_SECONDS)
             running = sum(len(executor.running) for executor in world.executors.values())
             nursery.cancel_scope.cancel()
@@ -73,6 +73,6 @@
 class ManyStartsTest(unittest.TestCase):
     """Guards against an owner that falls behind and, because of that, sends all starts again."""
 
-    def test_starts_that_wait_for_their_owner_are_neither_void_nor_lapse(self) -> None:
+    def test_delayed_starts_neither_expire_nor_lapse(self) -> None:
         """Guards against starts whose deadline or lease ends before they are sent or renewed."""
         self.assertEqual(_play(), (TASKS, TASKS, 0))
--- a/fireflyfork/programs/tests/test_placing_rounds.py
+++ b/fireflyfork/programs/tests/test_placing_rounds.py
@@ -10,7 +10,7 @@
 from trio.testing import MockClock
 
 from ...decisions.jobs import Scheduler
-from .builders_owner import OwnerWorld
+from .builders_owner import OwnerFixture
 
 EVENTS = 2_000
 EVENT_SECONDS = 0.001
@@ -32,14 +32,14 @@
 
         async def main() -> float:
             async with trio.open_nursery() as nursery:
-                world = OwnerWorld(nursery)
+                world = OwnerFixture(nursery)
                 nursery.start_soon(world.store.run)
                 nursery.start_soon(world.executor.run)
                 nursery.start_soon(world.owner.run)
                 await trio.sleep(5.0)
                 before, begun = rounds, trio.current_time()
                 for _ in range(EVENTS):
-                    world.owner.kick()
+                    world.owner.request_dispatch()
                     await trio.sleep(EVENT_SECONDS)
                 share = (rounds - before) * ROUND_SECONDS / (trio.current_time() - begun)
                 nursery.cancel_scope.cancel()
@@ -50,7 +50,7 @@
         self.assertLessEqual(share, 0.26)
         self.assertGreater(share, 0.1)
 
-    def test_what_happens_alone_is_placed_at_once(self) -> None:
+    def test_a_single_event_is_placed_at_once(self) -> None:
         """Guards against a rest between rounds that delays callers of an idle service."""
         clock = MockClock(autojump_threshold=0)
         placed_at: list[float] = []
@@ -60,13 +60,13 @@
 
         async def main() -> float:
             async with trio.open_nursery() as nursery:
-                world = OwnerWorld(nursery)
+                world = OwnerFixture(nursery)
                 nursery.start_soon(world.store.run)
                 nursery.start_soon(world.executor.run)
                 nursery.start_soon(world.owner.run)
                 await trio.sleep(5.05)
                 kicked_at = trio.current_time()
-                world.owner.kick()
+                world.owner.request_dispatch()
                 await trio.sleep(0.01)
                 nursery.cancel_scope.cancel()
             return min(at for at in placed_at if at >= kicked_at) - kicked_at
--- a/fireflyfork/programs/tests/test_prefix_watch.py
+++ b/fireflyfork/programs/tests/test_prefix_watch.py
@@ -66,7 +66,7 @@
         self.assertLess(gathered, 30)
         self.assertLess(latest, 0.5)
 
-    def test_what_is_written_while_an_answer_is_on_its_way_is_heard_of(self) -> None:
+    def test_changes_during_a_slow_answer_are_reported(self) -> None:
         """Guards against changes lost during the transfer of an answer over a thin link.
 
         The answer contained fewer changes than its revision claimed, so a job that was accepted
@@ -74,13 +74,13 @@
         """
 
         async def main() -> set[str]:
-            store, heard = StandInStore(Random(1)), set[str]()
+            store, reported = StandInStore(Random(1)), set[str]()
             watch = PrefixWatch(
                 store.client(NodeName("n-0"), link_mbps=0.001),
                 "jobs/",
                 2.0,
                 lambda _: None,
-                lambda change: heard.add(change.key),
+                lambda change: reported.add(change.key),
             )
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(store.run)
@@ -90,7 +90,7 @@
                     store.put(f"jobs/{number}", b"x" * 20)
                 await trio.sleep(20.0)
                 nursery.cancel_scope.cancel()
-            return heard
+            return reported
 
-        heard = trio.run(main, clock=MockClock(autojump_threshold=0))
-        self.assertEqual(heard, {f"jobs/{number}" for number in range(20)})
+        reported = trio.run(main, clock=MockClock(autojump_threshold=0))
+        self.assertEqual(reported, {f"jobs/{number}" for number in range(20)})
--- a/fireflyfork/programs/tests/test_probes.py
+++ b/fireflyfork/programs/tests/test_probes.py
@@ -25,17 +25,17 @@
 from ...decisions.jobs import CallOutcome, PollAnswer, PollRequest
 from ...decisions.jobs.tests.builders_jobs import OwnerUnderTest
 from .._executor_polls import (
-    LATE_SECONDS,
-    PATIENCE_SECONDS,
+    LATE_ANSWER_SECONDS,
+    MAX_CONCURRENT_PROBES,
     POLL_SECONDS,
-    PROBE_PATIENCE_SECONDS,
-    PROBES_AT_ONCE,
+    POLL_TIMEOUT_SECONDS,
+    PROBE_TIMEOUT_SECONDS,
     SHED_POLL_SECONDS,
     ExecutorPolls,
 )
 
-HANGING = 2 * PROBES_AT_ONCE
-SILENT = "i-silent"
+HANGING_EXECUTORS = 2 * MAX_CONCURRENT_PROBES
+SILENT_EXECUTOR = "i-silent"
 
 
 def _calls(answered: list[float]) -> ExecutorCalls:
@@ -44,7 +44,7 @@
     async def poll(
         place: ExecutorPlace, _: FencingToken, request: PollRequest, fresh: bool = False
     ) -> PollAnswer:
-        if place.executor == SILENT and fresh:
+        if place.executor == SILENT_EXECUTOR and fresh:
             answered.append(trio.current_time())
             return PollAnswer(CallOutcome.ACCEPTED, 1, 1)
         await trio.sleep(request.wait_seconds + request.patience_seconds)
@@ -69,7 +69,7 @@
     )
 
 
-async def _unheard_after_freeze(names: Sequence[str]) -> float:
+async def _silence_after_freeze(names: Sequence[str]) -> float:
     """Return how long the last executor goes without an answer after its relay has frozen."""
     answer = PollAnswer(CallOutcome.ACCEPTED, 1, 1)
 
@@ -97,9 +97,9 @@
         frozen_at = VirtualClock().now()
         while min(executor.heard_at for executor in executors) <= frozen_at:
             await trio.sleep(0.05)
-        unheard = VirtualClock().now() - frozen_at
+        silence = VirtualClock().now() - frozen_at
         nursery.cancel_scope.cancel()
-    return unheard
+    return silence
 
 
 class ProbesTest(unittest.TestCase):
@@ -108,7 +108,7 @@
     def test_executors_that_hang_do_not_keep_probes_from_others(self) -> None:
         """Guards against one failed connection that makes a healthy executor unusable for seconds."""
         answered: list[float] = []
-        names = [*(f"i-{number}" for number in range(HANGING)), SILENT]
+        names = [*(f"i-{number}" for number in range(HANGING_EXECUTORS)), SILENT_EXECUTOR]
 
         async def main() -> None:
             owner = OwnerUnderTest(*names, polled=False)
@@ -120,21 +120,21 @@
 
         trio.run(main, clock=MockClock(autojump_threshold=0))
         self.assertTrue(answered)
-        rounds = HANGING / PROBES_AT_ONCE
-        self.assertLess(answered[0], LATE_SECONDS + rounds * (PROBE_PATIENCE_SECONDS + 0.5))
+        rounds = HANGING_EXECUTORS / MAX_CONCURRENT_PROBES
+        self.assertLess(answered[0], LATE_ANSWER_SECONDS + rounds * (PROBE_TIMEOUT_SECONDS + 0.5))
 
     def test_executors_behind_a_frozen_relay_are_found_directly(self) -> None:
         """Guards against executors that appear silent only because their relay is frozen."""
-        names = [f"i-{number}" for number in range(HANGING)]
+        names = [f"i-{number}" for number in range(HANGING_EXECUTORS)]
 
         async def main() -> float:
             with trio.fail_after(60.0):
-                return await _unheard_after_freeze(names)
+                return await _silence_after_freeze(names)
 
         with patch.object(ExecutorPolls, "_idle", lambda *_: False):
-            unheard = trio.run(main, clock=MockClock(autojump_threshold=0))
-        self.assertLess(unheard, 2 * POLL_SECONDS + LATE_SECONDS + 0.2)
+            silence = trio.run(main, clock=MockClock(autojump_threshold=0))
+        self.assertLess(silence, 2 * POLL_SECONDS + LATE_ANSWER_SECONDS + 0.2)
 
     def test_no_poll_outlasts_the_bound_of_its_connection(self) -> None:
         """Guards against connections that are closed while an answer is still pending."""
-        self.assertLessEqual(SHED_POLL_SECONDS + PATIENCE_SECONDS, LONGEST_CALL_SECONDS)
+        self.assertLessEqual(SHED_POLL_SECONDS + POLL_TIMEOUT_SECONDS, LONGEST_CALL_SECONDS)
--- a/fireflyfork/programs/tests/test_queue_keeper.py
+++ b/fireflyfork/programs/tests/test_queue_keeper.py
@@ -76,7 +76,7 @@
         self.assertEqual(last["bytes"], len(_configuration(8)))
         self.assertAlmostEqual(seconds, 0.7, delta=0.05)
 
-    def test_an_older_version_does_not_come_back(self) -> None:
+    def test_an_older_version_is_ignored(self) -> None:
         """Guards against an older version replacing a newer one.
 
         Answers may arrive out of order, or an operator's tool may write an old file. Callers would
@@ -91,7 +91,7 @@
 
         _play(body)
 
-    def test_one_that_can_not_be_read_leaves_the_last_in_force(self) -> None:
+    def test_an_unreadable_version_is_ignored(self) -> None:
         async def body(store: StandInStore, versions: list[int]) -> None:
             store.put(CONFIGURATION_KEY, _configuration(7))
             await trio.sleep(0.5)
@@ -103,7 +103,7 @@
 
         _play(body)
 
-    def test_an_instance_that_hears_of_no_change_asks_seldom(self) -> None:
+    def test_requests_are_rare_without_changes(self) -> None:
         """Guards against frequent requests while nothing changes.
 
         The store's operators pay for each call, and every instance of the fleet makes these calls.
--- a/fireflyfork/programs/tests/test_run_orders.py
+++ b/fireflyfork/programs/tests/test_run_orders.py
@@ -12,13 +12,13 @@
 from ...decisions.jobs.tests.builders_jobs import START_MS, OwnerUnderTest, job, registration, step
 from .._clocks import Clock
 from .._executor_polls import ExecutorPolls
-from .._run_orders import CALLS_AT_ONCE, RunOrders
+from .._run_orders import MAX_ORDERS_PER_EXECUTOR, RunOrders
 
 
 class RunOrdersTest(unittest.TestCase):
     """Orders are sent only to the incarnation for which they were decided."""
 
-    def test_an_order_that_waits_for_its_turn_goes_to_the_life_it_was_meant_for(self) -> None:
+    def test_a_waiting_order_goes_to_its_incarnation(self) -> None:
         """Guards against starts that are sent to a restarted executor.
 
         An executor answers slowly, so some of its starts wait. While they wait, it restarts, and
@@ -45,12 +45,14 @@
         orders = RunOrders(
             owner.scheduler, calls, polls, FencingToken(1), clock, lambda: None, LoopTime()
         )
-        owner.scheduler.accept(job("00000000000000aa", step(count=CALLS_AT_ONCE + 1)), START_MS)
+        owner.scheduler.accept(
+            job("00000000000000aa", step(count=MAX_ORDERS_PER_EXECUTOR + 1)), START_MS
+        )
         async with trio.open_nursery() as nursery:
             for run in owner.send():
                 nursery.start_soon(orders.carry_out, StartRun(run))
             await wait_all_tasks_blocked()
-            self.assertEqual(len(places), CALLS_AT_ONCE)
+            self.assertEqual(len(places), MAX_ORDERS_PER_EXECUTOR)
             owner.scheduler.register(registration("i-0", incarnation=2), owner.now)
             answered.set()
         self.assertEqual({place.incarnation for place in places}, {1})
--- a/fireflyfork/programs/tests/test_scheduler_node.py
+++ b/fireflyfork/programs/tests/test_scheduler_node.py
@@ -17,7 +17,7 @@
 """The virtual clock advances after this time without data on the sockets."""
 SLOW_FACTOR = 500.0
 """Makes the store's answers take 2 s, which is longer than a stopping instance has left."""
-SHORTLY = 0.2
+MARGIN_SECONDS = 0.2
 """Seconds before or after the time from which a stopping instance starts no more requests."""
 
 
@@ -29,7 +29,7 @@
     trio.run(main, clock=MockClock(autojump_threshold=IDLE_REAL_SECONDS))
 
 
-async def _stop_up_to(node: RunningNode, seconds: float) -> None:
+async def _stop_until(node: RunningNode, seconds: float) -> None:
     """Signal the stop, and wait until ``seconds`` before the instance stops accepting requests."""
     node.stop.set()
     await trio.sleep(node.grace_seconds - CLOSE_MARGIN_SECONDS - seconds)
@@ -52,9 +52,9 @@
                     node: RunningNode, method: str = method, status: int = status
                 ) -> None:
                     connection = await node.connect()
-                    await _stop_up_to(node, SHORTLY)
+                    await _stop_until(node, MARGIN_SECONDS)
                     node.store.trouble.slow_factor = SLOW_FACTOR
-                    self._assert_sent_away(await ask(connection, method, JOB_ID), status)
+                    self._assert_refused(await ask(connection, method, JOB_ID), status)
                     await self._assert_ends_in_time(node)
 
                 _play(body)
@@ -67,17 +67,17 @@
 
         async def body(node: RunningNode) -> None:
             connection = await node.connect()
-            await _stop_up_to(node, -SHORTLY)
+            await _stop_until(node, -MARGIN_SECONDS)
             node.store.trouble.slow_factor = SLOW_FACTOR
             begun = trio.current_time()
-            self._assert_sent_away(await ask(connection, "POST", JOB_ID), 503)
-            self.assertLess(trio.current_time() - begun, SHORTLY)
+            self._assert_refused(await ask(connection, "POST", JOB_ID), 503)
+            self.assertLess(trio.current_time() - begun, MARGIN_SECONDS)
             await self._assert_ends_in_time(node)
             self.assertIsNone(node.store.get(job_key(JobId(JOB_ID))))
 
         _play(body)
 
-    def test_a_job_that_comes_in_parts_is_refused_before_the_end(self) -> None:
+    def test_an_incomplete_job_is_refused_before_the_end(self) -> None:
         """Guards against closing a connection before the body of a job has arrived completely.
 
         The caller has to be told that the job wasn't accepted, which is certain in this case.
@@ -85,14 +85,14 @@
 
         async def body(node: RunningNode) -> None:
             connection = await node.connect()
-            await _stop_up_to(node, SHORTLY)
-            self._assert_sent_away(await _send_half(connection), 503)
+            await _stop_until(node, MARGIN_SECONDS)
+            self._assert_refused(await _send_half(connection), 503)
             await self._assert_ends_in_time(node)
             self.assertIsNone(node.store.get(job_key(JobId(JOB_ID))))
 
         _play(body)
 
-    def test_requests_are_carried_out_until_then(self) -> None:
+    def test_requests_are_served_until_the_last_moments(self) -> None:
         """Guards against refusals that begin with the stop signal.
 
         The load balancer still opens new connections at that time.
@@ -100,14 +100,14 @@
 
         async def body(node: RunningNode) -> None:
             connection = await node.connect()
-            await _stop_up_to(node, SHORTLY)
+            await _stop_until(node, MARGIN_SECONDS)
             answer = await ask(connection, "POST", JOB_ID)
             self.assertEqual(answer.status, 200)
             self.assertIsNotNone(node.store.get(job_key(JobId(JOB_ID))))
 
         _play(body)
 
-    def _assert_sent_away(self, answer: ResponseHead, status: int) -> None:
+    def _assert_refused(self, answer: ResponseHead, status: int) -> None:
         self.assertEqual(answer.status, status)
         self.assertIsNotNone(find_header(answer.headers, b"retry-after"))
         self.assertEqual(find_header(answer.headers, b"connection"), "close")
--- a/fireflyfork/programs/tests/test_service_journal.py
+++ b/fireflyfork/programs/tests/test_service_journal.py
@@ -29,12 +29,12 @@
 from .._scheduling_keys import owner_key, progress_key
 from .._service_journal import OwnershipLostError, ServiceJournal
 from .._service_lease import Term
-from .builders_journal import FatefulStore, WriteFate
+from .builders_journal import FaultyStore, WriteBehavior
 
 EXECUTOR = "i-0"
 JOBS = [JobId(f"{number:016x}") for number in range(2)]
-FATES = [fate for fate in WriteFate if fate is not WriteFate.CANCELLED]
-LONG_TERM = 4
+WRITE_BEHAVIORS = [fate for fate in WriteBehavior if fate is not WriteBehavior.CANCELLED]
+MIN_WRITES_PER_TERM = 4
 """Number of writes after which a term may end. Shorter terms don't show how writes interact."""
 EXAMPLES = 150
 """Enough examples to detect writes that aren't conditional on the previous write."""
@@ -46,10 +46,10 @@
     def __init__(self) -> None:
         """Start with an empty store and an owner without jobs."""
         super().__init__()
-        self.store = FatefulStore()
+        self.store = FaultyStore()
         self.owner = OwnerUnderTest(EXECUTOR)
         self.running: list[Run] = []
-        self.gone = False
+        self.term_ended = False
         self.writes = 0
 
     @property
@@ -59,7 +59,7 @@
     @initialize()
     def win(self) -> None:
         """Write the owner key and open the journal."""
-        revision = self.store.kept.apply({}, (Put(owner_key(SERVICE), b"n-0"),), ())
+        revision = self.store.backing.apply({}, (Put(owner_key(SERVICE), b"n-0"),), ())
         term = Term(SERVICE, 1, LeaseId(0), Revision(revision))
         self.journal = trio.run(self._opened, term, clock=MockClock())
 
@@ -96,39 +96,39 @@
         self.running += self.owner.place()
         self.owner.tick(0.1)
 
-    @precondition(lambda self: not self.gone)
-    @rule(fate=st.sampled_from(FATES))
-    def write(self, fate: WriteFate) -> None:
+    @precondition(lambda self: not self.term_ended)
+    @rule(fate=st.sampled_from(WRITE_BEHAVIORS))
+    def write(self, fate: WriteBehavior) -> None:
         """Store one batch."""
         self.writes += 1
-        self.store.fate = fate
+        self.store.behavior = fate
         trio.run(self._flush, fate, clock=MockClock(autojump_threshold=0))
 
-    async def _flush(self, fate: WriteFate) -> None:
+    async def _flush(self, fate: WriteBehavior) -> None:
         try:
             with trio.move_on_after(1.0):
                 await self.journal.flush()
         except OwnershipLostError:
-            self.gone = True
+            self.term_ended = True
         # A writer that is cancelled in a write writes nothing more.
-        self.gone = self.gone or fate is WriteFate.CANCELLED
+        self.term_ended = self.term_ended or fate is WriteBehavior.CANCELLED
 
     @rule()
     def late(self) -> None:
         """Execute a delayed write."""
-        self.store.carry_out_late()
+        self.store.execute_delayed()
 
-    @precondition(lambda self: self.writes >= LONG_TERM and not self.gone)
+    @precondition(lambda self: self.writes >= MIN_WRITES_PER_TERM and not self.term_ended)
     @rule()
     def stop(self) -> None:
         """Stop the owner during a write."""
-        self.write(WriteFate.CANCELLED)
+        self.write(WriteBehavior.CANCELLED)
 
-    @precondition(lambda self: self.writes >= LONG_TERM)
+    @precondition(lambda self: self.writes >= MIN_WRITES_PER_TERM)
     @rule()
     def succeed(self) -> None:
         """Let another instance take over; later writes of this owner have no effect."""
-        self.store.kept.put(owner_key(SERVICE), b"n-1")
+        self.store.backing.put(owner_key(SERVICE), b"n-1")
 
     @invariant()
     def what_may_be_forgotten_is_stored(self) -> None:
@@ -141,7 +141,7 @@
     def _is_stored(self, end: EndedRow) -> bool:
         parsed = parse_task_name(end.task)
         assert parsed is not None
-        item = self.store.kept.get(progress_key(parsed[0]))
+        item = self.store.backing.get(progress_key(parsed[0]))
         if item is None:
             return False
         progress = decode_progress(item.value)
@@ -149,7 +149,8 @@
         if progress.state.is_final or key in progress.done:
             return True
         failed = {
-            (one.occurrence, one.step, one.index): one.failed_attempts for one in progress.tasks
+            (task.occurrence, task.step, task.index): task.failed_attempts
+            for task in progress.tasks
         }
         return end.reason is EndReason.FAILED and AttemptNumber(end.attempt) in failed.get(key, ())
 
--- a/fireflyfork/programs/tests/test_service_lease.py
+++ b/fireflyfork/programs/tests/test_service_lease.py
@@ -16,13 +16,13 @@
 from .builders_owner import NODE
 
 SECONDS = 30.0
-PASS_SECONDS = 0.6 * LEASE_SECONDS
+ITERATION_SECONDS = 0.6 * LEASE_SECONDS
 """Length of a loop iteration: two of them are longer than the lease, one is shorter."""
 
 
-async def _hold_up(clock: MockClock) -> None:
+async def _block_loop(clock: MockClock) -> None:
     while True:
-        clock.jump(PASS_SECONDS)
+        clock.jump(ITERATION_SECONDS)
         await trio.lowlevel.checkpoint()
 
 
@@ -43,12 +43,12 @@
             lease = ServiceLease(SERVICE, NODE, client, time, Random(1), announcements)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(store.run)
-                term = await lease.win()
+                term = await lease.acquire()
                 nursery.start_soon(lease.keep, term)
-                nursery.start_soon(_hold_up, clock)
+                nursery.start_soon(_block_loop, clock)
                 await trio.sleep(SECONDS)
-                kept = store.get(owner_key(SERVICE))
+                owner_item = store.get(owner_key(SERVICE))
                 nursery.cancel_scope.cancel()
-            return kept is not None and kept.revision == term.owner_revision
+            return owner_item is not None and owner_item.revision == term.owner_revision
 
         self.assertTrue(trio.run(main, clock=clock))
--- a/fireflyfork/programs/tests/test_service_owner.py
+++ b/fireflyfork/programs/tests/test_service_owner.py
@@ -9,7 +9,7 @@
 from ...decisions.jobs.tests.builders_jobs import job
 from .._scheduling_keys import WORK_PREFIX
 from .._service_journal import OwnershipLostError
-from .builders_owner import OwnerWorld
+from .builders_owner import OwnerFixture
 
 
 class LostOwnershipTest(unittest.TestCase):
@@ -28,11 +28,11 @@
 
         async def main() -> int:
             async with trio.open_nursery() as nursery:
-                world = OwnerWorld(nursery)
+                world = OwnerFixture(nursery)
                 nursery.start_soon(world.store.run)
                 nursery.start_soon(world.executor.run)
-                world.succeed()
-                world.hand_in(job())
+                world.replace_owner()
+                world.accept_job(job())
                 # The owner's writes, each of which would reveal the successor, get no answer.
                 world.store.trouble.lost_share = 1.0
                 with trio.move_on_after(3.0):
@@ -42,7 +42,7 @@
 
         self.assertEqual(trio.run(main, clock=MockClock(autojump_threshold=0)), 0)
 
-    def test_a_listing_of_a_successors_time_brings_no_job(self) -> None:
+    def test_a_listing_after_a_change_of_owner_adds_no_job(self) -> None:
         """Guards against jobs of a successor that are accepted from a new listing.
 
         The store loses its history while an owner is cut off, so the owner lists all keys again. If
@@ -52,9 +52,9 @@
 
         async def main() -> tuple[bool, int]:
             async with trio.open_nursery() as nursery:
-                world = OwnerWorld(nursery)
-                world.succeed()
-                world.hand_in(job())
+                world = OwnerFixture(nursery)
+                world.replace_owner()
+                world.accept_job(job())
                 listing = StoreListing(world.store.under(WORK_PREFIX), world.store.revision)
                 lost = False
                 try:
--- a/fireflyfork_standins/scheduling/_configuration_sources.py
+++ b/fireflyfork_standins/scheduling/_configuration_sources.py
@@ -115,7 +115,7 @@
 
     async def run(self) -> None:
         """See ConfigurationSource."""
-        answers = _GatedAnswers(self._keeper.answers, self._awake)
+        answers = _GatedAnswers(self._keeper.replica_source, self._awake)
         self._network.sources[self._node] = answers
         try:
             await self._keeper.run()
@@ -125,4 +125,4 @@
 
     async def wait_known(self) -> None:
         """See ConfigurationSource."""
-        await self._keeper.known.wait()
+        await self._keeper.configured.wait()
--- a/fireflyfork_standins/scheduling/_nodes.py
+++ b/fireflyfork_standins/scheduling/_nodes.py
@@ -41,9 +41,9 @@
 from fireflyfork.platform import PlatformBounds
 from fireflyfork.programs._announcements import Announcements
 from fireflyfork.programs._clocks import Clock
+from fireflyfork.programs._external_clients import ExternalClients
 from fireflyfork.programs._job_requests import JobRequests
 from fireflyfork.programs._metrics import Metrics
-from fireflyfork.programs._outside import Outside
 from fireflyfork.programs._service_candidate import ServiceCandidate
 
 from ._configuration_sources import ConfigurationSource, FixedConfiguration
@@ -280,7 +280,7 @@
         self._candidate = ServiceCandidate(
             self._service,
             self.name,
-            Outside(
+            ExternalClients(
                 self._store,
                 calls,
                 NoAdvisor(),
@@ -348,4 +348,4 @@
     def _changed(self) -> None:
         candidate = self._candidate
         if candidate is not None and candidate.owner is not None:
-            candidate.owner.kick()
+            candidate.owner.request_dispatch()
--- a/fireflyfork_standins/tests/test_scheduling_wire.py
+++ b/fireflyfork_standins/tests/test_scheduling_wire.py
@@ -11,7 +11,7 @@
 from fireflyfork.adapters import HttpClient, LoopTime, NoAdvisor, NoMachines
 from fireflyfork.platform import PlatformExecutors, PlatformStore, parse_node_settings
 from fireflyfork.programs._clocks import SystemClock
-from fireflyfork.programs._outside import Outside
+from fireflyfork.programs._external_clients import ExternalClients
 from fireflyfork.programs._scheduler_node import SchedulerNode
 from fireflyfork_standins.scheduling import WireCallers, WireLayout, WirePlatform
 from fireflyfork_standins.scheduling.processes import wait_ready
@@ -37,7 +37,9 @@
     store = PlatformStore(settings.store_address)
     loop_time = LoopTime()
     relay_calls = partial(PlatformExecutors, loop_time)
-    outside = Outside(store, relay_calls(), NoAdvisor(), NoMachines(), loop_time, relay_calls)
+    outside = ExternalClients(
+        store, relay_calls(), NoAdvisor(), NoMachines(), loop_time, relay_calls
+    )
     return SchedulerNode(settings, outside, SystemClock(), Random(number))
 
 
