--- a/fireflyfork/__init__.py
+++ b/fireflyfork/__init__.py
@@ -1,7 +1,7 @@
 """A scheduler for colocated latency-critical and batch work.
 
-This is the public surface: the objects that operators and programs talk about. The pure decisions
-are in ``fireflyfork.decisions``, what touches sockets in ``fireflyfork.adapters``, and the
+This module is the public API: the types shared by operators' tools and programs. Pure decision
+logic is in ``fireflyfork.decisions``, network and other I/O in ``fireflyfork.adapters``, and the
 command-line programs in ``fireflyfork.programs``.
 """
 
--- a/fireflyfork/_contract_codec.py
+++ b/fireflyfork/_contract_codec.py
@@ -1,4 +1,4 @@
-"""The configuration as bytes, for the store and for peers: JSON, compressed once it is large."""
+"""Encodes the configuration for the store and for peers, as JSON that is compressed when large."""
 
 from __future__ import annotations
 
@@ -10,17 +10,21 @@
 from ._errors import SettingsError
 
 COMPRESSED_ABOVE_BYTES = 65_536
-"""Smaller values stay plain, so that an operator can read them in the store."""
+"""Values up to this size are stored as plain JSON, which an operator can read in the store."""
 
 LONGEST_DECODED_BYTES = 64 << 20
-"""A compressed value that grows beyond this is not one of ours."""
+"""Maximum size of a decompressed value. ``encode_contracts`` never writes a larger one."""
 
 _COMPRESSION_LEVEL = 6
 _OBJECT_START = b"{"
 
 
 def encode_contracts(configuration: Configuration) -> bytes:
-    """JSON with the fields in the order of their types, so that equal values give equal bytes."""
+    """Encode a configuration as JSON, zlib-compressed when large.
+
+    Fields are written in the order in which their types declare them, so equal values give equal
+    bytes.
+    """
     plain = msgspec.json.encode(configuration)
     if len(plain) <= COMPRESSED_ABOVE_BYTES:
         return plain
@@ -28,7 +32,10 @@
 
 
 def decode_contracts(value: bytes) -> Configuration:
-    """Read what ``encode_contracts`` wrote. Raises SettingsError."""
+    """Decode a value written by ``encode_contracts``.
+
+    Raises SettingsError if the value is truncated, too large or not a valid configuration.
+    """
     try:
         return msgspec.json.decode(_plain(value), type=Configuration)
     except (msgspec.DecodeError, zlib.error) as error:
@@ -38,8 +45,8 @@
 def _plain(value: bytes) -> bytes:
     if value.startswith(_OBJECT_START):
         return value
-    # Without a limit, a damaged or hostile value of a few kilobytes could grow until the process
-    # dies of it; one would see every entry restart at the same time, again and again.
+    # Without a limit, a damaged or hostile value of a few kilobytes could expand until the process
+    # runs out of memory. All entries read the same value, so all would crash and restart in a loop.
     expanding = zlib.decompressobj()
     plain = expanding.decompress(value, LONGEST_DECODED_BYTES)
     if not expanding.eof:
--- a/fireflyfork/_contracts.py
+++ b/fireflyfork/_contracts.py
@@ -1,4 +1,4 @@
-"""What services and teams are promised, and the configuration that holds all of it."""
+"""Contracts of services, targets and teams, and the configuration that holds them."""
 
 from __future__ import annotations
 
@@ -20,36 +20,41 @@
 
 
 class Tolerance(Enum):
-    """What a team would rather give up when work interferes; the order is the order of steps."""
+    """How the scheduler may slow or stop a team's work when it interferes with other work.
+
+    Throttling is tried before eviction.
+    """
 
     THROTTLE = "throttle"
-    """May be slowed down."""
+    """The work may be throttled."""
     EVICT = "evict"
-    """May be slowed down, or checkpointed and evicted."""
+    """The work may be throttled, or checkpointed and evicted."""
     NONE = "none"
-    """Neither."""
+    """The work may be neither throttled nor evicted."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceContract:
-    """A latency-critical service: where it is, how it is called, what it is promised."""
+    """A latency-critical service: its request limits, its latency objective and its replicas."""
 
     name: ServiceName
     team: TeamName
     longest_run_seconds: float
-    """After this time an executor has surely ended a request, so its slot is free again."""
+    """The longest time in seconds that an executor can spend on a request. After it, the request
+    has certainly ended and its slot is free again."""
     default_timeout_seconds: float | None = None
-    """The deadline of a request that names none. With None, such a request is refused."""
+    """The timeout of a request that specifies none. If None, such a request is refused."""
     longest_timeout_seconds: float = 60.0
-    """A request that asks for more is refused."""
+    """A request with a longer timeout is refused."""
     latency_objective_milliseconds: float = 250.0
-    """The p99 that placement defends."""
+    """The p99 latency that placement keeps the service within."""
     longest_queue: int = 64
-    """Requests that may wait for a slot at one owner; beyond it they are refused at once."""
+    """The number of requests that may wait for a slot at one owner. Further requests are refused
+    immediately."""
     longest_body_bytes: int = 1 << 20
-    """A longer request body is refused."""
+    """A request with a longer body is refused."""
     replicas: int = 0
-    """How many placed replicas the planner keeps running; 0 when the platform places them."""
+    """How many replicas the planner keeps running; 0 if the platform places the replicas."""
     resources: Resources = field(default_factory=Resources)
     """The declared size of one replica."""
     tolerance: Tolerance = Tolerance.NONE
@@ -57,23 +62,23 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetContract:
-    """One executor of a service, as the operators declare it."""
+    """One executor of a service, as declared by the operators."""
 
     target_id: TargetId
     service: ServiceName
     address: str
-    """IP number and port."""
+    """IP address and port."""
     region: RegionName
     failure_domain: FailureDomainName
     slots: int
-    """Requests that it runs at a time."""
+    """The number of requests that the executor runs at a time."""
     connections: int
-    """Connections that it accepts."""
+    """The number of connections that the executor accepts."""
 
 
 @dataclass(frozen=True, slots=True)
 class TeamContract:
-    """A team and its quota, the most that its running batch tasks may reserve together."""
+    """A team and its quota, the maximum that its running batch tasks may reserve in total."""
 
     name: TeamName
     quota: Resources
@@ -84,21 +89,22 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerGroup:
-    """Workers of one size in one failure domain, as the operators expect them.
+    """Workers of one size that the operators expect in one failure domain.
 
-    The platform says which workers there are; this is what the checks of a configuration use.
+    Only the checks of a configuration use these groups. The actual workers are listed by the
+    platform.
     """
 
     failure_domain: FailureDomainName
     count: int
     workers_per_rack: int
     capacity: Resources
-    """Of one worker."""
+    """The capacity of one worker."""
 
 
 @dataclass(frozen=True, slots=True)
 class Weights:
-    """How much a unit of each measure counts when placement must choose."""
+    """The relative weight of each measure when placement has to trade one for another."""
 
     tail_latency: float = 1.0
     evictions: float = 1.0
@@ -107,12 +113,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """Everything operators decide, in one versioned value."""
+    """All settings that operators decide, as one versioned value."""
 
     version: ConfigurationVersion
-    """Starts at 1 and grows by 1 with each accepted change."""
+    """Starts at 1 and increases by 1 with each accepted change."""
     change_id: ChangeId
-    """Unique to the change that made this version."""
+    """Identifies the change that created this version; unique to that change."""
     regions: tuple[Region, ...]
     services: tuple[ServiceContract, ...]
     targets: tuple[TargetContract, ...]
@@ -120,11 +126,12 @@
     links: tuple[RegionLink, ...] = ()
     weights: Weights = field(default_factory=Weights)
     partitions_per_region: int = 32
-    """Shares into which each region's targets are hashed; it can't change while entries run."""
+    """The number of partitions into which each region's targets are hashed. It can't change while
+    entries run."""
     workers: tuple[WorkerGroup, ...] = ()
     note: str = ""
-    """What the operator said of this change; the history shows it."""
+    """The operator's description of the change, shown in the history."""
 
     def service(self, name: ServiceName) -> ServiceContract | None:
-        """The service of that name, if there is one."""
+        """Return the service with the given name, or None if there is none."""
         return next((service for service in self.services if service.name == name), None)
--- a/fireflyfork/_errors.py
+++ b/fireflyfork/_errors.py
@@ -1,4 +1,4 @@
-"""The exception tree. Everything this package raises on purpose is a ``FireflyforkError``."""
+"""The exception hierarchy of the package. All its exceptions derive from ``FireflyforkError``."""
 
 from __future__ import annotations
 
@@ -8,23 +8,24 @@
 from ._verdict import Verdict
 
 MISDIRECTED_STATUS = 421
-"""Between entries only: the receiver does not own what the request needs, or no longer."""
+"""Used between entries only: the receiver does not own the partition that the request needs, or no
+longer owns it."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredVersion:
-    """The state of a key that a transaction found."""
+    """The revision and value of a key in the store."""
 
     revision: Revision
     value: bytes
 
 
 class FireflyforkError(Exception):
-    """Base of all errors of this package."""
+    """Base class of all errors of this package."""
 
 
 class SettingsError(FireflyforkError):
-    """A settings or configuration file is unusable; the message names path, value and rule."""
+    """A settings or configuration file is invalid. The message gives path, value and rule."""
 
 
 class StoreError(FireflyforkError):
@@ -32,40 +33,46 @@
 
 
 class StoreUnavailableError(StoreError):
-    """The store did not answer in time. A write may have taken effect all the same."""
+    """The store did not answer in time. A write may nevertheless have taken effect."""
 
 
 class StoreRefusedError(StoreUnavailableError):
-    """The store turned the call away; nothing was done."""
+    """The store refused the call and changed nothing."""
 
 
 class StoreHistoryLostError(StoreError):
-    """The store no longer has the changes that were asked for; list anew."""
+    """The store no longer has the requested changes; the caller must list the keys again."""
 
 
 class LeaseEndedError(StoreError):
-    """There is no such lease, or no longer."""
+    """The lease does not exist, or has ended."""
 
 
 class StoreConflictError(StoreError):
-    """A compare-and-swap lost: the key is at another revision."""
+    """A compare-and-swap failed because the key has another revision."""
 
 
 class TransactionConflictError(StoreConflictError):
-    """A transaction lost; nothing was done."""
+    """A transaction failed because a key has another revision; nothing was changed."""
 
     def __init__(self, found: dict[str, StoredVersion]) -> None:
-        """``found`` has the present state of the expected keys, without those that are absent."""
-        super().__init__(f"found {({key: one.revision for key, one in found.items()})}")
+        """Store the conflicting state.
+
+        ``current_versions`` holds the current version of each expected key; absent keys are
+        omitted.
+        """
+        super().__init__(
+            f"current revisions: {({key: one.revision for key, one in found.items()})}"
+        )
         self.found = found
 
 
 class PlatformError(FireflyforkError):
-    """A call to the worker platform failed. A start or stop may have taken effect all the same."""
+    """A call to the worker platform failed. A start or stop may nevertheless have taken effect."""
 
 
 class PeerError(FireflyforkError):
-    """A peer stream failed or its peer is not a member that may speak to this one."""
+    """A peer stream failed, or its peer is not a member that is allowed to connect."""
 
 
 class RequestError(FireflyforkError):
@@ -74,7 +81,7 @@
     def __init__(
         self, status: int, reason: str, verdict: Verdict, retry_after: float | None = None
     ) -> None:
-        """``status`` is the HTTP status to give; ``retry_after`` is in seconds."""
+        """Set the HTTP ``status`` and the reason to answer with; ``retry_after`` is in seconds."""
         super().__init__(reason)
         self.status = status
         self.reason = reason
@@ -83,33 +90,36 @@
 
 
 class BadRequestError(RequestError):
-    """The caller's request is malformed; it was not run."""
+    """The caller's request is malformed and was not run."""
 
     def __init__(self, reason: str, status: int = 400) -> None:
-        """``status`` is the HTTP status to give."""
+        """Set the reason and the HTTP ``status`` to answer with."""
         super().__init__(status, reason, Verdict.NOT_RUN)
 
 
 class MisdirectedError(RequestError):
-    """The member does not own what the request needs, or can't be sure of it; it was not run."""
+    """The member does not own the partition of the request, or can't prove that it does.
+
+    The request was not run.
+    """
 
     def __init__(self, reason: str) -> None:
-        """``reason`` is shown when no owner was found in time."""
+        """Set the ``reason``, which the caller receives if no owner is found in time."""
         super().__init__(MISDIRECTED_STATUS, reason, Verdict.NOT_RUN, retry_after=1.0)
 
 
 class OverloadedError(RequestError):
-    """The request was refused at once, before running, because there is no room for it in time."""
+    """The request was refused before running, because no slot will be free in time."""
 
 
 class StoppingError(RequestError):
-    """The instance ends before it could carry the request out."""
+    """The instance stops before it could answer the request."""
 
     def __init__(self, verdict: Verdict) -> None:
-        """``verdict`` says whether the request may have run."""
+        """Choose the status: 503 if the request did not run, or 504 if it may have run."""
         status = 503 if verdict is Verdict.NOT_RUN else 504
         super().__init__(status, "this instance is stopping", verdict)
 
 
 class TargetLostError(RequestError):
-    """The connection to an executor, or to the peer in front of it, ended without an answer."""
+    """The connection to an executor, or to the peer in between, ended without an answer."""
--- a/fireflyfork/_ids.py
+++ b/fireflyfork/_ids.py
@@ -1,4 +1,4 @@
-"""Identifiers, each its own type, so that the type checker tells them apart."""
+"""Identifier types. Each is a distinct type, so the type checker detects mix-ups."""
 
 from typing import NewType
 
@@ -8,32 +8,35 @@
 WorkerId = NewType("WorkerId", str)
 TargetId = NewType("TargetId", str)
 MemberId = NewType("MemberId", str)
-"""One run of an entry or planner process. Never reused: a restarted process takes a new one."""
+"""Identifies one run of an entry or planner process. A restarted process gets a new id; ids are
+never reused."""
 ServiceName = NewType("ServiceName", str)
 TeamName = NewType("TeamName", str)
 JobId = NewType("JobId", str)
 TaskId = NewType("TaskId", str)
 AttemptNumber = NewType("AttemptNumber", int)
-"""Counts the runs of one task from 1; the higher number fences the lower."""
+"""Counts the runs of one task from 1. A higher number fences lower ones."""
 PartitionId = NewType("PartitionId", str)
-"""One share of a region's targets, written ``region/number``."""
+"""Identifies one partition of a region's targets, written ``region/number``."""
 Epoch = NewType("Epoch", int)
 """Counts the changes of the fleet record from 1."""
 ConfigurationVersion = NewType("ConfigurationVersion", int)
 ChangeId = NewType("ChangeId", str)
-"""Unique per attempted change of a stored value, so that a lost answer can be settled."""
+"""Unique to each attempted change of a stored value. When the store's answer is lost, the id shows
+whether the change took effect."""
 RequestId = NewType("RequestId", str)
 IdempotencyKey = NewType("IdempotencyKey", str)
 Revision = NewType("Revision", int)
-"""The store's version of one key; 0 means that the key is absent."""
+"""The store's version number of one key; 0 means that the key is absent."""
 LeaseId = NewType("LeaseId", int)
-"""A lease of the store; its keys go when it ends."""
+"""Identifies a lease of the store. The keys attached to it are deleted when it ends."""
 ExecutorId = NewType("ExecutorId", str)
 MachineId = NewType("MachineId", str)
-"""A machine of the platform; executors are its lives, one after the other."""
+"""Identifies a machine of the platform. Successive executors on it are its incarnations."""
 TaskName = NewType("TaskName", str)
-"""Job, occurrence, step and index, joined by dots."""
+"""The job, occurrence, step and index of a task, joined by dots."""
 QueueName = NewType("QueueName", str)
 FencingToken = NewType("FencingToken", int)
-"""Rises with each change of owner; executors refuse lower ones than they have seen."""
+"""Increases with each change of owner. An executor refuses tokens lower than the highest that it
+has received."""
 NodeName = NewType("NodeName", str)
--- a/fireflyfork/_job_samples.py
+++ b/fireflyfork/_job_samples.py
@@ -1,4 +1,4 @@
-"""Samples of jobs, drawn alike by whoever writes logs and whoever reads them."""
+"""Deterministic samples of jobs, which are the same for writers and readers of the logs."""
 
 from __future__ import annotations
 
@@ -6,10 +6,13 @@
 
 
 def in_sample(job: str, share: float) -> bool:
-    """Whether a job is in the sample of this share of all jobs; smaller samples are parts of larger ones."""
+    """Return whether a job belongs to the sample that holds this share of all jobs.
+
+    A smaller sample is always a subset of a larger one.
+    """
     return xxhash.xxh32_intdigest(job.encode()) < share * 2**32
 
 
 def job_of_task(task: str) -> str:
-    """The job's id, with which a task's name begins."""
+    """Return the id of a task's job, which is the first part of the task's name."""
     return task.partition(".")[0]
--- a/fireflyfork/_links.py
+++ b/fireflyfork/_links.py
@@ -1,4 +1,4 @@
-"""Network links between places, and addresses on them."""
+"""Network addresses, and links between regions."""
 
 from __future__ import annotations
 
@@ -11,14 +11,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
 
     @classmethod
     def parse(cls, text: str) -> Address:
-        """Read ``host:port``, IPv6 in brackets. Raises SettingsError: names are never resolved."""
+        """Parse ``host:port``, with IPv6 hosts in brackets.
+
+        Raises SettingsError if the host is not an IP address, since names are never resolved, or if
+        the port is invalid.
+        """
         host, _, port = text.rpartition(":")
         host = host.removeprefix("[").removesuffix("]")
         try:
@@ -31,7 +35,7 @@
         return cls(host, number)
 
     def __str__(self) -> str:
-        """The form that ``parse`` reads."""
+        """Return the address in the form that ``parse`` accepts."""
         return f"[{self.host}]:{self.port}" if ":" in self.host else f"{self.host}:{self.port}"
 
 
@@ -43,6 +47,6 @@
     one_way_milliseconds: float
     """One-way latency."""
     bytes_per_second: int
-    """Capacity each way, shared by all traffic."""
+    """The capacity in each direction, shared by all traffic."""
     spill_share: float = 0.2
-    """The share of the capacity that requests may use when their own region has no room."""
+    """The share of the capacity that requests may use when their own region has no free slots."""
--- a/fireflyfork/_machines.py
+++ b/fireflyfork/_machines.py
@@ -1,4 +1,4 @@
-"""Workers and what they hold."""
+"""Workers and amounts of their resources."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 @dataclass(frozen=True, slots=True, order=False)
 class Resources:
-    """An amount of what a worker has or a task needs. Whole numbers, so that sums are exact."""
+    """An amount of processor time, memory and accelerators. Integers keep sums exact."""
 
     millicores: int = 0
-    """Processor time, in thousandths of a core."""
+    """Processor time in thousandths of a core."""
     memory: int = 0
-    """Bytes."""
+    """Memory in bytes."""
     accelerators: int = 0
-    """Whole devices."""
+    """Number of whole devices."""
 
     def __add__(self, other: Resources) -> Resources:
-        """The sum, dimension by dimension."""
+        """Return the sum for each dimension."""
         return Resources(
             self.millicores + other.millicores,
             self.memory + other.memory,
@@ -27,7 +27,7 @@
         )
 
     def __sub__(self, other: Resources) -> Resources:
-        """The difference, dimension by dimension; it may be negative."""
+        """Return the difference for each dimension, which may be negative."""
         return Resources(
             self.millicores - other.millicores,
             self.memory - other.memory,
@@ -35,7 +35,7 @@
         )
 
     def fits_in(self, room: Resources) -> bool:
-        """Whether no dimension exceeds that of ``room``."""
+        """Return whether no dimension exceeds that of ``room``."""
         return (
             self.millicores <= room.millicores
             and self.memory <= room.memory
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Worker:
-    """One machine of the platform that runs tasks."""
+    """A machine of the platform that runs tasks."""
 
     worker_id: WorkerId
     region: RegionName
--- a/fireflyfork/_requests.py
+++ b/fireflyfork/_requests.py
@@ -1,4 +1,4 @@
-"""A caller's request, once it has been checked."""
+"""A caller's request after validation."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from ._traces import TraceContext
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE", "TRACE"})
-"""The methods that HTTP itself calls idempotent."""
+"""The methods that the HTTP specification defines as idempotent."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,19 +19,19 @@
     service: ServiceName
     method: str
     path: str
-    """Path and query as the executor sees them."""
+    """The path and query that the executor receives."""
     headers: tuple[tuple[bytes, bytes], ...]
-    """End-to-end headers, names in lower case."""
+    """End-to-end headers; the names are in lower case."""
     deadline: float
-    """By the clock of this process's event loop, in seconds."""
+    """The deadline in seconds, on the clock of this process's event loop."""
     trace: TraceContext
-    """The context of the span that the next hop hangs below."""
+    """The context of the span that is the parent of the next hop's span."""
     key: IdempotencyKey | None = None
-    """Set exactly when the request must run at most once."""
+    """The idempotency key. It is set if and only if the request must run at most once."""
     key_is_new: bool = False
-    """Whether the key was made here for this request, so that it can't have been used before."""
+    """Whether this process generated the key for this request, so it can't be in use already."""
 
     @property
     def idempotent(self) -> bool:
-        """Whether running it twice does no harm."""
+        """Whether the request may safely run more than once."""
         return self.key is None
--- a/fireflyfork/_traces.py
+++ b/fireflyfork/_traces.py
@@ -1,4 +1,4 @@
-"""Trace contexts as W3C writes them, and spans: one for each hop of a request."""
+"""W3C trace contexts, and the spans that record the hops of a request."""
 
 from __future__ import annotations
 
@@ -12,51 +12,51 @@
 
 @dataclass(frozen=True, slots=True)
 class TraceContext:
-    """The trace that a request belongs to and the span that it comes from."""
+    """The trace that a request belongs to, and the span that sent it."""
 
     trace_id: str
     """32 hexadecimal digits."""
     span_id: str
     """16 hexadecimal digits."""
     sampled: bool = True
-    """Whether spans are written."""
+    """Whether the spans of the trace are recorded."""
 
     @classmethod
     def new(cls, sampled: bool = True) -> TraceContext:
-        """The start of a trace."""
+        """Start a new trace with random ids."""
         return cls(secrets.token_hex(16), secrets.token_hex(8), sampled)
 
     @classmethod
     def parse(cls, traceparent: str) -> TraceContext | None:
-        """Read a ``traceparent`` header, or None when it is malformed or all zeros."""
+        """Parse a ``traceparent`` header. Return None if it is malformed or an id is all zeros."""
         match = _TRACEPARENT.fullmatch(traceparent.strip())
         if match is None or not match[1].strip("0") or not match[2].strip("0"):
             return None
         return cls(match[1], match[2], bool(int(match[3], 16) & _SAMPLED))
 
     def child(self) -> TraceContext:
-        """The context of a new span of the same trace."""
+        """Return the context of a new span in the same trace."""
         return TraceContext(self.trace_id, secrets.token_hex(8), self.sampled)
 
     @property
     def traceparent(self) -> str:
-        """The header that passes this context on."""
+        """The value of the ``traceparent`` header that propagates this context."""
         return f"00-{self.trace_id}-{self.span_id}-{int(self.sampled):02x}"
 
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """One hop of a request, as it is written."""
+    """The record of one hop of a request."""
 
     name: str
     trace_id: str
     span_id: str
     parent_id: str
-    """Empty for the first span of a trace."""
+    """The id of the parent span; empty for the first span of a trace."""
     process: str
-    """The member that wrote it."""
+    """The member that recorded the span."""
     start: float
-    """Seconds since the Unix epoch, by the process's own clock."""
+    """The start time in seconds since the Unix epoch, on the process's own clock."""
     duration: float
-    """Seconds."""
+    """The duration in seconds."""
     attributes: dict[str, str | int | float] = field(default_factory=dict)
--- a/fireflyfork/_verdict.py
+++ b/fireflyfork/_verdict.py
@@ -1,27 +1,31 @@
-"""Whether a request may have run: the one fact every failed attempt must carry."""
+"""The verdict on whether a request may have run, which every failed attempt must report."""
 
 from enum import Enum
 
 
 class Verdict(Enum):
-    """What is known about the execution of a request."""
+    """States whether a request was run."""
 
     NOT_RUN = "not-run"
-    """Proved: no byte of it reached an executor, or the executor refused it before running it."""
+    """The request certainly did not run: no byte of it reached an executor, or the executor refused
+    it before running it."""
 
     MAY_HAVE_RUN = "may-have-run"
-    """Some of it left for an executor and no whole answer came back."""
+    """A part of the request was sent to an executor and no complete answer was received."""
 
     ANSWERED = "answered"
-    """An executor answered, whatever the status."""
+    """An executor answered, with any status."""
 
     @property
     def permits_retry_of_non_idempotent(self) -> bool:
-        """Whether a request that must run at most once may be sent again."""
+        """Whether a request that must run at most once may be retried."""
         return self is Verdict.NOT_RUN
 
     def after(self, earlier: "Verdict") -> "Verdict":
-        """The verdict on a request whose attempts ended with ``earlier`` and then with this one."""
+        """Return the verdict on a request whose attempts ended with ``earlier``, then with this one.
+
+        A retry that did not run does not prove that the earlier attempt did not run.
+        """
         if Verdict.ANSWERED in (self, earlier):
             return Verdict.ANSWERED
         if Verdict.MAY_HAVE_RUN in (self, earlier):
--- a/fireflyfork/_waits.py
+++ b/fireflyfork/_waits.py
@@ -1,4 +1,4 @@
-"""What a task that waits is waiting for."""
+"""The reasons why a task waits for an executor."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class WaitReason(Enum):
-    """Why a task found no place."""
+    """Why a task could not be placed on an executor."""
 
     NOTHING = ""
     HELD = "held for executors"
-    """An earlier owner may have started it on an executor that has not answered yet."""
+    """A previous owner may have started the task on an executor that has not answered yet."""
     PROCESSORS = "no processors"
     MEMORY = "no memory"
     DISTURBS = "would disturb services"
-    """There is room, but only beside services that it would slow too much."""
+    """Executors have room, but the task would slow the services on them too much."""
     RESERVED = "room kept for short work"
     BEHIND = "behind more urgent work"
-    """It was not looked at: too many before it found no place."""
+    """The task was not tried, because too many tasks ahead of it could not be placed."""
     OTHER = "other limits"
-    """Labels, limits per executor, or no executor with enough of everything."""
+    """Labels or limits per executor exclude the task, or no executor has enough of each resource."""
--- a/fireflyfork/_zones.py
+++ b/fireflyfork/_zones.py
@@ -1,4 +1,4 @@
-"""Regions, their failure domains, and where a process stands."""
+"""Regions, their failure domains, and the location of a process."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Zone:
-    """A place: one failure domain of one region."""
+    """The location of a process: one failure domain of one region."""
 
     region: RegionName
     failure_domain: FailureDomainName
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Region:
-    """A region and the failure domains in it."""
+    """A region and its failure domains."""
 
     name: RegionName
     failure_domains: tuple[FailureDomainName, ...]
