--- a/fireflyfork/_verdict.py
+++ b/fireflyfork/_verdict.py
@@ -22,7 +22,7 @@
         return self is Verdict.NOT_RUN
 
     def after(self, earlier: "Verdict") -> "Verdict":
-        """Return the verdict on a request whose attempts ended with ``earlier``, then with this one.
+        """Combine this verdict with that of the request's earlier attempts.
 
         A retry that did not run does not prove that the earlier attempt did not run.
         """
--- a/fireflyfork/_waits.py
+++ b/fireflyfork/_waits.py
@@ -19,4 +19,4 @@
     BEHIND = "behind more urgent work"
     """The task was not tried, because too many tasks ahead of it could not be placed."""
     OTHER = "other limits"
-    """Labels or limits per executor exclude the task, or no executor has enough of each resource."""
+    """Labels or limits per executor exclude the task, or no executor has enough resources."""
--- a/fireflyfork/decisions/placement/__init__.py
+++ b/fireflyfork/decisions/placement/__init__.py
@@ -1,4 +1,5 @@
-"""The placement policy: which worker runs what, and what yields when work interferes."""
+"""The placement policy: decides which worker runs a task, and which work is throttled or evicted
+when tasks interfere."""
 
 from ._classes import TaskClass
 from ._policy import InterferenceAwarePolicy
--- a/fireflyfork/decisions/placement/_choice.py
+++ b/fireflyfork/decisions/placement/_choice.py
@@ -1,4 +1,4 @@
-"""Chooses a worker for a task among a few with room, by what it would do to services there."""
+"""Selects a worker for a task by the expected effect of the task on services."""
 
 from __future__ import annotations
 
@@ -14,33 +14,37 @@
 from ._worker_entries import ServiceForecast, WorkerEntry
 
 _CANDIDATES = 6
+"""The search ends after this many workers if one of them is within the limits."""
 _CANDIDATES_WHEN_SLOWED = 16
-"""How many are looked at when none of the first is good enough."""
+"""The maximum number of workers to look at. It applies while none is within the limits."""
 _HARMLESS_COST = 0.002
-"""A candidate this cheap is taken at once, without looking for a better one."""
+"""A candidate with at most this cost is selected without comparing further workers."""
 _PENALTY_FROM_RATIO = 0.6
+"""Ratios of p99 latency to objective up to this value have no cost."""
 _NEGLIGIBLE_SLOWDOWN = 1.01
+"""Services that the task slows by no more than this factor are ignored."""
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A worker with room, and what the task would do to the services on it."""
+    """A worker with room, and the expected effect of the task on its services."""
 
     entry: WorkerEntry
     cost: float
-    """Replicas times the growth of the penalty on their predicted latency."""
+    """The increase of the latency penalty, summed over the replicas on the worker."""
     slowdown: float
-    """The largest factor by which a service's tail is expected to grow."""
+    """The largest factor by which the tail latency of a service is expected to grow."""
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a start may do to services."""
+    """Limits on the effect that a started task may have on services."""
 
     ratio: float
-    """The highest p99 over the objective to which it may push one."""
+    """The maximum predicted ratio of a service's p99 latency to its objective."""
     harm: float = float("inf")
-    """How much, at most, a worker full of the class may slow a service there (logarithm)."""
+    """The maximum increase of the logarithm of a service's tail latency that a worker full of tasks
+    of the class would cause."""
 
 
 NO_LIMITS = Limits(float("inf"))
@@ -48,18 +52,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """The outcome of a search."""
+    """The result of a search for a worker."""
 
     best: Candidate | None
+    """The cheapest candidate within the limits, or None if there is none."""
     compared: int
-    """How many workers with room were seen; with none best, whether there was room at all."""
+    """The number of workers with room that were examined. If ``best`` is None, 0 means that no
+    worker has room."""
 
 
 class WorkerChoice:
-    """Compares workers for one task."""
+    """Selects workers for tasks by the predicted latency of services."""
 
     def __init__(self, fleet: Fleet, interference: InterferenceModel) -> None:
-        """Shares the policy's index and model."""
+        """Use the fleet index and the interference model of the policy, which change over time."""
         self._fleet = fleet
         self._interference = interference
 
@@ -71,7 +77,7 @@
         limits: Limits,
         now: float,
     ) -> Choice:
-        """The best of a few workers within the limits."""
+        """Return the cheapest of a few accepted workers with room that are within the limits."""
         best: Candidate | None = None
         compared = 0
         for entry in self._candidates(need, accepts):
@@ -99,12 +105,16 @@
         limits: Limits,
         now: float,
     ) -> Candidate | None:
-        """What a task would do to the services on a worker; None beyond the limits."""
+        """Predict the effect of a task on the services of a worker.
+
+        Return None if the effect exceeds the limits.
+        """
         if not entry.replicas:
             return Candidate(entry, 0.0, 1.0)
         share = max(need.millicores, 1) / max(entry.worker.capacity.millicores, 1)
-        # The first of a class beside a service shows what it does there; until reports tell, more
-        # of it would only make the harm larger.
+        # The first task of a class next to a service shows the effect of the class there. Until it
+        # has been reported, further tasks of the class could only increase the harm, so they are
+        # judged by the pessimistic slope.
         is_first = task_class not in entry.pending_by_class
         cost = 0.0
         slowdown = 1.0
@@ -128,7 +138,7 @@
     def note_start(
         self, entry: WorkerEntry, need: Resources, task_class: TaskClass, now: float
     ) -> None:
-        """Bring the forecasts up to date, which costs less than computing them anew."""
+        """Update a worker's forecasts for a start, which is cheaper than recomputing them."""
         share = need.millicores / max(entry.worker.capacity.millicores, 1)
         for band, forecasts in entry.forecasts.items():
             entry.forecasts[band] = [
@@ -138,7 +148,7 @@
             ]
 
     def _forecasts(self, entry: WorkerEntry, load: float, now: float) -> list[ServiceForecast]:
-        """What to expect of the services on a worker, computed again only after a change."""
+        """Return the forecasts for a worker's services, cached until the worker changes."""
         band = load_band(load)
         if band not in entry.forecasts:
             entry.forecasts[band] = list(self._forecast(entry, load, now))
--- a/fireflyfork/decisions/placement/_fair_queue.py
+++ b/fireflyfork/decisions/placement/_fair_queue.py
@@ -1,4 +1,4 @@
-"""The order in which waiting batch tasks are tried: the team furthest below its quota first."""
+"""Orders waiting batch tasks by fair sharing: the team that uses least of its quota comes first."""
 
 from __future__ import annotations
 
@@ -11,42 +11,43 @@
 from .._tasks import Task
 
 WaitingJob = Mapping[TaskId, Task]
+"""The waiting tasks of one job."""
 _NOTHING = Resources()
 
 
 class QuotaLedger:
-    """What each team has reserved of its quota, starts of this round included."""
+    """Tracks how much of its quota each team has reserved, including starts of this round."""
 
     def __init__(
         self,
         teams: Mapping[TeamName, TeamContract],
         reserved: Mapping[TeamName, Resources],
     ) -> None:
-        """``reserved`` comes from the table and isn't changed."""
+        """Start from the reservations in the task table. ``reserved`` is not modified."""
         self._teams = teams
         self._reserved = reserved
         self._changed: dict[TeamName, Resources] = {}
 
     def reserved(self, team: TeamName) -> Resources:
-        """What the team's batch tasks hold."""
+        """Return what the team's batch tasks have reserved."""
         changed = self._changed.get(team)
         return changed if changed is not None else self._reserved.get(team, _NOTHING)
 
     def quota(self, team: TeamName) -> Resources:
-        """The team's quota; nothing for a team that isn't in the configuration."""
+        """Return the team's quota, which is empty for a team that isn't in the configuration."""
         contract = self._teams.get(team)
         return contract.quota if contract is not None else _NOTHING
 
     def allows(self, team: TeamName, need: Resources) -> bool:
-        """Whether the team may reserve so much more."""
+        """Return whether the team may reserve ``need`` in addition."""
         return (self.reserved(team) + need).fits_in(self.quota(team))
 
     def take(self, team: TeamName, need: Resources) -> None:
-        """Count a start."""
+        """Add the reservation of a task that starts in this round."""
         self._changed[team] = self.reserved(team) + need
 
     def dominant_share(self, team: TeamName) -> float:
-        """The largest share of any resource of its quota that the team holds."""
+        """Return the largest share of its quota that the team has reserved of any resource."""
         held = self.reserved(team)
         quota = self.quota(team)
         return max(
@@ -57,13 +58,13 @@
 
 
 class FairQueue:
-    """Offers one waiting task at a time; the caller says whether it started.
+    """Yields one waiting task at a time; the caller reports whether it was started.
 
-    A job whose task found no place is set aside for the round: its other tasks are equal.
+    If a task can't be placed, its job is skipped for the round, since the tasks of a job are equal.
     """
 
     def __init__(self, by_team: Mapping[TeamName, list[WaitingJob]], quotas: QuotaLedger) -> None:
-        """The waiting jobs of each team, in their order of arrival."""
+        """Queue the waiting jobs of each team, which are given in order of arrival."""
         self._quotas = quotas
         self._heap = [
             (quotas.dominant_share(team), order, team, _TeamCursor(jobs))
@@ -72,7 +73,7 @@
         heapify(self._heap)
 
     def tasks(self) -> Iterator[Task]:
-        """The next task to try. After each, call ``started`` or ``skip_job``."""
+        """Yield the next task to try. After each, call ``started`` or a ``skip`` method."""
         while self._heap:
             task = self._heap[0][3].current()
             if task is None:
@@ -81,26 +82,26 @@
             yield task
 
     def started(self) -> None:
-        """The task just offered starts."""
+        """Record that the last task yielded was started."""
         _, order, team, cursor = self._heap[0]
         cursor.next_task()
         heapreplace(self._heap, (self._quotas.dominant_share(team), order, team, cursor))
 
     def skip_task(self) -> None:
-        """The task just offered is passed over."""
+        """Skip the last task yielded."""
         self._heap[0][3].next_task()
 
     def skip_job(self) -> None:
-        """The job of the task just offered is set aside for this round."""
+        """Skip the job of the last task yielded for the rest of this round."""
         self._heap[0][3].next_job()
 
     def skip_team(self) -> None:
-        """The team of the task just offered is set aside for this round."""
+        """Skip the team of the last task yielded for the rest of this round."""
         heappop(self._heap)
 
 
 class _TeamCursor:
-    """A place in one team's jobs."""
+    """Iterates over the tasks of one team's waiting jobs."""
 
     __slots__ = ("_current", "_job", "_jobs", "_tasks")
 
--- a/fireflyfork/decisions/placement/_feasibility.py
+++ b/fireflyfork/decisions/placement/_feasibility.py
@@ -1,4 +1,4 @@
-"""Whether a task can ever run, and how much to reserve for it at most."""
+"""Checks whether a task can ever run, and caps its reservation at what can be provided."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     worker_count: int,
     teams: Mapping[TeamName, TeamContract],
 ) -> Reason | None:
-    """Why a task of this shape could never run; None when it could."""
+    """Return why a task of this shape can never run, or None if it can."""
     team = teams.get(shape.team)
     if team is None:
         return UnknownTeam(shape.team)
@@ -34,10 +34,10 @@
 def cut_to_worker(
     learned: Resources, declared: Resources, capacities: Iterable[Resources]
 ) -> Resources:
-    """The learned size, or as much of it as a worker that holds the declared size can give.
+    """Cap the learned size at the capacity of the largest worker that holds the declared size.
 
-    A class measured above its declared size could otherwise outgrow every worker, and its tasks
-    would wait forever, although they were accepted.
+    Without the cap, a class whose measured usage exceeds its declared size could outgrow every
+    worker. Its accepted tasks would then wait forever.
     """
     holding = [capacity for capacity in capacities if declared.fits_in(capacity)]
     if not holding or any(learned.fits_in(capacity) for capacity in holding):
@@ -47,7 +47,7 @@
 
 
 def cut_to_quota(need: Resources, declared: Resources, quota: Resources) -> Resources:
-    """The size, cut to the whole quota when the declared size alone was within it."""
+    """Cap a reservation at the team's whole quota if the declared size is within the quota."""
     return _smaller(need, quota) if declared.fits_in(quota) else need
 
 
--- a/fireflyfork/decisions/placement/_fleet.py
+++ b/fireflyfork/decisions/placement/_fleet.py
@@ -1,4 +1,4 @@
-"""The policy's compact index of workers and attempts, kept up from observations and views."""
+"""The policy's compact index of workers and attempts, updated from observations and views."""
 
 from __future__ import annotations
 
@@ -15,40 +15,44 @@
 
 _NOTHING = Resources()
 _MOST_GONE = 256
+"""The number of removed workers whose state is kept."""
 
 
 class Fleet:
-    """All workers, by name and by free room, and all attempts, by task."""
+    """Indexes all workers by id and by free processor time, and all attempts by task."""
 
     def __init__(self) -> None:
-        """Start without workers."""
+        """Start without workers and attempts."""
         self._entries: dict[WorkerId, WorkerEntry] = {}
         self._numbers: list[WorkerEntry | None] = []
         self._plain = FreeIndex()
         self._accelerated = FreeIndex()
         self._free_numbers: list[int] = []
         self._gone: dict[WorkerId, WorkerEntry] = {}
-        """Workers that left the list lately. It lags, and one that comes back still runs its work."""
+        """The state of workers that were recently removed from the list. The list lags, and a
+        worker that is listed again still runs its tasks."""
         self._tentative: list[tuple[WorkerEntry, TaskClass, int]] = []
+        """Starts of this round, with their millicores, which the task table has not confirmed."""
         self._attempts: dict[TaskId, AttemptEntry] = {}
         self._early: dict[WorkerId, list[tuple[float, Task]]] = {}
+        """Attempts, with their start times, on workers that have not been listed yet."""
         self._racks: dict[FailureDomainName, dict[RackName, list[WorkerEntry]]] = {}
         self._capacities: dict[Resources, int] = {}
         self._batch_count = 0
 
     @property
     def entries(self) -> Mapping[WorkerId, WorkerEntry]:
-        """The workers by name."""
+        """The listed workers by id."""
         return self._entries
 
     @property
     def numbered(self) -> list[WorkerEntry | None]:
-        """The workers by number, None where one has gone."""
+        """The listed workers by their index number; None for numbers that are not in use."""
         return self._numbers
 
     @property
     def capacities(self) -> Mapping[Resources, int]:
-        """How many workers there are of each capacity."""
+        """The number of workers of each capacity."""
         return self._capacities
 
     @property
@@ -58,15 +62,15 @@
 
     @property
     def batch_count(self) -> int:
-        """Batch attempts that may run."""
+        """The number of batch attempts that may be running."""
         return self._batch_count
 
     def attempt(self, task_id: TaskId) -> AttemptEntry | None:
-        """The attempt of a task, if one may run."""
+        """Return the attempt of a task that may be running, or None if there is none."""
         return self._attempts.get(task_id)
 
     def sync(self, view: PlacementView) -> list[WorkerId]:
-        """Take over what the table has reserved; returns the workers that have gone.
+        """Update the index from the task table; return the workers that were removed.
 
         The table's values are immutable, so an identical object means an unchanged worker.
         """
@@ -89,7 +93,10 @@
         return gone
 
     def with_room(self, need: Resources) -> Iterator[WorkerEntry]:
-        """Workers that hold ``need``, the fullest first; with accelerators only when needed."""
+        """Yield workers that have room for ``need``, in order of free processor time, least first.
+
+        Workers without accelerators come before those with accelerators.
+        """
         plain = () if need.accelerators else self._plain.candidates(need.millicores)
         numbers = self._numbers
         for number in chain(plain, self._accelerated.candidates(need.millicores)):
@@ -98,7 +105,10 @@
                 yield entry
 
     def take(self, entry: WorkerEntry, need: Resources, task_class: TaskClass) -> None:
-        """Count a start of this round; the next ``sync`` replaces it by what the table holds."""
+        """Reserve resources for a start of this round.
+
+        The next ``sync`` replaces the reservation by that of the task table.
+        """
         entry.take(need)
         entry.add_pending(task_class, need.millicores)
         entry.reserved = None
@@ -106,19 +116,19 @@
         self.reindex(entry)
 
     def hold(self, entry: WorkerEntry, amount: Resources) -> None:
-        """Keep room on a worker from everyone but the task it is held for."""
+        """Hold resources of a worker for one task, so that no other task can use them."""
         entry.held = entry.held + amount
         entry.take(amount)
         self.reindex(entry)
 
     def release(self, entry: WorkerEntry, amount: Resources) -> None:
-        """Give held room back."""
+        """Release held resources of a worker."""
         entry.held = entry.held - amount
         entry.take(_NOTHING - amount)
         self.reindex(entry)
 
     def started(self, task: Task, now: float) -> None:
-        """Note an attempt that may run from now on."""
+        """Add an attempt that may be running from now on."""
         if task.worker_id is None or task.task_id in self._attempts:
             return
         entry = self._entries.get(task.worker_id)
@@ -135,7 +145,10 @@
             entry.add_replica(task.shape.service, task.reservation.millicores)
 
     def ended(self, task: Task, now: float) -> AttemptEntry | None:
-        """Note that an attempt can't run any more; returns what was kept of it."""
+        """Remove an attempt that can't be running any more.
+
+        Return its entry, or None if it wasn't in the index.
+        """
         attempt = self._attempts.pop(task.task_id, None)
         if attempt is None:
             self._forget_early(task)
@@ -151,7 +164,7 @@
         return attempt
 
     def reported(self, attempt: AttemptEntry, millicores: int) -> None:
-        """Note the processor time that a report gives for an attempt."""
+        """Record the reported processor usage of an attempt."""
         entry = attempt.entry
         task_class = TaskClass(attempt.task.shape.task_class)
         if not attempt.reported:
@@ -162,7 +175,7 @@
             attempt.used = millicores
 
     def reindex(self, entry: WorkerEntry) -> None:
-        """Put a worker where its free processor time belongs."""
+        """Move a worker to the bucket of its free processor time."""
         has_accelerators = entry.worker.capacity.accelerators > 0
         index = self._accelerated if has_accelerators else self._plain
         index.put(entry.number, entry.free_millicores)
--- a/fireflyfork/decisions/placement/_free_index.py
+++ b/fireflyfork/decisions/placement/_free_index.py
@@ -1,4 +1,4 @@
-"""Workers by free processor time, so that a start need not look at every worker."""
+"""Indexes workers by free processor time, so a start doesn't need to examine every worker."""
 
 from __future__ import annotations
 
@@ -7,20 +7,23 @@
 _BUCKET_MILLICORES = 1000
 _BUCKET_COUNT = 129
 _STRIDE = 7919
-"""A prime, so that successive starts begin at scattered places within a bucket."""
+"""A prime, which scatters the positions at which successive searches enter a bucket."""
 
 
 class FreeIndex:
-    """Buckets of worker numbers by whole free cores. Each update and each step costs O(1)."""
+    """Buckets of worker numbers by whole free cores.
+
+    An update and a step of a search each take constant time.
+    """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Start without workers."""
         self._buckets: list[list[int]] = [[] for _ in range(_BUCKET_COUNT)]
         self._place: dict[int, tuple[int, int]] = {}
         self._turn = 0
 
     def put(self, number: int, free_millicores: int) -> None:
-        """Add a worker or move it to the bucket of its free processor time."""
+        """Add a worker, or move it, to the bucket of its free processor time."""
         bucket = _bucket_of(free_millicores)
         place = self._place.get(number)
         if place is not None:
@@ -32,7 +35,7 @@
         members.append(number)
 
     def remove(self, number: int) -> None:
-        """Take a worker out; the last of its bucket takes its place."""
+        """Remove a worker. The last worker of the bucket moves to its position."""
         place = self._place.pop(number, None)
         if place is None:
             return
@@ -44,7 +47,10 @@
             self._place[last] = (bucket, position)
 
     def candidates(self, millicores: int) -> Iterator[int]:
-        """Workers that may have so much free, the fullest first, each bucket from a new place."""
+        """Yield workers that may have ``millicores`` free, buckets with the least free time first.
+
+        Each search enters the buckets at a new position.
+        """
         self._turn += _STRIDE
         for bucket in range(_bucket_of(millicores), _BUCKET_COUNT):
             members = self._buckets[bucket]
--- a/fireflyfork/decisions/placement/_headroom.py
+++ b/fireflyfork/decisions/placement/_headroom.py
@@ -1,4 +1,4 @@
-"""Room kept free for the urgent work to come, as much as lately arrived at once."""
+"""Keeps resources free for future urgent tasks, as many as recently arrived together."""
 
 from __future__ import annotations
 
@@ -9,22 +9,27 @@
 from ._worker_entries import WorkerEntry
 
 _WINDOW_SECONDS = 5.0
+"""Urgent tasks that start within this time count as simultaneous."""
 _HALF_LIFE_SECONDS = 1800.0
+"""The half-life of the peak number of simultaneous urgent tasks."""
 _LARGEST_SHARE_OF_WORKERS = 0.1
 _LEAST_PEAK = 0.5
+"""Below this peak, no headroom is kept for past demand."""
 _LEAST_KEPT = 2
+"""The minimum number of workers with headroom if any team may submit urgent work."""
 _GUESSED_PART_OF_WORKER = 8
-"""An urgent task is taken to need an eighth of a worker until one of them is larger."""
+"""An urgent task is assumed to need an eighth of a worker until a larger one has arrived."""
 
 
 class UrgentHeadroom:
-    """Holds the size of an urgent task on as many workers as urgent tasks came in a few seconds.
+    """Holds room for one urgent task on each of several workers.
 
-    Without it urgent work on a full fleet waits for evictions, and each of them costs batch work.
+    The number of workers follows the peak number of urgent tasks within a few seconds. Without this
+    headroom, urgent work on a full fleet waits for evictions, and each eviction costs batch work.
     """
 
     def __init__(self, fleet: Fleet) -> None:
-        """Start without any urgent demand."""
+        """Start without urgent demand and without held resources."""
         self._fleet = fleet
         self._kept: dict[WorkerEntry, Resources] = {}
         self._size = Resources()
@@ -34,7 +39,7 @@
         self._window_count = 0
 
     def note_arrival(self, need: Resources, now: float) -> None:
-        """Count one urgent task that starts."""
+        """Count an urgent task that starts, and update the peak and the largest size."""
         if now - self._window_began > _WINDOW_SECONDS:
             self._window_began = now
             self._window_count = 0
@@ -44,7 +49,10 @@
         self._size = _larger(self._size, need)
 
     def take(self, need: Resources, accepts: Callable[[WorkerEntry], bool]) -> WorkerEntry | None:
-        """A worker whose kept room holds ``need``; it is no longer kept."""
+        """Release the headroom of a worker that then has room for ``need``.
+
+        Return the worker, or None if there is none.
+        """
         for entry, amount in self._kept.items():
             if not accepts(entry):
                 continue
@@ -56,10 +64,11 @@
         return None
 
     def replenish(self, may_come: bool, now: float) -> None:
-        """Keep room on more workers, or on fewer, as the demand asks.
+        """Adjust the number of workers with headroom to the demand.
 
-        ``may_come`` says whether any team may submit urgent work; some room is then kept before
-        the first of it comes, which would otherwise wait for a checkpoint and a stop.
+        ``urgent_work_allowed`` states whether any team may submit urgent work. If so, a minimum of
+        headroom is kept before the first urgent task arrives, which would otherwise wait for a
+        batch task to be checkpointed and stopped.
         """
         self._drop_unlisted()
         peak = self._faded_peak(now)
--- a/fireflyfork/decisions/placement/_health.py
+++ b/fireflyfork/decisions/placement/_health.py
@@ -1,4 +1,4 @@
-"""Who is to blame for a failure: the worker it happened on, or the task itself."""
+"""Attributes failures to the worker or to the task, and quarantines failing workers."""
 
 from __future__ import annotations
 
@@ -9,51 +9,62 @@
 
 _TASKS_TO_ACCUSE_WORKER = 4
 _JOBS_TO_ACCUSE_WORKER = 2
-"""One broken job fails all its tasks, wherever they run; that alone accuses no worker."""
+"""A broken job fails all its tasks on any worker, so the failures of a single job don't lead to
+quarantine."""
 _WORKERS_TO_ACCUSE_TASK = 3
 _MOST_FAILURES = 9
-"""So often is a task tried at most, whoever was suspected meanwhile."""
+"""A task is given up after this many failures, even if the workers were suspected."""
 _FAILURE_WINDOW_SECONDS = 900.0
 _FIRST_QUARANTINE_SECONDS = 300.0
 _LONGEST_QUARANTINE_SECONDS = 4 * 3600.0
 _LARGEST_QUARANTINED_SHARE = 0.25
-"""When more workers than this seem broken, the cause is common and quarantine would stop all."""
+"""If more workers than this seem broken, the failures have a common cause, and quarantining them all
+would stop all work."""
 
 
 @dataclass(slots=True)
 class _WorkerRecord:
     failures: dict[TaskId, tuple[JobId, float]] = field(default_factory=dict)
+    """The jobs and times of recent failures, by task."""
     quarantined_until: float = 0.0
     quarantine_seconds: float = _FIRST_QUARANTINE_SECONDS
     on_probation: bool = False
     trial: TaskId | None = None
+    """The only task that the worker may run while on probation."""
 
 
 class WorkerHealth:
-    """Quarantines workers on which tasks of several jobs fail one after another."""
+    """Quarantines workers on which tasks of several jobs fail in succession.
+
+    After quarantine a worker is on probation: it runs one task at a time until a task finishes. A
+    failure on probation puts it back in quarantine for twice as long.
+    """
 
     def __init__(self) -> None:
-        """Start by trusting every worker."""
+        """Start without failures."""
         self._records: dict[WorkerId, _WorkerRecord] = {}
         self._quarantined: set[WorkerId] = set()
         self._worker_count = 0
 
     @property
     def quarantined_count(self) -> int:
-        """Workers in quarantine."""
+        """The number of workers in quarantine."""
         return len(self._quarantined)
 
     def set_worker_count(self, count: int) -> None:
-        """How many workers there are, which bounds how many may be quarantined at once."""
+        """Set the number of workers, which bounds how many may be in quarantine at a time."""
         self._worker_count = count
 
     def forget(self, worker: WorkerId) -> None:
-        """Drop a worker that is gone."""
+        """Drop the records of a removed worker."""
         self._records.pop(worker, None)
         self._quarantined.discard(worker)
 
     def is_quarantined(self, worker: WorkerId, now: float) -> bool:
-        """Whether the worker gets nothing new. Past its time it goes on probation."""
+        """Return whether the worker is in quarantine and may not start tasks.
+
+        A worker whose quarantine has expired is put on probation.
+        """
         if worker not in self._quarantined:
             return False
         record = self._records[worker]
@@ -65,12 +76,12 @@
         return False
 
     def is_suspected(self, worker: WorkerId) -> bool:
-        """Whether the worker is in quarantine or on probation."""
+        """Return whether the worker is in quarantine or on probation."""
         record = self._records.get(worker)
         return record is not None and (worker in self._quarantined or record.on_probation)
 
     def may_start(self, worker: WorkerId, now: float) -> bool:
-        """Whether the worker may get one more task: on probation, one at a time."""
+        """Return whether the worker may start another task. On probation it runs one at a time."""
         record = self._records.get(worker)
         if record is None:
             return True
@@ -79,35 +90,35 @@
         return not record.on_probation or record.trial is None
 
     def started(self, worker: WorkerId, task: TaskId) -> None:
-        """Note a start, which on probation is the trial."""
+        """Record a start. On probation, the started task becomes the trial."""
         record = self._records.get(worker)
         if record is not None and record.on_probation:
             record.trial = task
 
     def drop_trials(self, may_run: Callable[[TaskId], bool]) -> None:
-        """Forget trials that never began: a start can be dropped after the policy ordered it.
+        """Drop trials that never began, since a start can be dropped after the policy ordered it.
 
-        The worker would otherwise wait for the end of its trial for good and stay empty.
+        Otherwise the worker would wait forever for the end of its trial and stay empty.
         """
         for record in self._records.values():
             if record.trial is not None and not may_run(record.trial):
                 record.trial = None
 
     def stopped(self, worker: WorkerId, task: TaskId) -> None:
-        """Note an end that says nothing about the worker, such as an eviction."""
+        """Record an end that is no evidence about the worker, such as an eviction."""
         record = self._records.get(worker)
         if record is not None and record.trial == task:
             record.trial = None
 
     def succeeded(self, worker: WorkerId) -> None:
-        """Note a task that finished: the worker can run tasks, so earlier failures don't count."""
+        """Record a finished task, which clears the worker's earlier failures and its probation."""
         record = self._records.get(worker)
         if record is None or worker in self._quarantined:
             return
         del self._records[worker]
 
     def failed(self, worker: WorkerId, task: TaskId, job: JobId, now: float) -> bool:
-        """Note a failure; whether it led to quarantine."""
+        """Record a failure. Return whether it puts the worker in quarantine."""
         record = self._records.setdefault(worker, _WorkerRecord())
         if worker in self._quarantined:
             return False
@@ -148,9 +159,9 @@
 
 
 def is_to_blame(failed_on: tuple[WorkerId, ...], health: WorkerHealth) -> bool:
-    """Whether a task failed on so many different workers that it must not be tried again.
+    """Return whether a task has failed on so many different workers that it must not be retried.
 
-    Failures on a worker that is itself suspected say nothing about the task.
+    Failures on suspected workers are no evidence against the task, up to a maximum number.
     """
     if len(failed_on) >= _MOST_FAILURES:
         return True
