--- a/fireflyfork/decisions/placement/_health.py
+++ b/fireflyfork/decisions/placement/_health.py
@@ -18,8 +18,8 @@
 _FIRST_QUARANTINE_SECONDS = 300.0
 _LONGEST_QUARANTINE_SECONDS = 4 * 3600.0
 _LARGEST_QUARANTINED_SHARE = 0.25
-"""If more workers than this seem broken, the failures have a common cause, and quarantining them all
-would stop all work."""
+"""If more workers than this seem broken, the failures have a common cause, and quarantining all of
+them would stop all work."""
 
 
 @dataclass(slots=True)
--- a/fireflyfork/decisions/placement/_interference.py
+++ b/fireflyfork/decisions/placement/_interference.py
@@ -1,4 +1,4 @@
-"""Interference learned from lagging tail latency, per pair of classes and band of load."""
+"""Learns interference from delayed tail latency reports, per service, task class and load band."""
 
 from __future__ import annotations
 
@@ -10,62 +10,67 @@
 from ._classes import TaskClass
 
 LOAD_BAND_EDGES = (0.4, 0.6, 0.8)
-"""Processor load, as a share of the worker, at which one band ends and the next begins."""
+"""Boundaries of the load bands, as shares of a worker's processors."""
 _NOISE_VARIANCE = 0.04
-"""Of the logarithm of one reported p99: it is measured over few requests."""
+"""Variance of the logarithm of one reported p99, which is measured over few requests."""
 _INTERCEPT_VARIANCE = 0.25
+"""Initial variance of an intercept."""
 _HIGHEST_FIRST_INTERCEPT = math.log(0.7)
+"""Upper bound of the initial intercept. A service is assumed to meet its objective when alone."""
 _SLOPE_VARIANCE = 4.0
-"""Of a pair never measured."""
+"""Variance of the slope of a pair without measurements."""
 _BORROWED_VARIANCE = 1.0
-"""Of a pair measured in another band of load only."""
+"""Minimum initial variance of a slope that is copied from another load band."""
 _LEAST_INTERCEPT_VARIANCE = 0.0005
 _LEAST_SLOPE_VARIANCE = 0.05
-"""Floors, since a filter that keeps no covariances believes itself too soon."""
+"""Minimum variances. A filter without covariances would become overconfident too early."""
 _VARIANCE_PER_SECOND = 2e-6
-"""What was learned is trusted less as time passes, since work and load change."""
+"""Growth of a slope's variance, since tasks and load change over time."""
 _LARGEST_ERROR = 1.0
-"""One report, however bad, moves estimates as if it were off by no more than this."""
+"""Bound on the prediction error of one report, which limits the effect of outliers."""
 _MOST_PAIRS = 512
-"""Classes remembered for each service and band of load."""
+"""Maximum number of classes kept for each service and load band."""
 _DOUBT = 0.5
-"""Standard deviations added before work is started beside a service it may harm."""
+"""Standard deviations that are added to a slope before a task is placed next to a service."""
 _FEARED_WHEN_UNKNOWN = _DOUBT * math.sqrt(_SLOPE_VARIANCE)
 _HALF_LIFE_SECONDS = 6 * 3600.0
-"""An estimate that nothing refreshes fades, so that a class that was mended gets a new trial."""
+"""Half-life of a slope without new reports, after which a class that was improved is tried again."""
 _SMALLEST_LATENCY_RATIO = 0.01
 
 
 def load_band(load: float) -> int:
-    """The band of a processor load."""
+    """Return the index of the band of a processor load."""
     return sum(load >= edge for edge in LOAD_BAND_EDGES)
 
 
 @dataclass(slots=True)
 class PairEstimate:
-    """By how much a worker full of the class raises the logarithm of the service's tail."""
+    """The estimated effect of a task class on the tail latency of a service."""
 
     slope: float
+    """The increase of the logarithm of the tail latency by a worker full of tasks of the class."""
     variance: float
     learned_at: float
+    """The time of the last report that the slope was updated with."""
 
 
 @dataclass(slots=True)
 class BandEstimate:
-    """What is known of one service in one band of load."""
+    """The estimates for one service in one load band."""
 
     intercept: float
+    """The logarithm of the ratio of p99 latency to objective without neighbours."""
     intercept_variance: float = _INTERCEPT_VARIANCE
     reports: int = 0
     pairs: dict[TaskClass, PairEstimate] = field(default_factory=dict)
 
     def slope(self, task_class: TaskClass, now: float) -> float:
-        """What a worker full of the class would add to the logarithm of the tail ratio."""
+        """Return what a worker full of the class would add to the logarithm of the tail ratio."""
         pair = self.pairs.get(task_class)
         return 0.0 if pair is None else _faded(pair, now)
 
     def feared_slope(self, task_class: TaskClass, now: float) -> float:
-        """The same in doubt, with a part of its standard deviation."""
+        """Return the slope plus a part of its standard deviation."""
         pair = self.pairs.get(task_class)
         if pair is None:
             return _FEARED_WHEN_UNKNOWN
@@ -73,17 +78,18 @@
 
 
 class InterferenceModel:
-    """Predicts a service's p99 over its objective from the classes beside it.
-
-    The logarithm of the ratio is taken as an intercept plus, for each neighbouring class, a
-    non-negative slope times the share of the worker's processors it holds. Each estimate has a
-    variance, and one report corrects all of them at once, in proportion to share and variance (a
-    Kalman filter that keeps only the diagonal). No report needs to tell which neighbour was at
-    fault; reports of differing mixes do, and what is well known stays put.
+    """Predicts the ratio of a service's p99 latency to its objective from neighbouring classes.
+
+    The logarithm of the ratio is modelled as an intercept plus, for each neighbouring class, a
+    non-negative slope times the share of the worker's processors that the class uses. Each estimate
+    has a variance, and a report corrects all estimates in proportion to share and variance (a
+    Kalman filter that keeps only the diagonal of the covariance matrix). A single report doesn't
+    show which neighbour interferes, but reports with different mixes do. Estimates with a low
+    variance change little.
     """
 
     def __init__(self) -> None:
-        """Start without any estimate: unknown pairs are held harmless until measured."""
+        """Start without estimates. The slope of a pair without measurements is 0."""
         self._bands: dict[tuple[ServiceName, int], BandEstimate] = {}
 
     def learn(
@@ -94,7 +100,11 @@
         latency_ratio: float,
         now: float,
     ) -> None:
-        """Take in one report: p99 over objective, beside neighbours with these shares."""
+        """Update the estimates with one report.
+
+        ``latency_ratio`` is the ratio of p99 latency to objective; ``shares`` are the shares of the
+        worker that the neighbouring classes used.
+        """
         measured = math.log(max(latency_ratio, _SMALLEST_LATENCY_RATIO))
         band = self._band(service, load_band(load), measured)
         band.reports += 1
@@ -116,7 +126,7 @@
     def added(
         self, service: ServiceName, load: float, task_class: TaskClass, share: float, now: float
     ) -> float:
-        """What ``share`` of a worker for the class adds to the logarithm of the tail ratio."""
+        """Return what ``share`` of a worker used by the class adds to the log of the tail ratio."""
         band = self._nearest(service, load_band(load))
         if band is None:
             return 0.0
@@ -124,18 +134,18 @@
         return 0.0 if pair is None else share * _faded(pair, now)
 
     def estimate(self, service: ServiceName, load: float) -> BandEstimate | None:
-        """All that is known of a service at a load; None when nothing was measured."""
+        """Return the estimates for a service at a load, or None without any measurement."""
         return self._nearest(service, load_band(load))
 
     def reports(self, service: ServiceName, load: float) -> int:
-        """How many reports there were about the service in this band of load."""
+        """Return the number of reports about the service in the band of ``load``."""
         band = self._bands.get((service, load_band(load)))
         return 0 if band is None else band.reports
 
     def predicted_ratio(
         self, service: ServiceName, load: float, shares: Mapping[TaskClass, float], now: float
     ) -> float:
-        """The p99 over the objective to expect; 0 when nothing is known of the service."""
+        """Predict the ratio of p99 latency to objective; 0 if the service was never measured."""
         band = self._nearest(service, load_band(load))
         return 0.0 if band is None else math.exp(self._explain(band, shares, now))
 
@@ -164,8 +174,9 @@
         if found is not None:
             return found
         neighbour = self._nearest(service, band)
-        # A service is taken to keep its objective alone. Were the first report taken as it stands,
-        # a neighbour present from the first would pass for the service's own latency for good.
+        # A service is assumed to meet its objective when alone. If the intercept were initialized
+        # with the first report, the effect of a neighbour that is present from the start would be
+        # attributed to the service itself forever.
         created = BandEstimate(min(measured, _HIGHEST_FIRST_INTERCEPT))
         if neighbour is not None:
             created.intercept = neighbour.intercept
@@ -179,7 +190,7 @@
         return created
 
     def _nearest(self, service: ServiceName, band: int) -> BandEstimate | None:
-        """The estimate of the band itself or of the nearest one that was ever measured."""
+        """Return the estimates of the band, or else of the nearest band with measurements."""
         for distance in range(len(LOAD_BAND_EDGES) + 1):
             for candidate in (band - distance, band + distance):
                 found = self._bands.get((service, candidate))
@@ -189,7 +200,7 @@
 
 
 def _drop_oldest(pairs: dict[TaskClass, PairEstimate]) -> None:
-    """Keep memory bounded where classes don't recur: each job of a day could be one."""
+    """Bound memory when classes don't recur, as when each job has a class of its own."""
     if len(pairs) < _MOST_PAIRS:
         return
     by_age = sorted(pairs, key=lambda name: pairs[name].learned_at)
--- a/fireflyfork/decisions/placement/_misfits.py
+++ b/fireflyfork/decisions/placement/_misfits.py
@@ -1,4 +1,4 @@
-"""What found no place lately, so that the like of it isn't searched for again at once."""
+"""Remembers recent searches that found no worker, so similar searches aren't repeated at once."""
 
 from __future__ import annotations
 
@@ -9,32 +9,37 @@
 from ._classes import TaskClass
 
 _REMEMBERED_SECONDS = 2.0
-"""A search in vain looks at many workers; the wait is short beside any batch task."""
+"""How long a failed search is remembered. Failed searches examine many workers, and this delay is
+short compared to any batch task."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Misfit:
     need: Resources
     harm: float
-    """The limit it was held to; work that has waited longer may find a place all the same."""
+    """The slope limit of the search. A task that has waited longer has a higher limit, so it may
+    find a worker nevertheless."""
     until: float
 
 
 class Misfits:
-    """Sizes without a place: for all work when there was no room, else for one class."""
+    """The sizes for which no worker was found.
+
+    If no worker had room, a size applies to all classes, otherwise to the class that was searched.
+    """
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Start without failed searches."""
         self._sizes: dict[TaskClass | None, list[_Misfit]] = {}
         self._count = 0
 
     @property
     def count(self) -> int:
-        """How many searches of this round were in vain."""
+        """The number of searches that failed in this round."""
         return self._count
 
     def begin_round(self, now: float) -> None:
-        """Forget what was long ago."""
+        """Reset the count and remove expired searches."""
         self._count = 0
         for key, sizes in list(self._sizes.items()):
             recent = [misfit for misfit in sizes if misfit.until > now]
@@ -46,13 +51,17 @@
     def add(
         self, need: Resources, task_class: TaskClass | None, limits: Limits, now: float
     ) -> None:
-        """Note a size; ``task_class`` when only that class was kept away by services."""
+        """Add a failed search.
+
+        ``task_class`` is None if no worker had room, or the class of the task if workers had room
+        but the effect on their services was over the limits.
+        """
         misfit = _Misfit(need, limits.harm, now + _REMEMBERED_SECONDS)
         self._sizes.setdefault(task_class, []).append(misfit)
         self._count += 1
 
     def cover(self, need: Resources, task_class: TaskClass, limits: Limits) -> bool:
-        """Whether something no larger, and no more patient, has found no place."""
+        """Return whether a search for no more than ``need`` failed with limits at least as high."""
         if any(misfit.need.fits_in(need) for misfit in self._sizes.get(None, ())):
             return True
         return any(
--- a/fireflyfork/decisions/placement/_policy.py
+++ b/fireflyfork/decisions/placement/_policy.py
@@ -1,4 +1,7 @@
-"""The placement policy: learned sizes and interference, quotas, spread, relief and quarantine."""
+"""The interference-aware placement policy.
+
+It combines learned sizes and interference with quotas, replica spread, relief and quarantine.
+"""
 
 from __future__ import annotations
 
@@ -51,24 +54,29 @@
 from ._worker_entries import AttemptEntry, WorkerEntry
 
 _MOST_MISFITS = 8
-"""Jobs without a place that one round may look at, so that a full fleet costs little."""
+"""Failed searches for batch tasks after which a round ends; bounds its cost on a full fleet."""
 _MOST_URGENT_MISFITS = 64
+"""Urgent tasks, or replicas, without a worker after which a round stops placing more of them."""
 _HIGHEST_RATIO = 0.75
-"""To this share of its objective a new batch task may push a service's p99."""
+"""Maximum ratio of p99 latency to objective that a new batch task may cause for a service."""
 _PATIENCE_SECONDS = 1200.0
+"""Waiting time after which the limits on interference are fully relaxed."""
 _HARM_AT_FIRST = 0.8
+"""Maximum slope of a class next to a service for a task that has just arrived."""
 _HARM_AT_LAST = 5.0
+"""Increase of the maximum slope after the full waiting time."""
 
 
 class InterferenceAwarePolicy(PlacementPolicy):
-    """Places by learned size and interference. Deterministic in what it was told.
+    """Places tasks by learned size and interference.
 
-    The learned state and the index of workers change in place, since a copy for each report
-    would cost more than the decisions; ``observe`` returns the same object.
+    Decisions depend only on the observations and views. The learned state and the index of workers
+    change in place, since a copy for each report would cost more than the decisions, and
+    ``observe`` returns the same object.
     """
 
     def __init__(self, settings: PolicySettings | None = None) -> None:
-        """Start without any knowledge of workers or work."""
+        """Start without workers and without learned state."""
         self._settings = settings or PolicySettings()
         self._fleet = Fleet()
         self._sizes = LearnedSizes()
@@ -80,36 +88,34 @@
         self._headroom = UrgentHeadroom(self._fleet)
         self._misfits = Misfits()
         self._tentative_replicas: list[tuple[ServiceName, WorkerEntry, int]] = []
-        """Replicas started this round, which the table hasn't confirmed yet."""
+        """Replicas started in this round, which the task table hasn't confirmed yet."""
         self._choice = WorkerChoice(self._fleet, self._interference)
         self._services: Mapping[ServiceName, ServiceContract] = {}
         self._measured: dict[WorkerId, WorkerEntry] = {}
-        """Workers about whose services there is something new since the last round."""
+        """Workers with latency reports about their services since the last round."""
 
     @property
     def health(self) -> WorkerHealth:
-        """Which workers are quarantined."""
+        """The health records, which decide which workers are in quarantine."""
         return self._health
 
     @property
     def sizes(self) -> LearnedSizes:
-        """What each class uses."""
+        """The learned sizes of each task class."""
         return self._sizes
 
     @property
     def relief(self) -> ReliefPlanner:
-        """What is done for slowed services, with its budget."""
+        """The planner of relief for slowed services, with its eviction budget."""
         return self._relief
 
     @property
     def room(self) -> RoomMaker:
-        """What is done for urgent work, with its budget."""
+        """The preemption of batch tasks for urgent work, with its eviction budget."""
         return self._room
 
-    # Learning
-
     def observe(self, observation: Observation) -> InterferenceAwarePolicy:
-        """See PlacementPolicy. Returns this object, changed."""
+        """See PlacementPolicy. Modifies and returns this object."""
         if isinstance(observation, SamplesTaken):
             for sample in observation.samples:
                 self._sample(sample, observation.now)
@@ -198,8 +204,6 @@
             shares = entry.reported_shares(TaskClass(sample.task.shape.task_class))
             self._interference.learn(service, entry.reported_load(), shares, ratio, now)
 
-    # Deciding
-
     def decide(self, view: PlacementView) -> tuple[PlacementCommand, ...]:
         """See PlacementPolicy."""
         self._services = view.services
@@ -236,7 +240,7 @@
         yield from self._batch_starts(FairQueue(waiting.batch, quotas), view, quotas)
 
     def _refusal(self, task: Task) -> Refuse | None:
-        """For a task that failed in so many places that it has to be at fault itself."""
+        """Return a refusal if the task has failed on so many workers that it must be at fault."""
         if not is_to_blame(task.failed_on, self._health):
             return None
         return Refuse(task.task_id, FailedOnManyWorkers(task.failed_on).sentence())
@@ -351,7 +355,7 @@
                 return
 
     def _batch_start(self, task: Task, need: Resources, limits: Limits, now: float) -> Start | None:
-        """A start, or None; what found no place is noted as a misfit."""
+        """Return a start, or None if there is no worker; the failed search is then remembered."""
         accepts = self._batch_acceptance(task, now)
         task_class = TaskClass(task.shape.task_class)
         choice = self._choice.choose(need, task_class, accepts, limits, now)
@@ -386,7 +390,7 @@
         return self._room.make_room(task.task_id, need, view.on_worker, accepts, view.now)
 
     def _acceptance(self, task: Task, now: float) -> Callable[[WorkerEntry], bool]:
-        """Whether a worker may get the task at all."""
+        """Return a predicate that states whether a worker may run the task."""
         health = self._health
         failed_on = task.failed_on
 
@@ -397,7 +401,7 @@
         return accepts
 
     def _batch_acceptance(self, task: Task, now: float) -> Callable[[WorkerEntry], bool]:
-        """The same for batch work, which also stays away from services that are slowed now."""
+        """Return a predicate for batch tasks, which also excludes workers with slowed services."""
         may_start = self._acceptance(task, now)
         if self._settings.relief is not Relief.THROTTLE_FIRST:
             return may_start
@@ -408,7 +412,7 @@
         return accepts
 
     def _need(self, shape: TaskShape) -> Resources:
-        """What to reserve for a task."""
+        """Return what to reserve for a task: its learned size, capped at the largest worker."""
         if not self._settings.learns_sizes:
             return shape.resources
         is_service = shape.service is not None
@@ -419,8 +423,6 @@
     def _need_within_quota(self, shape: TaskShape, quotas: QuotaLedger) -> Resources:
         return cut_to_quota(self._need(shape), shape.resources, quotas.quota(shape.team))
 
-    # Explaining
-
     def infeasible(
         self,
         shape: TaskShape,
@@ -433,7 +435,7 @@
         return "" if reason is None else reason.sentence()
 
     def why_waiting(self, task: Task, view: PlacementView) -> Reason:
-        """See PlacementPolicy. Computed when asked, so that waiting costs nothing."""
+        """See PlacementPolicy. Computed only on request, so waiting tasks cost nothing."""
         held_on = self._room.held_on(task.task_id)
         if held_on is not None:
             return WaitsForEvicted(held_on)
@@ -457,9 +459,10 @@
 
 
 def _limits(view: PlacementView, waited: float) -> Limits:
-    """How far a start may slow services; it grows with the wait, so that none starves.
+    """Return how far a start may slow services. Limits grow with the wait to prevent starvation.
 
-    With other work waiting, the room beside a service is better used by work that leaves it alone.
+    They are low at first, since the room next to a service is better used by other waiting tasks
+    that don't slow it.
     """
     weights = view.weights
     total = weights.throughput + weights.tail_latency
@@ -470,7 +473,10 @@
 
 
 def _accuses_worker(ended: AttemptEnded) -> bool:
-    """Whether the end may be the worker's fault; a refusal is, since it would draw in all work."""
+    """Return whether the worker may be at fault for the end of an attempt.
+
+    A refusal counts, since a worker that refuses starts always has room and would attract all work.
+    """
     if ended.outcome is AttemptOutcome.REFUSED:
         return True
     return ended.outcome is AttemptOutcome.FAILED and not _exhausted_memory(ended)
--- a/fireflyfork/decisions/placement/_policy_settings.py
+++ b/fireflyfork/decisions/placement/_policy_settings.py
@@ -1,4 +1,4 @@
-"""What of the policy can be switched, so that a measurement can tell what each part is worth."""
+"""Switches for the parts of the policy, which allow measuring the benefit of each."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 
 class Relief(Enum):
-    """What is done for a service that batch work slows."""
+    """How a service that is slowed by batch tasks is relieved."""
 
     NONE = "none"
     EVICT_AT_ONCE = "evict-at-once"
-    """Evict the largest neighbour at the first slow report, without a budget."""
+    """Evict the largest neighbour after the first report of high latency, without a budget."""
     THROTTLE_FIRST = "throttle-first"
-    """Throttle, then evict what pays for itself, under the budget."""
+    """Throttle first, then evict if the gain exceeds the cost, within the budget."""
 
 
 @dataclass(frozen=True, slots=True)
 class PolicySettings:
-    """The parts of the policy that are in use."""
+    """Selects the parts of the policy that are enabled."""
 
     learns_sizes: bool = True
     learns_interference: bool = True
--- a/fireflyfork/decisions/placement/_pressure.py
+++ b/fireflyfork/decisions/placement/_pressure.py
@@ -1,4 +1,4 @@
-"""Whether a worker's services are slowed, with hysteresis against lag, noise and flapping."""
+"""Detects slowed services on a worker, with hysteresis against lag, noise and flapping."""
 
 from __future__ import annotations
 
@@ -7,21 +7,26 @@
 from ..._ids import ServiceName
 
 _HIGH_RATIO = 0.9
-"""Smoothed p99 over the objective from which on a service counts as slowed."""
+"""A service is slowed if the smoothed ratio of p99 latency to objective is at least this."""
 _LOW_RATIO = 0.8
-"""Below it a service may have room to give; between the two nothing changes."""
+"""Below this ratio, limits on batch tasks may be lifted. Between the two, nothing changes."""
 _SMOOTHING = 0.4
+"""Weight of a new report in the exponential moving average."""
 _HIGH_REPORTS = 2
+"""Consecutive rounds of high reports before relief."""
 _FIRST_LOW_REPORTS = 4
+"""Initial number of consecutive rounds of low reports before relaxation."""
 _MOST_LOW_REPORTS = 64
+"""Maximum number of consecutive rounds of low reports before relaxation."""
 _SETTLE_SECONDS = 2.0
-"""A measurement shows an action only when it began after the action had reached the worker."""
+"""Time that an action takes to reach the worker. Earlier measurements don't show its effect."""
 _RELAPSE_SECONDS = 900.0
-"""A worker slowed again so soon after it was relaxed must wait twice as long the next time."""
+"""If a worker is slowed again within this time after relaxation, the required number of low reports
+doubles."""
 
 
 class PressureAction(Enum):
-    """What a worker needs."""
+    """The action that a worker's services require."""
 
     NONE = "none"
     RELIEVE = "relieve"
@@ -29,12 +34,13 @@
 
 
 class Pressure:
-    """The smoothed latency of each service on one worker, and what it asks for.
+    """Smooths the latency of each service on one worker, and derives the required action.
 
-    Reports lag. Acting on each report would throttle again and again for a cause that the first
-    throttle has already removed, and lift limits as fast; batch work would swing between full
-    speed and standstill. So only measurements that began after the last action count, several in
-    a row are needed, and each relapse doubles the calm that must come before the next relaxation.
+    Reports lag. Acting on each report would throttle repeatedly for a cause that the first throttle
+    has already removed, and would lift limits as quickly, so batch work would oscillate between
+    full speed and standstill. Therefore only measurements taken after the last action count,
+    several consecutive ones are required, and each relapse doubles the number of low reports that
+    the next relaxation requires.
     """
 
     __slots__ = (
@@ -50,7 +56,7 @@
     )
 
     def __init__(self) -> None:
-        """Start calm."""
+        """Start without reports."""
         self._ratios: dict[ServiceName, float] = {}
         self._high_streak = 0
         self._low_streak = 0
@@ -63,22 +69,28 @@
 
     @property
     def is_high(self) -> bool:
-        """Whether a service is now over its objective."""
+        """Whether the latency of any service is high now."""
         return self.worst()[1] >= _HIGH_RATIO
 
     def worst(self) -> tuple[ServiceName | None, float]:
-        """The service that is slowed most, and its smoothed p99 over the objective."""
+        """Return the service with the highest smoothed ratio of p99 to objective, and the ratio.
+
+        The service is None and the ratio 0 if there are no reports.
+        """
         if not self._ratios:
             return None, 0.0
         name = max(self._ratios, key=self._ratios.__getitem__)
         return name, self._ratios[name]
 
     def forget(self, service: ServiceName) -> None:
-        """Drop a service that has no replica here any more."""
+        """Drop a service that no longer has a replica on the worker."""
         self._ratios.pop(service, None)
 
     def report(self, service: ServiceName, ratio: float, measured_at: float) -> None:
-        """Take in one measurement that began at ``measured_at``."""
+        """Add the ratio of p99 latency to objective of a measurement taken at ``measured_at``.
+
+        Measurements from before the effect of the last action are ignored.
+        """
         if measured_at < self._counts_from:
             return
         smoothed = self._ratios.get(service)
@@ -88,7 +100,7 @@
         self._last_measured = max(self._last_measured, measured_at)
 
     def action(self) -> PressureAction:
-        """What is due. Each round of measurements counts once, however often this is asked."""
+        """Return the required action. Repeated calls count a round of measurements only once."""
         if self._last_measured > self._round:
             self._round = self._last_measured
             self._count_round(self.worst()[1])
@@ -99,14 +111,14 @@
         return PressureAction.NONE
 
     def relieved(self, now: float) -> None:
-        """Note that work was throttled or evicted."""
+        """Record that tasks were throttled or evicted."""
         if now - self._relaxed_at < _RELAPSE_SECONDS:
             self._calm_needed = min(2 * self._calm_needed, _MOST_LOW_REPORTS)
             self._relapsed_at = now
         self._restart(now)
 
     def relaxed(self, now: float) -> None:
-        """Note that a limit was lifted."""
+        """Record that limits were raised or lifted."""
         if now - self._relapsed_at > _RELAPSE_SECONDS:
             self._calm_needed = max(self._calm_needed // 2, _FIRST_LOW_REPORTS)
         self._relaxed_at = now
--- a/fireflyfork/decisions/placement/_ratio_histogram.py
+++ b/fireflyfork/decisions/placement/_ratio_histogram.py
@@ -1,4 +1,4 @@
-"""A forgetting histogram of ratios, small enough to keep one for each class of work."""
+"""A histogram of ratios with exponential forgetting, small enough to keep one per task class."""
 
 from __future__ import annotations
 
@@ -11,36 +11,36 @@
 _BIN_COUNT = _BINS_PER_OCTAVE * (_OCTAVES_BELOW_ONE + _OCTAVES_ABOVE_ONE)
 _FIRST_BIN_EXPONENT = -_OCTAVES_BELOW_ONE * _BINS_PER_OCTAVE
 _LARGEST_TOTAL = 1024.0
-"""Beyond this weight all counts are halved, so that an old regime of usage fades."""
+"""Above this total weight all counts are halved, so old usage patterns lose influence."""
 
 
 class RatioHistogram:
     """Counts of ratios between 1/32 and 32 in bins an eighth of an octave wide (9%).
 
-    hdrhistogram can't forget and takes kilobytes each; there is one of these per class.
+    This replaces hdrhistogram, which can't forget and takes kilobytes for each class.
     """
 
     __slots__ = ("_counts", "_total")
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Start without counts."""
         self._counts = array("f", bytes(4 * _BIN_COUNT))
         self._total = 0.0
 
     @property
     def total(self) -> float:
-        """The weight of what was added and not yet forgotten."""
+        """The remaining weight of all ratios added."""
         return self._total
 
     def add(self, ratio: float) -> None:
-        """Count one ratio; what lies outside the range counts in the nearest bin."""
+        """Count a ratio. A ratio outside the range counts in the nearest bin."""
         self._counts[_bin_of(ratio)] += 1.0
         self._total += 1.0
         if self._total > _LARGEST_TOTAL:
             self._halve()
 
     def quantile(self, share: float) -> float:
-        """The upper edge of the bin that holds the quantile, so never below it; 0 when empty."""
+        """Return an upper bound of a quantile: the upper edge of its bin, or 0 without counts."""
         if not self._total:
             return 0.0
         wanted = share * self._total
--- a/fireflyfork/decisions/placement/_reasons.py
+++ b/fireflyfork/decisions/placement/_reasons.py
@@ -1,4 +1,4 @@
-"""Why the policy did, or did not do, something: a sentence for operators and JSON for programs."""
+"""Reasons for the policy's decisions, as sentences for operators and as JSON for programs."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def describe(amount: Resources) -> str:
-    """Resources in words, such as ``1.5 cores, 2.0 GB, 1 accelerator``; zero parts left out."""
+    """Format resources, for example ``1.5 cores, 2.00 GB, 1 accelerator``. Zeros are omitted."""
     parts = []
     if amount.millicores:
         parts.append(f"{amount.millicores / 1000:g} cores")
@@ -25,12 +25,12 @@
 
 
 class PlacementReason(Reason):
-    """A reason whose JSON form is its class name and its fields."""
+    """Base class of reasons, which are dataclasses. The JSON form has class name and fields."""
 
     __slots__ = ()
 
     def as_json(self) -> dict[str, object]:
-        """``kind`` and the fields, amounts as objects."""
+        """Return the class name as ``kind``, and all fields, with resources as objects."""
         fields = {
             field.name: _plain(getattr(self, field.name))
             for field in dataclasses.fields(self)  # type: ignore[arg-type]
@@ -50,18 +50,18 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacedBatch(PlacementReason):
-    """A batch task starts where it fits and disturbs services least."""
+    """A batch task starts on the worker with room where it slows services least."""
 
     worker: WorkerId
     declared: Resources
     reserved: Resources
     candidates: int
-    """How many workers with room were compared."""
+    """The number of workers with room that were compared."""
     added_latency: float
-    """By what share the worst service beside it is expected to slow down."""
+    """The expected relative increase of tail latency of the service that is slowed most."""
 
     def sentence(self) -> str:
-        """In words."""
+        """Return the sentence that is shown to operators."""
         return (
             f"Placed on {self.worker}, the best of {self.candidates} with room: reserves"
             f" {describe(self.reserved)} (declared {describe(self.declared)}) and is expected to"
@@ -71,19 +71,19 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacedUrgent(PlacementReason):
-    """An urgent task starts before everything but replicas of services."""
+    """An urgent task starts; only replicas of services are placed before it."""
 
     worker: WorkerId
     waited_seconds: float
 
     def sentence(self) -> str:
-        """In words."""
+        """Return the sentence that is shown to operators."""
         return f"Urgent: placed on {self.worker} after waiting {self.waited_seconds:.2f} s."
 
 
 @dataclass(frozen=True, slots=True)
 class PlacedReplica(PlacementReason):
-    """A replica starts where the fewest others of its service are."""
+    """A replica starts where there are the fewest other replicas of its service."""
 
     service: ServiceName
     worker: WorkerId
@@ -92,7 +92,7 @@
     others_in_rack: int
 
     def sentence(self) -> str:
-        """In words."""
+        """Return the sentence that is shown to operators."""
         return (
             f"Replica of {self.service} placed on {self.worker}: {self.others_in_failure_domain}"
             f" others are in {self.failure_domain} and {self.others_in_rack} in its rack."
@@ -101,13 +101,13 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitsForRoom(PlacementReason):
-    """No worker that may take the task has room now."""
+    """No worker that may run the task has room now."""
 
     needed: Resources
     quarantined_workers: int
 
     def sentence(self) -> str:
-        """In words."""
+        """Return the sentence that is shown to operators."""
         without = (
             f" ({self.quarantined_workers} workers are quarantined)"
             if self.quarantined_workers
@@ -118,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitsForQuota(PlacementReason):
-    """The team's running tasks hold too much of its quota."""
+    """The team's running tasks have reserved too much of its quota for another task."""
 
     team: TeamName
     needed: Resources
@@ -126,7 +126,7 @@
     quota: Resources
 
     def sentence(self) -> str:
-        """In words."""
+        """Return the sentence that is shown to operators."""
         return (
             f"Waits: {self.team} has reserved {describe(self.reserved)} of its quota"
             f" {describe(self.quota)}, and the task needs {describe(self.needed)}."
@@ -140,7 +140,7 @@
     needed: Resources
 
     def sentence(self) -> str:
-        """In words."""
+        """Return the sentence that is shown to operators."""
         return (
             f"Waits: each worker with {describe(self.needed)} free runs a service that the task"
             " would push over its latency objective."
@@ -149,36 +149,36 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitsForTurn(PlacementReason):
-    """Others go first this round: nothing hinders the task but the number of starts."""
+    """The task can be placed, but other tasks start before it in this round."""
 
     def sentence(self) -> str:
-        """In words."""
+        """Return the sentence that is shown to operators."""
         return "Waits for its turn: there is room, and tasks of other teams or jobs start first."
 
 
 @dataclass(frozen=True, slots=True)
 class WaitsForEvicted(PlacementReason):
-    """Room was ordered on a worker, and what held it is still stopping."""
+    """Batch tasks were evicted from a worker for the task, and are still stopping."""
 
     worker: WorkerId
 
     def sentence(self) -> str:
-        """In words."""
+        """Return the sentence that is shown to operators."""
         return f"Waits for batch tasks on {self.worker} that were told to make room for it."
 
 
 @dataclass(frozen=True, slots=True)
 class ThrottledForLatency(PlacementReason):
-    """A batch task is slowed because a service beside it is over its objective."""
+    """A batch task is throttled because a service on the same worker is over its objective."""
 
     service: ServiceName
     worker: WorkerId
     latency_ratio: float
-    """Smoothed p99 over the objective."""
+    """The smoothed ratio of p99 latency to objective."""
     millicores: int
 
     def sentence(self) -> str:
-        """In words."""
+        """Return the sentence that is shown to operators."""
         return (
             f"Throttled to {self.millicores / 1000:g} cores: {self.service} on {self.worker} has a"
             f" p99 of {self.latency_ratio:.2f} times its objective."
@@ -187,13 +187,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ThrottleLifted(PlacementReason):
-    """The services of the worker have been well within their objectives for long enough."""
+    """A limit is raised because the worker's services have long been within their objectives."""
 
     worker: WorkerId
     latency_ratio: float
 
     def sentence(self) -> str:
-        """In words."""
+        """Return the sentence that is shown to operators."""
         return (
             f"No longer throttled: the services on {self.worker} have a p99 of at most"
             f" {self.latency_ratio:.2f} times their objective."
@@ -202,19 +202,19 @@
 
 @dataclass(frozen=True, slots=True)
 class EvictedForLatency(PlacementReason):
-    """Throttling did not help, and what the service gains outweighs the work lost."""
+    """A batch task is evicted because throttling did not help and the gain exceeds the cost."""
 
     service: ServiceName
     worker: WorkerId
     latency_ratio: float
     lost_seconds: float
     gain: float
-    """Weighted benefit to the service, in the unit of ``cost``."""
+    """The weighted benefit to the service, in the same unit as ``cost``."""
     cost: float
-    """Weighted cost of the eviction and of the work lost."""
+    """The weighted cost of the eviction and of the lost work."""
 
     def sentence(self) -> str:
-        """In words."""
+        """Return the sentence that is shown to operators."""
         return (
             f"Evicted: {self.service} on {self.worker} stayed at {self.latency_ratio:.2f} times its"
             f" latency objective although batch work was throttled; about {self.lost_seconds:.0f} s"
@@ -224,14 +224,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EvictedForUrgent(PlacementReason):
-    """The task made room for urgent work or for a replica of a service."""
+    """A batch task is evicted to make room for an urgent task or a replica of a service."""
 
     task: TaskId
     worker: WorkerId
     lost_seconds: float
 
     def sentence(self) -> str:
-        """In words."""
+        """Return the sentence that is shown to operators."""
         return (
             f"Evicted from {self.worker} to make room for {self.task}, which must start at once;"
             f" about {self.lost_seconds:.0f} s of work are lost."
@@ -240,26 +240,26 @@
 
 @dataclass(frozen=True, slots=True)
 class LargerThanAnyWorker(PlacementReason):
-    """No worker could hold the task even if it were empty."""
+    """The task does not fit on any worker, even if the worker is empty."""
 
     needed: Resources
     workers: int
 
     def sentence(self) -> str:
-        """In words."""
+        """Return the sentence that is shown to operators."""
         return f"Refused: none of {self.workers} workers can ever hold {describe(self.needed)}."
 
 
 @dataclass(frozen=True, slots=True)
 class LargerThanQuota(PlacementReason):
-    """One task alone exceeds the team's whole quota."""
+    """A single task exceeds the whole quota of the team."""
 
     team: TeamName
     needed: Resources
     quota: Resources
 
     def sentence(self) -> str:
-        """In words."""
+        """Return the sentence that is shown to operators."""
         return (
             f"Refused: the task needs {describe(self.needed)}, more than the whole quota of"
             f" {self.team}, {describe(self.quota)}."
@@ -268,12 +268,12 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownTeam(PlacementReason):
-    """The configuration names no such team."""
+    """The team is not in the configuration."""
 
     team: TeamName
 
     def sentence(self) -> str:
-        """In words."""
+        """Return the sentence that is shown to operators."""
         return f"Refused: no team {self.team} in the configuration."
 
 
@@ -284,18 +284,18 @@
     team: TeamName
 
     def sentence(self) -> str:
-        """In words."""
+        """Return the sentence that is shown to operators."""
         return f"Refused: {self.team} may not submit urgent work."
 
 
 @dataclass(frozen=True, slots=True)
 class FailedOnManyWorkers(PlacementReason):
-    """The task failed wherever it ran, so the fault is its own."""
+    """The task failed on several workers, so the task itself is at fault."""
 
     workers: tuple[WorkerId, ...]
 
     def sentence(self) -> str:
-        """In words."""
+        """Return the sentence that is shown to operators."""
         return (
             f"Given up: it failed on {len(self.workers)} different workers"
             f" ({', '.join(self.workers)})."
--- a/fireflyfork/decisions/placement/_relief.py
+++ b/fireflyfork/decisions/placement/_relief.py
@@ -1,4 +1,8 @@
-"""Relief for slowed services: throttle first, then evict what pays for itself, then relax."""
+"""Relieves slowed services by throttling or evicting batch tasks.
+
+Tasks are throttled first, and evicted if throttling doesn't help and the gain exceeds the cost.
+Limits are lifted when latency is low again.
+"""
 
 from __future__ import annotations
 
@@ -20,40 +24,48 @@
 from ._worker_entries import AttemptEntry, WorkerEntry
 
 _WANTED_RATIO = 0.75
-"""Relief aims below the objective, or the next report would ask for more."""
+"""The target ratio of p99 latency to objective. With a target at the objective, the next report
+would trigger relief again."""
 _THROTTLE_SHARE = 0.5
+"""Factor by which one throttle reduces a task's processor time."""
 _LEAST_SHARE_OF_RESERVATION = 0.25
 _LEAST_MILLICORES = 50
 _MATERIAL_SHARE = 0.25
-"""Only work that adds at least so much of what the worst neighbour adds has to yield."""
+"""Neighbours that contribute less than this share of the largest contribution are left alone."""
 _HARMLESS = 0.01
-"""A limit that holds back no more than this (natural logarithm) helps nobody."""
+"""A limit with at most this effect on the logarithm of tail latency is always lifted."""
 _LEAST_EXPLAINED = 0.05
-"""Below it neighbours don't explain the latency, and slowing them would not help."""
+"""If the contributions of all neighbours to the logarithm of tail latency sum to less than this,
+they don't explain the latency, and slowing them would not help."""
 _REPORTS_TO_ACQUIT = 12
+"""Reports about a service after which its neighbours' low contributions are trusted."""
 _HORIZON_MINUTES = 10.0
-"""Load shifts, so the benefit of an eviction is not counted beyond this."""
+"""The benefit of an eviction is counted for at most this time, since load shifts."""
 _RESTART_MINUTES = 0.5
-"""What a restart costs besides the lost work."""
+"""Cost of a restart in addition to the lost work, in minutes of the task's run time."""
 _SHORTEST_REMAINING_MINUTES = 0.5
 _CORE_MINUTE = 0.05
-"""The worth of a lost core-minute in the unit of one eviction, before weights."""
+"""Cost of a lost core-minute before weighting; an eviction costs 1."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Neighbour:
-    """A batch task beside a slowed service."""
+    """A batch task on the same worker as a slowed service."""
 
     task: Task
     attempt: AttemptEntry
     blame: float
-    """What it adds to the logarithm of the service's tail, or its share of use when unknown."""
+    """What the task adds to the logarithm of the service's tail latency. If the effects are
+    unknown, the share of the worker's processors that the task uses."""
     limit: int
-    """Millicores to which the next throttle would take it."""
+    """The processor limit in millicores that the next throttle would set."""
 
     @property
     def blame_per_use(self) -> float:
-        """Blame by processor time used: slowing such work first costs the least throughput."""
+        """The contribution per processor time used.
+
+        Throttling the tasks with the highest value first costs the least throughput.
+        """
         return self.blame / max(self.attempt.used, 1)
 
     @property
@@ -65,10 +77,10 @@
 
 
 class ReliefPlanner:
-    """Decides what is done on each worker whose services are slowed, or no longer are."""
+    """Throttles and evicts batch tasks next to slowed services, and lifts limits afterwards."""
 
     def __init__(self, fleet: Fleet, interference: InterferenceModel, relief: Relief) -> None:
-        """Shares the policy's index and model."""
+        """Use the fleet index and the interference model of the policy, which change over time."""
         self._fleet = fleet
         self._interference = interference
         self._relief = relief
@@ -76,7 +88,7 @@
 
     @property
     def budget(self) -> EvictionBudget:
-        """What may still be evicted."""
+        """The budget for evictions for latency."""
         return self._budget
 
     def plan(
@@ -86,7 +98,7 @@
         weights: Weights,
         now: float,
     ) -> Iterator[PlacementCommand]:
-        """Commands for the workers about which there were new measurements."""
+        """Yield commands for the given workers, which have new latency measurements."""
         self._budget.refill(now, self._fleet.batch_count, latency_share_per_hour(weights))
         for entry in touched:
             tasks = on_worker.get(entry.worker.worker_id, {})
@@ -135,7 +147,10 @@
     def _neighbours(
         self, entry: WorkerEntry, tasks: Mapping[TaskId, Task], service: ServiceName, now: float
     ) -> list[_Neighbour]:
-        """The batch tasks that may be slowed, worst first; none when they are not at fault."""
+        """Return the batch tasks that may be throttled, in order of contribution per use.
+
+        Return none if enough reports show that they don't explain the latency.
+        """
         capacity = max(entry.worker.capacity.millicores, 1)
         load = entry.expected_load()
         found = []
@@ -185,7 +200,7 @@
         weights: Weights,
         now: float,
     ) -> Iterator[CheckpointAndEvict]:
-        """One eviction at most: the least lost work among the neighbours that matter."""
+        """Evict at most one task: the one that loses the least work of the main contributors."""
         least_blame = _MATERIAL_SHARE * max(neighbour.blame for neighbour in neighbours)
         material = [
             item
@@ -207,7 +222,10 @@
     def _gain(
         self, entry: WorkerEntry, victim: _Neighbour, ratio: float, weights: Weights, now: float
     ) -> float:
-        """Minutes of replicas at a doubled tail that the eviction saves, times the weight."""
+        """Return the weighted benefit of an eviction.
+
+        The unit is one replica that for one minute has a tail latency higher by its objective.
+        """
         after = max(ratio * math.exp(-victim.blame), _WANTED_RATIO)
         minutes = min(remaining_minutes(victim.attempt, now), _HORIZON_MINUTES)
         replicas = sum(entry.replicas.values())
@@ -221,7 +239,7 @@
         ratio: float,
         now: float,
     ) -> Iterator[Throttle]:
-        """Raise the limits that harm least, as many as keep the service where it is wanted."""
+        """Raise limits in order of effect, while the service is predicted to stay on target."""
         slack = math.log(_WANTED_RATIO / ratio)
         for harm, task in self._limited(entry, tasks, service, now):
             slack -= harm
@@ -237,7 +255,7 @@
     def _limited(
         self, entry: WorkerEntry, tasks: Mapping[TaskId, Task], service: ServiceName, now: float
     ) -> list[tuple[float, Task]]:
-        """The throttled tasks, each with what a raised limit would add, least harm first."""
+        """Return the throttled tasks with the effect of raising each limit, smallest first."""
         capacity = max(entry.worker.capacity.millicores, 1)
         load = entry.expected_load()
         limited = []
@@ -260,7 +278,7 @@
         ratio: float,
         now: float,
     ) -> Iterator[CheckpointAndEvict]:
-        """The baseline: no hysteresis, no cost, no budget."""
+        """Evict the largest neighbour. This baseline has no hysteresis, cost model or budget."""
         attempts = [
             attempt
             for task, attempt in self._yielding(tasks)
@@ -276,24 +294,27 @@
 
 
 def lost_seconds(attempt: AttemptEntry, now: float) -> float:
-    """How long ago the last progress was reported, which a failed checkpoint would lose."""
+    """Return the seconds since the last reported progress, which a failed checkpoint would lose."""
     return max(now - attempt.progress_at, 0.0)
 
 
 def lost_core_seconds(attempt: AttemptEntry, now: float) -> float:
-    """The same, times the processors reserved."""
+    """Return the lost seconds times the number of cores reserved."""
     return lost_seconds(attempt, now) * attempt.task.reservation.millicores / 1000.0
 
 
 def remaining_minutes(attempt: AttemptEntry, now: float) -> float:
-    """What is left of the declared run time, never taken as nothing: declarations are wrong."""
+    """Return the remaining declared run time.
+
+    It has a positive minimum, since declared run times are often too short.
+    """
     shape = attempt.task.shape
     left = (1.0 - attempt.progress) * shape.run_seconds / 60.0
     return max(left, _SHORTEST_REMAINING_MINUTES)
 
 
 def eviction_cost(attempt: AttemptEntry, weights: Weights, now: float) -> float:
-    """What an eviction costs: itself, the work lost and the restart, weighted."""
+    """Return the weighted cost of an eviction, including the lost work and the restart."""
     cores = attempt.task.reservation.millicores / 1000.0
     lost_core_minutes = lost_core_seconds(attempt, now) / 60.0 + cores * _RESTART_MINUTES
     return weights.evictions + weights.throughput * lost_core_minutes * _CORE_MINUTE
--- a/fireflyfork/decisions/placement/_room.py
+++ b/fireflyfork/decisions/placement/_room.py
@@ -1,4 +1,4 @@
-"""Room for work that must start at once: batch tasks are evicted, and what they leave is held."""
+"""Preempts batch tasks for tasks that must start at once, and holds the room for these."""
 
 from __future__ import annotations
 
@@ -23,14 +23,16 @@
 _WORKERS_EXAMINED = 48
 _PLANS_COMPARED = 8
 _HOLD_SECONDS = 15.0
-"""After it the room is given back: the victims never stopped or the worker is gone."""
+"""Room that is not used within this time is released, because the victims did not stop or the
+worker was removed."""
 
 Victims = list[Task]
+"""The batch tasks to evict from one worker."""
 
 
 @dataclass(frozen=True, slots=True)
 class Hold:
-    """Room kept on one worker for one task."""
+    """Room that is held on one worker for one task."""
 
     entry: WorkerEntry
     amount: Resources
@@ -38,10 +40,10 @@
 
 
 class RoomMaker:
-    """Evicts for urgent tasks and replicas, under a budget of its own."""
+    """Evicts batch tasks for urgent tasks and replicas, within a separate budget."""
 
     def __init__(self, fleet: Fleet) -> None:
-        """Shares the policy's index."""
+        """Use the fleet index of the policy, which changes over time."""
         self._fleet = fleet
         self._holds: dict[TaskId, Hold] = {}
         self._budget = EvictionBudget(_LEAST_BURST)
@@ -50,32 +52,35 @@
 
     @property
     def budget(self) -> EvictionBudget:
-        """What may still be evicted."""
+        """The budget for evictions for urgent tasks and replicas."""
         return self._budget
 
     def begin_round(self, now: float) -> None:
-        """Refill the budget and give back what was held for too long."""
+        """Refill the budget and release expired holds."""
         self._budget.refill(now, self._fleet.batch_count, _SHARE_PER_HOUR)
         for task_id in [key for key, hold in self._holds.items() if hold.expires <= now]:
             self.release(task_id)
 
     def held_on(self, task_id: TaskId) -> WorkerId | None:
-        """The worker on which room is held for the task."""
+        """Return the worker on which room is held for the task, or None."""
         hold = self._holds.get(task_id)
         return None if hold is None else hold.entry.worker.worker_id
 
     def release(self, task_id: TaskId) -> None:
-        """Give back what is held for a task that ended or is no longer urgent to place."""
+        """Release the room that is held for a task, if any."""
         hold = self._holds.pop(task_id, None)
         if hold is not None:
             self._fleet.release(hold.entry, hold.amount)
 
     def forget_victim(self, task_id: TaskId) -> None:
-        """A victim's attempt is over."""
+        """Drop a victim whose attempt has ended."""
         self._victims.discard(task_id)
 
     def claim(self, task_id: TaskId, need: Resources) -> WorkerEntry | None:
-        """The worker whose held room the task can now use; the hold ends with it."""
+        """End the hold of a task whose room has become free.
+
+        Return the worker, or None if there is no hold or the room isn't free yet.
+        """
         hold = self._holds.get(task_id)
         if hold is None:
             return None
@@ -95,7 +100,10 @@
         accepts: Callable[[WorkerEntry], bool],
         now: float,
     ) -> Iterator[CheckpointAndEvict]:
-        """Evict what costs least among a few workers, and hold the room it leaves."""
+        """Evict the fewest and cheapest tasks among a few workers, and hold the room for the task.
+
+        Nothing is evicted if the task already has a hold or the budget is too small.
+        """
         if task_id in self._holds or self._budget.tokens < 1.0:
             return
         plans = islice(self._plans(need, on_worker, accepts, now), _PLANS_COMPARED)
@@ -134,7 +142,10 @@
                 yield (len(victims), lost), entry, victims
 
     def _next_workers(self) -> Iterator[WorkerEntry]:
-        """Each call goes on where the last one ended, so that evictions are spread."""
+        """Yield the next workers in turn, to spread evictions over the fleet.
+
+        Each call continues after the last worker of the previous call.
+        """
         entries = self._fleet.numbered
         for _ in range(min(_WORKERS_EXAMINED, len(entries))):
             self._next_worker = (self._next_worker + 1) % len(entries)
@@ -149,7 +160,7 @@
         on_worker: Mapping[WorkerId, Mapping[TaskId, Task]],
         now: float,
     ) -> Victims:
-        """The fewest and cheapest tasks whose room suffices; empty when there are none."""
+        """Return the fewest and cheapest tasks that make enough room, or none if impossible."""
         free = Resources(entry.free_millicores, entry.free_memory, entry.free_accelerators)
         tasks = on_worker.get(entry.worker.worker_id, {})
         evictable = [task for task in tasks.values() if self._may_be_evicted(task)]
@@ -180,7 +191,7 @@
 
 
 def _without_needless(victims: Victims, free: Resources, need: Resources) -> Victims:
-    """Spare those, dearest first, without whom the room still suffices."""
+    """Drop victims that aren't needed to make enough room, the most expensive ones first."""
     kept = []
     for task in reversed(victims):
         without = free - task.reservation
--- a/fireflyfork/decisions/placement/_sizes.py
+++ b/fireflyfork/decisions/placement/_sizes.py
@@ -1,4 +1,4 @@
-"""Sizes learned from usage: the declared size is a prior that measured quantiles replace."""
+"""Learns task sizes from usage, with the declared size as the prior."""
 
 from __future__ import annotations
 
@@ -10,22 +10,26 @@
 from ._ratio_histogram import RatioHistogram
 
 _PRIOR_SAMPLES = 8.0
-"""The declared size weighs as much as so many samples when usage lies below it."""
+"""The weight of the declared size, as a number of samples, if usage is lower."""
 _FEWEST_SAMPLES_TO_SHRINK_MEMORY = 16.0
-"""A tail can't be told from fewer tasks, so until then the declared memory is a lower bound."""
+"""Fewer tasks don't show the tail of memory usage, so until then the declared memory is a lower
+bound."""
 _PROCESSOR_QUANTILE = 0.9
 _SERVICE_PROCESSOR_QUANTILE = 0.99
 _MEMORY_QUANTILE = 0.995
 _MEMORY_MARGIN = 1.1
-"""Reports give averages over an interval; the peak inside one lies above its average."""
+"""Reports give averages over an interval, and the peak within an interval is higher."""
 _SATURATION_SHARE = 0.95
-"""From this share of its reservation on, usage shows the limit rather than the need."""
+"""Usage of at least this share of the reservation may be cut off by it."""
 _SATURATED_GROWTH = 1.5
+"""Factor by which usage that may be cut off is increased."""
 _EXHAUSTED_MEMORY_GROWTH = 1.5
+"""Factor from the reservation of a task that ran out of memory to its assumed need."""
 _SMALLEST_MILLICORES = 10
 _SMALLEST_MEMORY = 1 << 20
 _LARGEST_CLASS_COUNT = 20_000
 _REFRESH_SAMPLES = 8
+"""Samples between two updates of the ratios of a class."""
 
 
 @dataclass(slots=True)
@@ -39,16 +43,19 @@
 
 
 class LearnedSizes:
-    """What each class of work uses, as a share of what its tasks declare."""
+    """The usage of each task class, as ratios to the declared size."""
 
     def __init__(self) -> None:
-        """Start with declared sizes alone."""
+        """Start without samples, so declared sizes are used."""
         self._classes: OrderedDict[TaskClass, _ClassUsage] = OrderedDict()
 
     def reservation(
         self, task_class: TaskClass, declared: Resources, is_service: bool = False
     ) -> Resources:
-        """What to reserve for a new task of the class. Accelerators are whole, so never shrink."""
+        """Return what to reserve for a new task of the class.
+
+        Accelerators are reserved as declared, since they are whole devices.
+        """
         usage = self._classes.get(task_class)
         if usage is None:
             return declared
@@ -64,8 +71,8 @@
     ) -> None:
         """Learn from one usage report of a task that is not throttled.
 
-        Usage at the reservation is cut off by it: taken as it stands, a size once learned too
-        low would never recover and tasks would run late for good. So it counts as more.
+        Usage close to the reservation may be cut off by it, and is increased by a factor. Otherwise
+        a size that was once learned too low would never grow, and tasks would always run late.
         """
         if not declared.millicores:
             return
@@ -77,7 +84,7 @@
         _refresh_sometimes(usage)
 
     def observe_memory_peak(self, task_class: TaskClass, declared: Resources, memory: int) -> None:
-        """Learn from the highest memory that one ended task reported, in bytes."""
+        """Learn from the highest reported memory usage of an ended task, in bytes."""
         if not declared.memory:
             return
         usage = self._usage(task_class)
@@ -90,7 +97,7 @@
     def observe_memory_exhausted(
         self, task_class: TaskClass, declared: Resources, reserved: Resources
     ) -> None:
-        """Learn that a task needed more memory than was reserved for it."""
+        """Learn that a task ran out of its reserved memory."""
         needed = int(reserved.memory * _EXHAUSTED_MEMORY_GROWTH)
         self.observe_memory_peak(task_class, declared, needed)
 
@@ -129,7 +136,10 @@
 
 
 def _blended(measured: float, samples: float) -> float:
-    """Usage above the declared size counts at once; below it only as samples gather."""
+    """Blend a measured ratio with the declared size.
+
+    A ratio of 1 or more is used immediately. A lower one gains weight with the number of samples.
+    """
     if measured >= 1.0 or not samples:
         return max(measured, 1.0)
     prior_share = _PRIOR_SAMPLES / (_PRIOR_SAMPLES + samples)
--- a/fireflyfork/decisions/placement/_spread.py
+++ b/fireflyfork/decisions/placement/_spread.py
@@ -12,12 +12,12 @@
 from ._worker_entries import WorkerEntry
 
 _SERVICE_SHARE = 0.6
-"""Beyond this share of a worker's processors, replicas slow each other when load rises."""
+"""Above this share of a worker's processors, replicas slow each other when load rises."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaPlace:
-    """A worker for a replica, and how many others of the service are near it."""
+    """A worker for a replica, with the number of other replicas of the service nearby."""
 
     entry: WorkerEntry
     others_in_failure_domain: int
@@ -25,21 +25,21 @@
 
 
 class ReplicaCounts:
-    """How many replicas of each service each failure domain and rack holds."""
+    """Counts the replicas of each service by failure domain and rack."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without replicas."""
         self._domains: dict[ServiceName, Counter[FailureDomainName]] = {}
         self._racks: dict[ServiceName, Counter[RackName]] = {}
 
     def add(self, service: ServiceName, entry: WorkerEntry, change: int) -> None:
-        """Count a replica on a worker (``change`` 1), or one that ended (-1)."""
+        """Add ``change`` to the number of replicas: 1 for a start on a worker, -1 for an end."""
         worker = entry.worker
         self._domains.setdefault(service, Counter())[worker.failure_domain] += change
         self._racks.setdefault(service, Counter())[worker.rack] += change
 
     def place(self, service: ServiceName, entry: WorkerEntry) -> ReplicaPlace:
-        """A worker as a place for one more replica."""
+        """Return a worker as the place for another replica."""
         worker = entry.worker
         return ReplicaPlace(
             entry,
@@ -48,11 +48,11 @@
         )
 
     def in_failure_domain(self, service: ServiceName, name: FailureDomainName) -> int:
-        """Replicas of the service in a failure domain."""
+        """Return the number of replicas of the service in a failure domain."""
         return self._domains.get(service, Counter())[name]
 
     def in_rack(self, service: ServiceName, name: RackName) -> int:
-        """Replicas of the service in a rack."""
+        """Return the number of replicas of the service in a rack."""
         return self._racks.get(service, Counter())[name]
 
 
@@ -63,7 +63,7 @@
     need: Resources,
     accepts: Callable[[WorkerEntry], bool],
 ) -> Iterator[ReplicaPlace]:
-    """One place per rack, from the emptiest failure domain and rack on."""
+    """Yield the best place in each rack, in order of replicas in failure domain and rack."""
     ranked = sorted(
         (counts.in_failure_domain(service, domain), counts.in_rack(service, rack), domain, rack)
         for domain, racks in fleet.racks.items()
@@ -79,10 +79,11 @@
 
 
 def _crowding(entry: WorkerEntry, service: ServiceName, need: Resources) -> tuple[int, bool, int]:
-    """Fewest of the same service, then the most of other services up to a share of the worker.
+    """Return a sort key of workers for a replica, lowest first.
 
-    Each worker with a service is one where batch work must mind it. Gathering services leaves
-    more workers on which batch work harms nobody.
+    Workers with the fewest replicas of the same service come first, then those with the most
+    reserved by all services up to a share of the worker. Concentrating services leaves more workers
+    on which batch tasks can't slow any service.
     """
     same = entry.replicas.get(service, 0)
     together = entry.service_millicores + need.millicores
--- a/fireflyfork/decisions/placement/_waiting.py
+++ b/fireflyfork/decisions/placement/_waiting.py
@@ -1,4 +1,4 @@
-"""Splits what waits by how it is placed."""
+"""Splits waiting jobs into replicas, urgent jobs and batch jobs, which are placed differently."""
 
 from __future__ import annotations
 
@@ -22,7 +22,10 @@
 
 
 def split(view: PlacementView) -> WaitingWork:
-    """Look at the first task of each waiting job; the others are equal."""
+    """Split the waiting jobs of a view.
+
+    Only the first task of each job is examined, since the tasks of a job are equal.
+    """
     replicas: list[WaitingJob] = []
     urgent: list[WaitingJob] = []
     batch: dict[TeamName, list[WaitingJob]] = {}
@@ -40,5 +43,5 @@
 
 
 def tasks_of(jobs: list[WaitingJob]) -> Iterator[Task]:
-    """All tasks of some jobs, one after another."""
+    """Iterate over the tasks of all given jobs."""
     return chain.from_iterable(tasks.values() for tasks in jobs)
--- a/fireflyfork/decisions/placement/_worker_entries.py
+++ b/fireflyfork/decisions/placement/_worker_entries.py
@@ -1,4 +1,4 @@
-"""What the policy keeps of one worker, and of one attempt that may run."""
+"""The policy's state of each worker and of each attempt that may be running."""
 
 from __future__ import annotations
 
@@ -17,16 +17,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceForecast:
-    """What to expect of one service on one worker as things are."""
+    """The predicted latency of one service on one worker under the current tasks."""
 
     replicas: int
     ratio: float
-    """The predicted p99 over the objective."""
+    """The predicted ratio of p99 latency to objective."""
     estimate: BandEstimate
 
 
 class WorkerEntry:
-    """What the policy keeps of one worker. Plain numbers, since they change with each start."""
+    """The policy's state of one worker.
+
+    Free resources are plain integers, since they change with each start.
+    """
 
     __slots__ = (
         "departed",
@@ -48,33 +51,34 @@
     )
 
     def __init__(self, worker: Worker) -> None:
-        """Start with an empty worker."""
+        """Start without any reservation or usage."""
         self.number = -1
-        """Its place in the index while it is listed."""
+        """The worker's number in the index while the worker is listed."""
         self.worker = worker
         self.reserved: Resources | None = None
-        """The table's value that ``free_*`` was last computed from; None forces a new look."""
+        """The task table's value from which ``free_*`` was last computed; None forces an update."""
         self.held = _NOTHING
-        """Room kept for urgent tasks for which others were evicted."""
+        """Resources held for urgent work, as headroom or after evictions."""
         self.free_millicores = 0
         self.free_memory = 0
         self.free_accelerators = 0
         self.used_millicores = 0
         self.used_by_class: dict[TaskClass, int] = {}
         self.pending_by_class: dict[TaskClass, int] = {}
-        """Reservations of attempts that no report has covered yet."""
+        """Millicores reserved by attempts that no usage report has covered yet."""
         self.replicas: dict[ServiceName, int] = {}
         self.service_millicores = 0
-        """Reservations of the replicas."""
+        """Millicores reserved by the replicas."""
         self.departed: deque[tuple[float, TaskClass, int]] = deque()
-        """Usage of attempts that ended after the moment that reports have reached so far."""
+        """The end times, classes and millicores of ended attempts, which the last reports may still
+        include."""
         self.forecasts: dict[int, list[ServiceForecast]] = {}
-        """By band of load; emptied by reports, and brought up to date when a task starts."""
+        """Cached forecasts by load band. Reports clear them, and starts update them."""
         self.pressure = Pressure()
         self.throttled: set[TaskId] = set()
 
     def has_room(self, need: Resources) -> bool:
-        """Whether the worker holds ``need`` besides everything reserved and held."""
+        """Return whether ``need`` fits into the resources that are neither reserved nor held."""
         return (
             need.memory <= self.free_memory
             and need.millicores <= self.free_millicores
@@ -82,13 +86,13 @@
         )
 
     def take(self, need: Resources) -> None:
-        """Subtract a start of this round."""
+        """Subtract the reservation of a start, or held resources, from the free resources."""
         self.free_millicores -= need.millicores
         self.free_memory -= need.memory
         self.free_accelerators -= need.accelerators
 
     def refresh(self, reserved: Resources) -> None:
-        """Compute the free room from what the table has reserved."""
+        """Recompute the free resources from the reservations in the task table."""
         self.reserved = reserved
         capacity = self.worker.capacity
         self.free_millicores = capacity.millicores - reserved.millicores - self.held.millicores
@@ -98,13 +102,13 @@
         )
 
     def add_replica(self, service: ServiceName, millicores: int) -> None:
-        """Count a replica."""
+        """Add a replica with its reservation."""
         self.forecasts.clear()
         self.replicas[service] = self.replicas.get(service, 0) + 1
         self.service_millicores += millicores
 
     def drop_replica(self, service: ServiceName, millicores: int) -> None:
-        """Count a replica no more."""
+        """Remove a replica with its reservation."""
         self.forecasts.clear()
         self.service_millicores -= millicores
         left = self.replicas[service] - 1
@@ -114,16 +118,16 @@
             del self.replicas[service]
 
     def expected_load(self) -> float:
-        """The processor load to expect as things are, as a share of the worker."""
+        """Return the expected processor load of the current tasks, as a share of the worker."""
         expected = self.used_millicores + sum(self.pending_by_class.values())
         return expected / max(self.worker.capacity.millicores, 1)
 
     def reported_load(self) -> float:
-        """The processor load that the last reports give, as a share of the worker."""
+        """Return the processor load of the last reports, as a share of the worker."""
         return self.used_millicores / max(self.worker.capacity.millicores, 1)
 
     def reported_shares(self, without: TaskClass) -> dict[TaskClass, float]:
-        """The share of the worker that each class used, but for the class asked about."""
+        """Return the reported share of the worker for each class except ``without``."""
         capacity = max(self.worker.capacity.millicores, 1)
         return {
             name: millicores / capacity
@@ -132,7 +136,10 @@
         }
 
     def expected_shares(self) -> dict[TaskClass, float]:
-        """The same for all classes, with what started since counted by its reservation."""
+        """Return the expected share of the worker for each class.
+
+        Attempts that no report has covered yet count with their reservations.
+        """
         capacity = max(self.worker.capacity.millicores, 1)
         shares = {name: used / capacity for name, used in self.used_by_class.items()}
         for name, reserved in self.pending_by_class.items():
@@ -140,10 +147,11 @@
         return shares
 
     def settle_departed(self, measured_at: float) -> None:
-        """Drop the usage of attempts that had ended before a measurement began.
+        """Drop the usage of attempts that ended before a measurement was taken.
 
-        Reports lag, so the first after an eviction still describes the time before it. With the
-        evicted work gone from the books, the service itself would seem to be the cause.
+        Reports lag, so the first report after an eviction still describes the time before it. If
+        the usage of the evicted task were dropped at once, its effect would be attributed to the
+        service itself.
         """
         departed = self.departed
         while departed and departed[0][0] <= measured_at:
@@ -151,30 +159,34 @@
             self.add_used(task_class, -millicores)
 
     def add_used(self, task_class: TaskClass, millicores: int) -> None:
-        """Change the reported usage of a class."""
+        """Add ``millicores``, which may be negative, to the reported usage of a class."""
         self.forecasts.clear()
         self.used_millicores += millicores
         _add(self.used_by_class, task_class, millicores)
 
     def add_pending(self, task_class: TaskClass, millicores: int) -> None:
-        """Change the reservations that no report has covered yet."""
+        """Add ``millicores``, which may be negative, to the reservations without usage reports."""
         _add(self.pending_by_class, task_class, millicores)
 
 
 class AttemptEntry:
-    """What the policy keeps of one attempt that may run."""
+    """The policy's state of one attempt that may be running."""
 
     __slots__ = ("entry", "memory_peak", "progress", "progress_at", "reported", "task", "used")
 
     def __init__(self, task: Task, entry: WorkerEntry, now: float) -> None:
-        """Start with an attempt that no report has covered."""
+        """Start without usage reports."""
         self.task = task
         self.entry = entry
         self.reported = False
+        """Whether a usage report has covered the attempt."""
         self.used = 0
+        """The last reported processor usage in millicores."""
         self.memory_peak = 0
+        """The highest reported memory usage in bytes."""
         self.progress = task.progress
         self.progress_at = now
+        """The time of the last report with a higher progress, or of the start."""
 
 
 def _add(amounts: dict[TaskClass, int], task_class: TaskClass, millicores: int) -> None:
