--- a/fireflyfork/decisions/placement/_interference.py
+++ b/fireflyfork/decisions/placement/_interference.py
@@ -34,7 +34,7 @@
 """Standard deviations that are added to a slope before a task is placed next to a service."""
 _FEARED_WHEN_UNKNOWN = _DOUBT * math.sqrt(_SLOPE_VARIANCE)
 _HALF_LIFE_SECONDS = 6 * 3600.0
-"""Half-life of a slope without new reports, after which a class that was improved is tried again."""
+"""Half-life of a slope without new reports, so that a class that was improved is tried again."""
 _SMALLEST_LATENCY_RATIO = 0.01
 
 
--- a/fireflyfork/decisions/placement/tests/__init__.py
+++ b/fireflyfork/decisions/placement/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package above."""
+"""Tests of the placement policy."""
--- a/fireflyfork/decisions/placement/tests/builders_placement.py
+++ b/fireflyfork/decisions/placement/tests/builders_placement.py
@@ -1,4 +1,4 @@
-"""Workers, teams and tasks for tests, and a small table that carries out a policy's commands."""
+"""Builders of workers, teams and tasks, and a fake task table that executes a policy's commands."""
 
 from __future__ import annotations
 
@@ -43,12 +43,15 @@
 
 
 def size(cores: float = 1.0, gigabytes: float = 1.0, accelerators: int = 0) -> Resources:
-    """An amount in cores and gigabytes."""
+    """Build resources from cores and gigabytes."""
     return Resources(int(cores * 1000), int(gigabytes * GIGABYTE), accelerators)
 
 
 def worker(number: int = 0, capacity: Resources | None = None, rack: int | None = None) -> Worker:
-    """A worker of 16 cores and 60 GB, two to a rack and four to a failure domain."""
+    """Build a worker, by default with 16 cores and 60 GB.
+
+    By default there are two workers per rack and four per failure domain.
+    """
     rack = number // 2 if rack is None else rack
     return Worker(
         WorkerId(f"worker-{number}"),
@@ -66,19 +69,19 @@
     urgent: bool = False,
     tolerance: Tolerance = Tolerance.EVICT,
 ) -> TaskShape:
-    """The shape of a batch job."""
+    """Build the shape of a batch job."""
     return TaskShape(team, task_class, resources or size(), 600.0, urgent, None, tolerance)
 
 
 def replica_shape(resources: Resources | None = None) -> TaskShape:
-    """The shape of a replica of the booking desk."""
+    """Build the shape of a replica of the booking desk service."""
     resources = resources or size(2, 2)
     return TaskShape(LETTERS, "desk", resources, 0.0, False, DESK, Tolerance.NONE)
 
 
 @dataclass(slots=True)
 class SmallTable:
-    """Tasks and reservations, as the planner's own table keeps them; it fails on a bad command."""
+    """Simulates the planner's task table. Raises AssertionError on an invalid command."""
 
     policy: PlacementPolicy
     workers: dict[WorkerId, Worker]
@@ -89,12 +92,12 @@
     tasks: dict[TaskId, Task] = field(default_factory=dict)
     refused: dict[TaskId, Refuse] = field(default_factory=dict)
     commands: list[PlacementCommand] = field(default_factory=list)
-    """Those of the last round."""
+    """The commands of the last round."""
     evictions: int = 0
     _jobs: int = 0
 
     def submit(self, job_shape: TaskShape, count: int = 1) -> list[TaskId]:
-        """Add a job of equal tasks."""
+        """Add a job of ``count`` equal tasks and return their ids."""
         self._jobs += 1
         job_id = JobId(f"job-{self._jobs}")
         added = []
@@ -114,7 +117,7 @@
         return added
 
     def view(self) -> PlacementView:
-        """What the policy sees."""
+        """Build the policy's view of the table."""
         waiting: dict[JobId, dict[TaskId, Task]] = {}
         urgent: dict[JobId, dict[TaskId, Task]] = {}
         on_worker: dict[WorkerId, dict[TaskId, Task]] = {}
@@ -142,7 +145,7 @@
         )
 
     def reserved(self) -> dict[WorkerId, Resources]:
-        """The sum of reservations on each worker."""
+        """Return the sum of the reservations on each worker."""
         total: dict[WorkerId, Resources] = {}
         for task in self.running():
             assert task.worker_id is not None
@@ -150,7 +153,7 @@
         return total
 
     def team_reserved(self) -> dict[TeamName, Resources]:
-        """The sum of reservations of each team's batch tasks."""
+        """Return the sum of the reservations of each team's batch tasks."""
         total: dict[TeamName, Resources] = {}
         for task in self.running():
             if task.shape.service is None:
@@ -159,11 +162,11 @@
         return total
 
     def running(self) -> Iterator[Task]:
-        """The tasks of which an attempt may run."""
+        """Iterate over the tasks with an attempt that may be running."""
         return (task for task in self.tasks.values() if task.worker_id is not None)
 
     def round(self, seconds: float = 1.0) -> list[PlacementCommand]:
-        """Let time pass, ask the policy once and carry out its commands."""
+        """Advance the clock, run one round of the policy and execute its commands."""
         self.now += seconds
         self.commands = list(self.policy.decide(self.view()))
         for command in self.commands:
@@ -171,7 +174,7 @@
         return self.commands
 
     def end(self, task_id: TaskId, outcome: AttemptOutcome, reason: str = "") -> None:
-        """End an attempt."""
+        """End the attempt of a task and pass the outcome to the policy."""
         task = self.tasks[task_id]
         assert task.worker_id is not None
         if outcome is AttemptOutcome.FINISHED:
@@ -191,7 +194,7 @@
         self.policy.observe(AttemptEnded(self.now, task, outcome, reason))
 
     def cancel(self, task_id: TaskId) -> None:
-        """Cancel a task, wherever it is."""
+        """Cancel a task, and end its attempt if there is one."""
         task = self.tasks.pop(task_id)
         if task.worker_id is not None:
             self.policy.observe(AttemptEnded(self.now, task, AttemptOutcome.STOPPED))
@@ -199,7 +202,7 @@
     def report(
         self, task_id: TaskId, used: Resources, tail: float | None = None, lag: float = 0.0
     ) -> None:
-        """Hand the policy one measurement."""
+        """Pass a measurement to the policy that was taken ``lag`` seconds ago."""
         sample = RunSample(self.tasks[task_id], self.now - lag, used, 0.0, tail)
         self.policy.observe(SamplesTaken(self.now, (sample,)))
 
@@ -237,7 +240,7 @@
 def table(
     policy: PlacementPolicy, workers: int = 4, capacity: Resources | None = None
 ) -> SmallTable:
-    """A table of equal workers and two teams with wide quotas, both allowed urgent work."""
+    """Build a table of equal workers and two teams with large quotas and urgent work allowed."""
     made = [worker(number, capacity) for number in range(workers)]
     teams = {name: TeamContract(name, WIDE_QUOTA, urgent=True) for name in (LETTERS, QUOTES)}
     return SmallTable(policy, {item.worker_id: item for item in made}, teams)
--- a/fireflyfork/decisions/placement/tests/test_interference.py
+++ b/fireflyfork/decisions/placement/tests/test_interference.py
@@ -1,4 +1,4 @@
-"""What the model of interference learns from noisy reports of mixed neighbours."""
+"""Tests of the interference model with noisy reports about mixed neighbours."""
 
 import math
 import random
@@ -14,7 +14,7 @@
 
 
 def _learned(reports: int) -> InterferenceModel:
-    """A model after reports beside a noisy class (slope 3) and a quiet one (slope 0)."""
+    """Train a model with reports next to a noisy class (slope 3) and a quiet class (slope 0)."""
     chance = random.Random(7)
     model = InterferenceModel()
     for number in range(reports):
@@ -26,10 +26,14 @@
 
 
 class InterferenceTest(unittest.TestCase):
-    """Estimates per pair of classes and band of load."""
+    """Estimates per service, neighbouring class and load band."""
 
     def test_the_noisy_class_is_told_from_the_quiet_one(self) -> None:
-        """Each report mixes both; blaming both would slow work that harms nobody."""
+        """Guards against throttling a harmless class.
+
+        The quiet class runs next to the noisy class in every report, so attributing the latency to
+        both would slow tasks that don't interfere.
+        """
         model = _learned(400)
         noisy = model.added(_DESK, 0.5, _NOISY, 1.0, 400.0)
         quiet = model.added(_DESK, 0.5, _QUIET, 1.0, 400.0)
@@ -37,20 +41,24 @@
         self.assertLess(quiet, 0.5)
 
     def test_estimates_fade(self) -> None:
-        """A class was mended, but is kept from all services, so no report can acquit it."""
+        """Guards against excluding a class forever.
+
+        A class that was improved is not placed next to services, so no report can correct its
+        estimate.
+        """
         model = _learned(400)
         fresh = model.added(_DESK, 0.5, _NOISY, 1.0, 400.0)
         later = model.added(_DESK, 0.5, _NOISY, 1.0, 400.0 + 24 * 3600.0)
         self.assertLess(later, fresh / 8)
 
     def test_an_unmeasured_band_borrows_from_the_nearest(self) -> None:
-        """Load rises for the first time; without a guess all lessons would start anew."""
+        """Guards against losing all estimates when load rises to a new band for the first time."""
         model = _learned(400)
         high = model.added(_DESK, 0.9, _NOISY, 1.0, 400.0)
         self.assertEqual(high, model.added(_DESK, 0.5, _NOISY, 1.0, 400.0))
 
     def test_memory_is_bounded(self) -> None:
-        """Each job names a class of its own, 26,000 a day; an instance has no room for them all."""
+        """Guards against unbounded memory when each job has a class of its own, 26,000 per day."""
         model = InterferenceModel()
         for number in range(2000):
             model.learn(_DESK, 0.5, {TaskClass(f"job-{number}"): 0.1}, 0.5, float(number))
--- a/fireflyfork/decisions/placement/tests/test_policy.py
+++ b/fireflyfork/decisions/placement/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""The placement policy by example: what starts where, what waits and why, what is refused."""
+"""Example-based tests of the placement policy: starts, waiting tasks, evictions and refusals."""
 
 import unittest
 from math import exp
@@ -26,10 +26,10 @@
 
 
 class FeasibilityTest(unittest.TestCase):
-    """What can never run, and what merely waits."""
+    """Tasks that can never run, and tasks that wait."""
 
     def test_infeasible(self) -> None:
-        """Some jobs can never run at all; queued, they would wait for good without a word."""
+        """Guards against queueing jobs that can never run and would wait forever."""
         small = table(InterferenceAwarePolicy())
         small.teams[QUOTES] = TeamContract(QUOTES, size(4, 4))
         cases = [
@@ -46,7 +46,7 @@
                 self.assertEqual(bool(expected), bool(reason))
 
     def test_why_waiting(self) -> None:
-        """A waiting task says what it lacks; an operator would otherwise guess."""
+        """Guards against waiting tasks whose missing resource is not shown to operators."""
         small = table(InterferenceAwarePolicy(), workers=1)
         small.teams[QUOTES] = TeamContract(QUOTES, size(4, 10))
         small.submit(shape(size(4, 4), team=QUOTES))
@@ -65,10 +65,10 @@
 
 
 class FairnessTest(unittest.TestCase):
-    """Teams share what there is in proportion to their quotas."""
+    """Teams share the workers in proportion to their quotas."""
 
     def test_a_flood_of_one_team_does_not_starve_another(self) -> None:
-        """Guards against one task that waits for the whole flood of another team."""
+        """Guards against a task that waits until hundreds of another team's tasks have run."""
         small = table(InterferenceAwarePolicy(), workers=1)
         small.submit(shape(size(1, 1), team=QUOTES), 300)
         late = small.submit(shape(size(1, 1)))[0]
@@ -77,10 +77,10 @@
 
 
 class ReplicaTest(unittest.TestCase):
-    """Replicas of a service stay apart."""
+    """Replicas of a service are spread over racks and failure domains."""
 
     def test_replicas_spread(self) -> None:
-        """A rack or failure domain is lost; with all replicas in it the service would be gone."""
+        """Guards against losing all replicas of a service with one rack or failure domain."""
         small = table(InterferenceAwarePolicy(), workers=8)
         small.submit(replica_shape(), 4)
         small.round()
@@ -91,10 +91,13 @@
 
 
 class UrgentTest(unittest.TestCase):
-    """Urgent work does not wait for batch work to finish."""
+    """Urgent tasks don't wait until batch tasks finish."""
 
     def test_urgent_work_evicts_the_least_lost_work(self) -> None:
-        """The fleet is full of batch work when urgent work comes; it gets the room of one task."""
+        """Guards against evicting the task that loses more work, or more tasks than necessary.
+
+        An urgent task arrives while batch tasks fill the fleet.
+        """
         small = table(InterferenceAwarePolicy(), workers=1)
         old = small.submit(shape(size(8, 10)))[0]
         small.round()
@@ -114,7 +117,7 @@
         self.assertIsNotNone(small.tasks[old].worker_id)
 
     def test_what_tolerates_nothing_is_not_evicted(self) -> None:
-        """A team that answered that its work must not be evicted never sees it evicted."""
+        """Guards against evicting tasks of a team whose tolerance doesn't allow eviction."""
         small = table(InterferenceAwarePolicy(), workers=1)
         for tolerance in (Tolerance.NONE, Tolerance.THROTTLE):
             small.submit(shape(size(8, 10), tolerance=tolerance))
@@ -124,10 +127,10 @@
 
 
 class ReliefTest(unittest.TestCase):
-    """A slowed service is relieved: throttle first, then evict, and relax when it is calm."""
+    """Slowed services are relieved by throttling, then by eviction; later, limits are lifted."""
 
     def test_throttle_then_evict_then_relax(self) -> None:
-        """Guards against a noisy neighbour that is left alone, or evicted where a throttle would do."""
+        """Guards against ignoring a noisy neighbour, and against eviction before throttling."""
         small = table(InterferenceAwarePolicy(), workers=1)
         desk = small.submit(replica_shape())[0]
         noisy = small.submit(shape(size(4, 4), task_class="noisy"))[0]
@@ -144,7 +147,7 @@
         small.tasks.pop(noisy)
 
     def test_evictions_stop_at_the_budget(self) -> None:
-        """Guards against all batch work being evicted for one shift of load."""
+        """Guards against evicting all batch tasks after one shift of load."""
         small = table(InterferenceAwarePolicy(), workers=8)
         small.weights = Weights(tail_latency=10.0)
         desks = small.submit(replica_shape(), 8)
@@ -165,7 +168,7 @@
         self.assertEqual(small.evictions, 2)
 
     def test_lagging_reports_of_one_cause_throttle_once(self) -> None:
-        """Guards against batch work that is throttled again for reports from before the throttle."""
+        """Guards against throttling again because of measurements taken before the throttle."""
         small = table(InterferenceAwarePolicy(), workers=1)
         desk = small.submit(replica_shape())[0]
         noisy = small.submit(shape(size(4, 4), task_class="noisy"))[0]
@@ -179,7 +182,7 @@
         self.assertEqual([type(command) for command in commands], [Throttle])
 
     def test_limits_are_lifted_when_calm(self) -> None:
-        """A throttle that nobody lifts would halve the night's letters for good."""
+        """Guards against a limit that is never lifted and slows a batch task until its end."""
         small = table(InterferenceAwarePolicy(), workers=1)
         desk = small.submit(replica_shape())[0]
         noisy = small.submit(shape(size(4, 4), task_class="noisy"))[0]
@@ -192,10 +195,10 @@
 
 
 class BlameTest(unittest.TestCase):
-    """Failures accuse the worker or the task."""
+    """Failures are attributed to the worker or to the task."""
 
     def test_a_worker_that_fails_everything_is_quarantined(self) -> None:
-        """One worker fails each task at once, so it always has room and draws in all work."""
+        """Guards against a worker that fails tasks at once, always has room and attracts all tasks."""
         small = table(InterferenceAwarePolicy(), workers=4)
         broken = WorkerId("worker-1")
         failures = 0
@@ -210,7 +213,7 @@
         self.assertEqual(small.refused, {})
 
     def test_a_task_that_fails_everywhere_is_given_up(self) -> None:
-        """A task crashes wherever it runs; retried for good it would take room from others."""
+        """Guards against retrying a task forever that crashes on every worker."""
         small = table(InterferenceAwarePolicy(), workers=6)
         task_id = small.submit(shape())[0]
         starts = 0
@@ -222,7 +225,7 @@
         self.assertIn("failed on 3 different workers", small.refused[task_id].reason)
 
     def test_one_bad_job_accuses_no_worker(self) -> None:
-        """All tasks of one job crash; the workers they crashed on must go on working."""
+        """Guards against quarantining workers because all tasks of a single job crash."""
         small = table(InterferenceAwarePolicy(), workers=4)
         small.submit(shape(), 20)
         for _ in range(6):
@@ -236,10 +239,10 @@
 
 
 class SizeTest(unittest.TestCase):
-    """Declared sizes are far off the truth."""
+    """Reservations when declared sizes differ from usage."""
 
     def test_sizes_shrink_and_grow_with_usage(self) -> None:
-        """Tasks declare four times what they use; a fleet that believes them stands idle."""
+        """Guards against an idle fleet when tasks declare four times what they use."""
         small = table(InterferenceAwarePolicy(), workers=2)
         for _ in range(10):
             for task_id in small.submit(shape(size(4, 8)), 4):
@@ -253,7 +256,10 @@
         self.assertTrue(size(1, 2.2).fits_in(reservation), reservation)
 
     def test_memory_is_not_cut_before_the_tail_is_known(self) -> None:
-        """Three small tasks say nothing of the largest; cut early, the next would run out."""
+        """Guards against a task that runs out of memory after few samples.
+
+        Three small tasks don't show the memory usage of the largest task.
+        """
         small = table(InterferenceAwarePolicy(), workers=1)
         for task_id in small.submit(shape(size(1, 8)), 3):
             small.round()
@@ -264,7 +270,7 @@
         self.assertEqual(small.tasks[task_id].reservation.memory, 8 * GIGABYTE)
 
     def test_memory_grows_after_a_task_ran_out_of_it(self) -> None:
-        """Guards against workers that are blamed for a task that was declared too small."""
+        """Guards against retrying a task with the same memory after it ran out of memory."""
         small = table(InterferenceAwarePolicy(), workers=2)
         task_id = small.submit(shape(size(1, 8), team=LETTERS))[0]
         small.round()
--- a/fireflyfork/decisions/placement/tests/test_policy_machine.py
+++ b/fireflyfork/decisions/placement/tests/test_policy_machine.py
@@ -1,4 +1,4 @@
-"""Whatever happens in whatever order, the promises of the policy hold."""
+"""A stateful test: the policy's invariants hold for any sequence of events."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class PolicyMachine(RuleBasedStateMachine):
-    """Submits, measures, fails, cancels and loses workers at random, and checks each command."""
+    """Generates random jobs, measurements, failures and lost workers, and checks each command."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -50,7 +50,7 @@
         self.urgent_evictions = 0
 
     def running(self) -> list[Task]:
-        """The tasks that run, in a fixed order."""
+        """Return the running tasks in a fixed order."""
         return list(self.small.running())
 
     @rule(
@@ -72,7 +72,7 @@
         noisy: bool,
         tolerance: Tolerance,
     ) -> None:
-        """Submit a job that some worker and the quota could hold."""
+        """Submit a job that fits on some worker and in the team's quota."""
         team = QUOTES if quotes else LETTERS
         task_class = "noisy" if noisy else "letters"
         amount = size(cores, gigabytes)
@@ -82,12 +82,12 @@
 
     @rule(count=st.integers(1, 4))
     def submit_replicas(self, count: int) -> None:
-        """Ask for replicas of the booking desk."""
+        """Submit replicas of the booking desk service."""
         self.small.submit(replica_shape(), count)
 
     @rule(seconds=st.sampled_from([0.1, 1.0, 5.0, 400.0]))
     def one_round(self, seconds: float) -> None:
-        """Let time pass and check what the policy does."""
+        """Advance the clock, run one round and check the policy's commands."""
         batch = sum(task.shape.service is None for task in self.small.running())
         hours = seconds / 3600.0
         self.latency_allowance += hours * batch * latency_share_per_hour(self.small.weights)
@@ -101,14 +101,14 @@
                 self.check_eviction(command, before[command.task_id])
 
     def check_start(self, command: Start, task: Task) -> None:
-        """Nothing new on a quarantined worker or one that is gone."""
+        """Check that the worker is listed and not in quarantine, and the task never failed on it."""
         now = self.small.now
         assert not self.policy.health.is_quarantined(command.worker_id, now)
         assert command.worker_id in self.small.workers
         assert command.worker_id not in task.failed_on
 
     def check_eviction(self, command: CheckpointAndEvict, task: Task) -> None:
-        """Nobody is evicted who doesn't tolerate it, and nothing beyond the budget."""
+        """Check that the task tolerates eviction and that the budget is not exceeded."""
         assert task.shape.tolerance is Tolerance.EVICT
         assert task.shape.service is None
         if "latency objective" in command.reason:
@@ -121,7 +121,7 @@
     @precondition(lambda self: self.running())
     @rule(data=st.data(), share=st.sampled_from([0.1, 0.5, 1.0]))
     def measure_usage(self, data: st.DataObject, share: float) -> None:
-        """Report what one task uses."""
+        """Report the usage of one task."""
         task = data.draw(st.sampled_from(self.running()))
         reserved = task.reservation
         used = Resources(int(reserved.millicores * share), int(reserved.memory * share))
@@ -130,7 +130,7 @@
     @precondition(lambda self: any(task.shape.service for task in self.running()))
     @rule(ratio=st.sampled_from([0.3, 0.9, 2.0, 5.0]), lag=st.sampled_from([0.0, 10.0]))
     def measure_latency(self, ratio: float, lag: float) -> None:
-        """Report the latency of all replicas and the usage beside them."""
+        """Report the latency of all replicas and the usage of all tasks."""
         for task in self.running():
             tail = ratio * OBJECTIVE_MILLISECONDS if task.shape.service else None
             self.small.report(task.task_id, task.reservation, tail, lag)
@@ -138,13 +138,13 @@
     @precondition(lambda self: self.running())
     @rule(data=st.data(), outcome=st.sampled_from(AttemptOutcome), memory=st.booleans())
     def end_one(self, data: st.DataObject, outcome: AttemptOutcome, memory: bool) -> None:
-        """End one attempt."""
+        """End one attempt with a random outcome."""
         task = data.draw(st.sampled_from(self.running()))
         self.small.end(task.task_id, outcome, "out of memory" if memory else "")
 
     @rule()
     def stop_evicted(self) -> None:
-        """All evicted attempts are over."""
+        """End all evicted attempts."""
         for task in self.running():
             if task.state is TaskState.EVICTING:
                 self.small.end(task.task_id, AttemptOutcome.STOPPED)
@@ -152,7 +152,7 @@
     @precondition(lambda self: self.running())
     @rule(data=st.data())
     def fail_all_on_a_worker(self, data: st.DataObject) -> None:
-        """A worker fails everything it runs."""
+        """Fail all attempts on one worker."""
         broken = data.draw(st.sampled_from(self.running())).worker_id
         for task in self.running():
             if task.worker_id == broken:
@@ -167,7 +167,7 @@
 
     @rule()
     def add_worker(self) -> None:
-        """A worker joins."""
+        """Add a worker."""
         if len(self.small.workers) < 6:
             added = worker(self.next_worker)
             self.next_worker += 1
@@ -176,7 +176,7 @@
     @precondition(lambda self: len(self.small.workers) > 1)
     @rule(data=st.data())
     def lose_worker(self, data: st.DataObject) -> None:
-        """A worker is gone with all that it ran."""
+        """Remove a worker and end all its attempts."""
         lost: WorkerId = data.draw(st.sampled_from(list(self.small.workers)))
         del self.small.workers[lost]
         for task in self.running():
@@ -185,13 +185,13 @@
 
     @invariant()
     def capacity_is_never_exceeded(self) -> None:
-        """No worker is ever given more than its processors, memory and accelerators hold."""
+        """Check that no reservations exceed a worker's capacity."""
         for worker_id, reserved in self.small.reserved().items():
             assert reserved.fits_in(self.small.workers[worker_id].capacity)
 
     @invariant()
     def quota_is_never_exceeded(self) -> None:
-        """No team ever holds more than its quota."""
+        """Check that no team's reservations exceed its quota."""
         for team, reserved in self.small.team_reserved().items():
             assert reserved.fits_in(self.small.teams[team].quota)
 
--- a/fireflyfork/decisions/placement/tests/test_pressure.py
+++ b/fireflyfork/decisions/placement/tests/test_pressure.py
@@ -1,4 +1,4 @@
-"""Hysteresis: whatever the latency does, throttling does not flap."""
+"""Tests of the hysteresis that keeps throttling from flapping."""
 
 import unittest
 from collections.abc import Sequence
@@ -15,7 +15,7 @@
 
 
 def _actions(ratios: Sequence[float]) -> list[PressureAction]:
-    """What a worker asks for as these ratios are reported, and does at once."""
+    """Return the actions that a sequence of reported ratios requires, each carried out at once."""
     pressure = Pressure()
     done: list[PressureAction] = []
     for number, ratio in enumerate(ratios):
@@ -32,22 +32,22 @@
 
 
 class PressureTest(unittest.TestCase):
-    """The state of one worker under reports."""
+    """Actions required by the latency reports of one worker."""
 
     @settings(max_examples=300)
     @given(st.lists(st.sampled_from([0.2, 0.7, 0.9, 1.1, 3.0]), min_size=100, max_size=300))
     def test_direction_rarely_changes(self, ratios: list[float]) -> None:
-        """Load swings in the worst rhythm for a quarter of an hour.
+        """Guards against oscillation when latency changes at random for up to a quarter of an hour.
 
-        Each change of direction slows batch work or the service for nothing; undamped there
-        would be one every few reports.
+        Each change of direction slows batch tasks or the service needlessly. Without hysteresis
+        there would be one every few reports.
         """
         actions = _actions(ratios)
         changes = sum(one is not other for one, other in pairwise(actions))
         self.assertLessEqual(changes, 14)
 
     def test_worst_rhythm(self) -> None:
-        """Every limit that is lifted brings the slowness back at once, for two hours."""
+        """Guards against oscillation when each lifted limit raises latency at once, for two hours."""
         pressure = Pressure()
         throttled = False
         changes = 0
@@ -66,7 +66,7 @@
         self.assertLessEqual(changes, 80)
 
     def test_old_measurements_do_not_count(self) -> None:
-        """After a throttle, reports still describe the time before it; they ask for nothing."""
+        """Guards against acting again on measurements that were taken before a throttle."""
         pressure = Pressure()
         for second in (0.0, 1.0):
             pressure.report(_DESK, 2.0, second)
--- a/fireflyfork/tests/__init__.py
+++ b/fireflyfork/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package above."""
+"""Tests of the shared types, the documents and the test plugins."""
--- a/fireflyfork/tests/nose2_counts.py
+++ b/fireflyfork/tests/nose2_counts.py
@@ -1,4 +1,4 @@
-"""A nose2 plugin: seeded Hypothesis, no logs, and one closing line of counts."""
+"""A nose2 plugin that makes Hypothesis repeatable, disables logs and prints a line of counts."""
 
 from collections import Counter
 from typing import Any
@@ -21,18 +21,18 @@
 
 
 class CountsPlugin(Plugin):  # type: ignore[misc]
-    """Prints ``N passed, N failed, N skipped`` after the run."""
+    """Prints ``N passed, N failed, N skipped`` at the end of the run."""
 
     configSection = "counts"  # noqa: N815  (the name that nose2 reads)
 
     def __init__(self) -> None:
-        """No outcomes yet."""
+        """Start without outcomes."""
         self._outcomes: dict[str, str] = {}
 
     def testOutcome(self, event: Any) -> None:  # noqa: N802  (nose2's hook)
-        """Note one outcome; a test failed if it, or one of its subtests, failed or broke.
+        """Record one outcome. A test failed if it or one of its subtests had a failure or an error.
 
-        Failures that are known are counted by the plugin that knows them.
+        Known failures are counted by the plugin for known failures.
         """
         test = getattr(event.test, "test_case", event.test).id()
         failed = event.exc_info is not None and event.outcome not in ("skipped", KNOWN_RED)
@@ -40,7 +40,7 @@
             self._outcomes[test] = "failed" if failed else event.outcome
 
     def afterSummaryReport(self, event: Any) -> None:  # noqa: N802  (nose2's hook)
-        """Print the closing line."""
+        """Print the counts as the last line."""
         counts = Counter(self._outcomes.values())
         print(
             f"\n{counts['passed']} passed, {counts['failed']} failed, {counts['skipped']} skipped",
--- a/fireflyfork/tests/nose2_known_red.py
+++ b/fireflyfork/tests/nose2_known_red.py
@@ -1,12 +1,12 @@
-"""A nose2 plugin: failures that ``KNOWN-RED.txt`` lists are shown, and don't fail the run.
+"""A nose2 plugin that prints known failures, listed in ``KNOWN-RED.txt``, without failing the run.
 
-The file lies where nose2 is started, the root of the repository. Its entries are paragraphs with
-blank lines between them. The first line of each is the id of a test, ``module.Class.test_name``;
-the others are for people.
+The file is in the directory in which nose2 is started, the root of the repository. Its entries are
+paragraphs separated by blank lines. The first line of each is the id of a test,
+``module.Class.test_name``; the other lines describe the failure.
 
-The list may only be as long as what is red. So a listed test that passes or is skipped fails the
-run. So does an id that no test has, but only in a whole run: one that was given no names of tests
-and starts where the file lies. A run of one module can't know the tests of the others.
+The list must contain only failing tests. Therefore a listed test that passes or is skipped fails
+the run. So does an id that doesn't belong to any test, but only in a full run, which is started
+without names of tests and from the directory of the file. A partial run doesn't load all tests.
 """
 
 import re
@@ -19,7 +19,7 @@
 """The dotted name of a test, as ``unittest`` gives it."""
 
 FILE_NAME = "KNOWN-RED.txt"
-"""The list's name."""
+"""The name of the list of known failures."""
 
 KNOWN_RED = "known red"
 """The outcome of a listed test that failed."""
@@ -28,7 +28,7 @@
 
 
 def read_entries(text: str) -> dict[TestId, str]:
-    """Give each listed id with its whole paragraph, or paragraphs."""
+    """Parse the list. Return the full text of the entries for each listed id."""
     entries: dict[TestId, str] = {}
     for paragraph in re.split(r"\n[ \t]*\n", text):
         entry = paragraph.strip()
@@ -40,10 +40,10 @@
 
 
 def id_of(test: Any) -> TestId | None:
-    """Give a test's id, also for its subtests; None for what isn't one test.
+    """Return the id of a test or of the test that a subtest belongs to, or None for other results.
 
     A module that can't be imported and a class that can't be set up are reported as if they were
-    tests. If those could be listed, one entry would hide all tests that they hold.
+    tests. If they could be listed, one entry would hide the failures of all tests in them.
     """
     case = getattr(test, "test_case", test)
     if type(case).__module__.partition(".")[0] in _FRAMEWORKS:
@@ -52,12 +52,12 @@
 
 
 class KnownRedPlugin(Plugin):  # type: ignore[misc]
-    """Counts the failures of listed tests apart, and fails a run whose list is out of date."""
+    """Counts the failures of listed tests separately, and fails the run if the list is outdated."""
 
     configSection = "known-red"  # noqa: N815  (the name that nose2 reads)
 
     def __init__(self) -> None:
-        """Nothing listed and nothing seen yet."""
+        """Start without entries and outcomes."""
         self._entries: dict[TestId, str] = {}
         self._whole_run = False
         self._red: set[TestId] = set()
@@ -65,7 +65,7 @@
         self._skipped: set[TestId] = set()
 
     def createTests(self, event: Any) -> None:  # noqa: N802  (nose2's hook)
-        """Read the list, and tell a whole run from a part."""
+        """Read the list, and determine whether this is a full run."""
         path = Path.cwd() / FILE_NAME
         if path.exists():
             self._entries = read_entries(path.read_text("utf-8"))
@@ -73,7 +73,7 @@
         self._whole_run = started_at_root and not event.testNames
 
     def setTestOutcome(self, event: Any) -> None:  # noqa: N802  (nose2's hook)
-        """Note what became of a listed test, before anything else counts it."""
+        """Record the outcome of a listed test, and mark a failure as known before it is counted."""
         test = id_of(event.test)
         if test not in self._entries:
             return
@@ -87,18 +87,18 @@
             self._passed.add(test)
 
     def outcomeDetail(self, event: Any) -> None:  # noqa: N802  (nose2's hook)
-        """Print the entry below the failure."""
+        """Add the entry of a listed test to the report of its failure."""
         test = id_of(event.outcomeEvent.test)
         if test is not None and test in self._red:
             event.extraDetail.append(f"{FILE_NAME} says:\n{self._entries[test]}\n")
 
     def wasSuccessful(self, event: Any) -> None:  # noqa: N802  (nose2's hook)
-        """Fail a run whose list is out of date."""
+        """Fail the run if the list is outdated."""
         if self._faults():
             event.success = False
 
     def beforeSummaryReport(self, event: Any) -> None:  # noqa: N802  (nose2's hook)
-        """Print what is red and what is wrong with the list, ahead of the closing line."""
+        """Print the known failures and the errors in the list, before the line of counts."""
         if not self._entries:
             return
         print(f"\nknown red: {len(self._red)}")
@@ -109,7 +109,7 @@
         print(end="", flush=True)
 
     def _faults(self) -> list[str]:
-        """Say what is wrong with the list."""
+        """Return a message for each error in the list."""
         faults = [
             f"{test} passes: take it off the list" for test in sorted(self._passed - self._red)
         ]
--- a/fireflyfork/tests/test_contract_codec.py
+++ b/fireflyfork/tests/test_contract_codec.py
@@ -1,4 +1,4 @@
-"""The configuration as bytes."""
+"""Tests of encoding and decoding the configuration."""
 
 import unittest
 import zlib
@@ -10,10 +10,13 @@
 
 
 class ContractCodecTest(unittest.TestCase):
-    """Plain while small, compressed once large."""
+    """Small values are plain JSON, and large values are compressed."""
 
     def test_both_forms_come_back(self) -> None:
-        """Operators with 24 and with 2,400 targets read what they wrote."""
+        """Guards against a configuration, plain or compressed, that changes when it is read back.
+
+        The configurations have 24 and 2,400 targets.
+        """
         small = example_configuration()
         targets = tuple(
             replace(target, target_id=TargetId(f"{target.target_id}-{copy}"))
@@ -28,9 +31,10 @@
                 self.assertEqual(decode_contracts(value), configuration)
 
     def test_damaged_values(self) -> None:
-        """A value that is cut off, of another kind or a decompression bomb is refused by name.
+        """Guards against entries that crash on an invalid value.
 
-        An operator's tool wrote to the key by hand. Every entry reads it, and none may die of it.
+        Another tool has written to the key in the store: the value is truncated, has another format
+        or is a decompression bomb. Every entry reads it, so each must raise SettingsError.
         """
         whole = zlib.compress(b"{}")
         bomb = zlib.compress(b" " * (65 << 20))
--- a/fireflyfork/tests/test_documents.py
+++ b/fireflyfork/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""The pages for people."""
+"""Tests of the documentation pages."""
 
 import re
 import unittest
@@ -9,10 +9,10 @@
 
 
 class DocumentsTest(unittest.TestCase):
-    """What a reader clicks or types."""
+    """Links and commands in the pages."""
 
     def test_links_lead_somewhere(self) -> None:
-        """A page was moved or renamed, and a newcomer's first click fails."""
+        """Guards against broken links after a page was moved or renamed."""
         pages = [*ROOT.glob("*.md"), *ROOT.glob("docs/**/*.md")]
         self.assertGreater(len(pages), 5)
         for page in pages:
@@ -21,7 +21,7 @@
                     self.assertTrue((page.parent / link).exists())
 
     def test_commands_of_the_pages_exist(self) -> None:
-        """A command was renamed, and the guide still tells operators the old name."""
+        """Guards against pages that mention a command that was renamed."""
         from ..programs.ctl import commands
 
         known = set(commands())
--- a/fireflyfork/tests/test_known_red.py
+++ b/fireflyfork/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Failures that are listed as known, and a list that is out of date."""
+"""Tests of the nose2 plugin for known failures."""
 
 import os
 import re
@@ -70,7 +70,7 @@
 
 
 class KnownRedTest(unittest.TestCase):
-    """Runs of a few small tests."""
+    """Runs of nose2 with a few small tests and a list of known failures."""
 
     def setUp(self) -> None:
         directory = TemporaryDirectory()
@@ -81,14 +81,17 @@
         self._write("test_other.py", _OTHER_TESTS)
 
     def test_without_a_list(self) -> None:
-        """All that fails fails the run, and nothing is said of a list."""
+        """Guards against hidden failures, and against mentioning a list that doesn't exist."""
         run = self._run()
         self.assertEqual(run.returncode, 1)
         self.assertNotIn("known red", run.stdout + run.stderr)
         self._assert_closing_line(run, "2 passed, 3 failed, 1 skipped")
 
     def test_listed_failures_are_printed_and_let_the_run_pass(self) -> None:
-        """A failure, an error and a failed subtest, each shown with what is known of it."""
+        """Guards against a run that fails because of listed tests, or hides their entries.
+
+        The listed tests have a failure, an error and a failed subtest.
+        """
         self._list(*_ALL_RED)
         run = self._run()
         self.assertEqual(run.returncode, 0, run.stderr)
@@ -101,7 +104,7 @@
         self._assert_closing_line(run, "2 passed, 0 failed, 1 skipped")
 
     def test_another_failure_fails_the_run(self) -> None:
-        """A list that let through more than it names would hide the next fault."""
+        """Guards against a list that hides failures of other tests."""
         self._list(_WRONG, _PARTS)
         run = self._run()
         self.assertEqual(run.returncode, 1)
@@ -109,7 +112,10 @@
         self._assert_closing_line(run, "2 passed, 1 failed, 1 skipped")
 
     def test_a_listed_test_that_passes_fails_the_run(self) -> None:
-        """Left on the list, it could fail again and nobody would notice; also in a part of all."""
+        """Guards against outdated entries in full and partial runs.
+
+        A test that passes but stays listed could fail again unnoticed.
+        """
         self._list(*_ALL_RED, _GOOD)
         for names in ([], ["test_orders"]):
             with self.subTest(names=names):
@@ -118,14 +124,14 @@
                 self.assertIn(f"{FILE_NAME}: {_GOOD} passes: take it off the list\n", run.stdout)
 
     def test_a_listed_test_that_is_skipped_fails_the_run(self) -> None:
-        """Nothing would show any more whether it is still red."""
+        """Guards against a listed test that no longer runs, so its state is unknown."""
         self._list(*_ALL_RED, "test_orders.OrdersTest.test_left_out")
         run = self._run()
         self.assertEqual(run.returncode, 1)
         self.assertIn("test_left_out was skipped: a listed test must run\n", run.stdout)
 
     def test_an_id_without_a_test_fails_a_whole_run(self) -> None:
-        """A test was renamed, and its failure is no longer the one that the list means."""
+        """Guards against an entry that no longer belongs to a test, for example after a rename."""
         self._list(*_ALL_RED, "test_orders.OrdersTest.test_renamed")
         run = self._run()
         self.assertEqual(run.returncode, 1)
@@ -135,7 +141,7 @@
         )
 
     def test_a_run_of_a_part_does_not_miss_the_other_tests(self) -> None:
-        """A module, or a directory, is run by itself; the list speaks of tests elsewhere."""
+        """Guards against a run of one module or directory that fails for entries outside it."""
         self._list(*_ALL_RED)
         (self.root / "tests").mkdir()
         self._write("tests/__init__.py", "")
@@ -147,7 +153,7 @@
                 self._assert_closing_line(run, "1 passed, 0 failed, 0 skipped")
 
     def test_a_module_or_class_that_does_not_come_up_cannot_be_listed(self) -> None:
-        """One entry would hide every test that it holds."""
+        """Guards against one entry that hides the failures of all tests of a module or class."""
         self._write("test_typo.py", "import no_such_module\n")
         self._write(
             "test_set_up.py",
@@ -168,14 +174,17 @@
                 self._assert_closing_line(run, "2 passed, 2 failed, 1 skipped")
 
     def test_fail_fast_goes_on_after_what_is_known(self) -> None:
-        """Else a known failure would keep whoever looks for new ones from seeing them."""
+        """Guards against ``--fail-fast`` stopping at a known failure before a new one."""
         self._list(*_ALL_RED)
         run = self._run("--fail-fast")
         self.assertEqual(run.returncode, 0, run.stdout + run.stderr)
         self._assert_closing_line(run, "2 passed, 0 failed, 1 skipped")
 
     def test_entries(self) -> None:
-        """Paragraphs, also with spaces on the blank lines, and two entries for one test."""
+        """Guards against entries that are lost or merged.
+
+        Blank lines may contain spaces, and a test may have two entries.
+        """
         entries = read_entries("\n\n m.C.test_a \nseen once\n  \n\nm.C.test_b\n\nm.C.test_a\ntwice")
         self.assertEqual(list(entries), ["m.C.test_a", "m.C.test_b"])
         self.assertIn("seen once", entries[next(iter(entries))])
--- a/fireflyfork/tests/test_settings.py
+++ b/fireflyfork/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings with mistakes in them."""
+"""Tests of decoding settings files."""
 
 import unittest
 from dataclasses import dataclass
@@ -19,15 +19,15 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """Reading settings."""
+    """Comments and error messages in settings files."""
 
     def test_comments_are_allowed(self) -> None:
-        """Comments stand beside the values they explain."""
+        """Guards against rejecting comments that explain values in a settings file."""
         text = '{"address": "::1", // here\n "peers": [{"port": 1}]}'
         self.assertEqual(decode_settings(text, _Settings, "f"), _Settings("::1", (_Peer(1),)))
 
     def test_bad_fields_are_named(self) -> None:
-        """An operator mistypes a value; the message must say where and what was expected."""
+        """Guards against error messages without the path, the value and the expected type."""
         cases = [
             ('{"address": 4}', ("$.address", "4", "str")),
             ('{"address": "a", "peers": [{"port": "x"}]}', ("$.peers[0].port", "'x'", "int")),
--- a/fireflyfork/tests/test_verdict.py
+++ b/fireflyfork/tests/test_verdict.py
@@ -1,4 +1,4 @@
-"""The verdict on a request after several attempts."""
+"""Tests of the verdict on a request after several attempts."""
 
 import unittest
 
@@ -6,13 +6,13 @@
 
 
 class VerdictTest(unittest.TestCase):
-    """Combining the verdicts of attempts."""
+    """Combined verdicts, and verdicts that permit a retry."""
 
     def test_after(self) -> None:
-        """A retry that was refused does not prove that the first attempt did not run.
+        """Guards against the verdict "not run" when an earlier attempt may have run.
 
-        The first attempt's connection breaks after the request left; the second is refused. A
-        user told "not run" would book again and be invoiced twice.
+        The connection of the first attempt breaks after the request was sent, and the second
+        attempt is refused. A user who receives "not run" would book again and be invoiced twice.
         """
         cases = [
             (Verdict.NOT_RUN, Verdict.NOT_RUN, Verdict.NOT_RUN),
@@ -25,6 +25,6 @@
                 self.assertIs(later.after(earlier), expected)
 
     def test_only_not_run_permits_a_second_run(self) -> None:
-        """Any other verdict could mean a second booking."""
+        """Guards against a second booking by a retry after any other verdict."""
         permitted = [verdict for verdict in Verdict if verdict.permits_retry_of_non_idempotent]
         self.assertEqual(permitted, [Verdict.NOT_RUN])
