--- a/fireflyfork/decisions/placement/tests/test_policy.py
+++ b/fireflyfork/decisions/placement/tests/test_policy.py
@@ -198,7 +198,7 @@
     """Failures are attributed to the worker or to the task."""
 
     def test_a_worker_that_fails_everything_is_quarantined(self) -> None:
-        """Guards against a worker that fails tasks at once, always has room and attracts all tasks."""
+        """Guards against a worker that fails tasks fast, so it has room and attracts all tasks."""
         small = table(InterferenceAwarePolicy(), workers=4)
         broken = WorkerId("worker-1")
         failures = 0
--- a/fireflyfork/decisions/placement/tests/test_policy_machine.py
+++ b/fireflyfork/decisions/placement/tests/test_policy_machine.py
@@ -101,7 +101,7 @@
                 self.check_eviction(command, before[command.task_id])
 
     def check_start(self, command: Start, task: Task) -> None:
-        """Check that the worker is listed and not in quarantine, and the task never failed on it."""
+        """Check that the worker is listed, not in quarantine, and not one the task failed on."""
         now = self.small.now
         assert not self.policy.health.is_quarantined(command.worker_id, now)
         assert command.worker_id in self.small.workers
--- a/fireflyfork/decisions/placement/tests/test_pressure.py
+++ b/fireflyfork/decisions/placement/tests/test_pressure.py
@@ -47,7 +47,7 @@
         self.assertLessEqual(changes, 14)
 
     def test_worst_rhythm(self) -> None:
-        """Guards against oscillation when each lifted limit raises latency at once, for two hours."""
+        """Guards against oscillation if each lifted limit raises latency at once, for two hours."""
         pressure = Pressure()
         throttled = False
         changes = 0
