--- a/fireflyfork/_contract_codec.py
+++ b/fireflyfork/_contract_codec.py
@@ -13,7 +13,7 @@
 """Values up to this size are stored as plain JSON, which an operator can read in the store."""
 
 LONGEST_DECODED_BYTES = 64 << 20
-"""Maximum size of a decompressed value. ``encode_contracts`` never writes a larger one."""
+"""Maximum size of a decompressed value. A larger value is rejected as damaged or hostile."""
 
 _COMPRESSION_LEVEL = 6
 _OBJECT_START = b"{"
--- a/fireflyfork/_contracts.py
+++ b/fireflyfork/_contracts.py
@@ -47,7 +47,7 @@
     longest_timeout_seconds: float = 60.0
     """A request with a longer timeout is refused."""
     latency_objective_milliseconds: float = 250.0
-    """The p99 latency that placement keeps the service within."""
+    """The p99 latency that placement protects the service from exceeding."""
     longest_queue: int = 64
     """The number of requests that may wait for a slot at one owner. Further requests are refused
     immediately."""
--- a/fireflyfork/_errors.py
+++ b/fireflyfork/_errors.py
@@ -56,11 +56,7 @@
     """A transaction failed because a key has another revision; nothing was changed."""
 
     def __init__(self, found: dict[str, StoredVersion]) -> None:
-        """Store the conflicting state.
-
-        ``current_versions`` holds the current version of each expected key; absent keys are
-        omitted.
-        """
+        """Set ``current_versions``, the versions of the expected keys; absent keys are omitted."""
         super().__init__(
             f"current revisions: {({key: one.revision for key, one in found.items()})}"
         )
--- a/fireflyfork/decisions/placement/_choice.py
+++ b/fireflyfork/decisions/placement/_choice.py
@@ -14,9 +14,9 @@
 from ._worker_entries import ServiceForecast, WorkerEntry
 
 _CANDIDATES = 6
-"""The search ends after this many workers if one of them is within the limits."""
+"""The number of workers to examine if at least one of them is within the limits."""
 _CANDIDATES_WHEN_SLOWED = 16
-"""The maximum number of workers to look at. It applies while none is within the limits."""
+"""The maximum number of workers to examine if none of them is within the limits."""
 _HARMLESS_COST = 0.002
 """A candidate with at most this cost is selected without comparing further workers."""
 _PENALTY_FROM_RATIO = 0.6
--- a/fireflyfork/decisions/placement/_misfits.py
+++ b/fireflyfork/decisions/placement/_misfits.py
@@ -23,9 +23,10 @@
 
 
 class Misfits:
-    """The sizes for which no worker was found.
+    """The sizes for which no worker was found recently.
 
-    If no worker had room, a size applies to all classes, otherwise to the class that was searched.
+    If no worker had room, a size applies to tasks of all classes, otherwise only to tasks of the
+    class that was searched for.
     """
 
     def __init__(self) -> None:
