--- a/fireflyfork/_contracts.py
+++ b/fireflyfork/_contracts.py
@@ -49,8 +49,7 @@
     latency_objective_milliseconds: float = 250.0
     """The p99 latency that placement protects the service from exceeding."""
     longest_queue: int = 64
-    """The number of requests that may wait for a slot at one owner. Further requests are refused
-    immediately."""
+    """Requests that may wait for a slot at one owner. Further requests are refused immediately."""
     longest_body_bytes: int = 1 << 20
     """A request with a longer body is refused."""
     replicas: int = 0
