--- a/fireflyfork/_contract_codec.py
+++ b/fireflyfork/_contract_codec.py
@@ -47,8 +47,8 @@
         return value
     # Without a limit, a damaged or hostile value of a few kilobytes could expand until the process
     # runs out of memory. All entries read the same value, so all would crash and restart in a loop.
-    expanding = zlib.decompressobj()
-    plain = expanding.decompress(value, LONGEST_DECODED_BYTES)
-    if not expanding.eof:
+    decompressor = zlib.decompressobj()
+    plain = decompressor.decompress(value, LONGEST_DECODED_BYTES)
+    if not decompressor.eof:
         raise SettingsError("the configuration is cut off or too large")
     return plain
--- a/fireflyfork/_errors.py
+++ b/fireflyfork/_errors.py
@@ -55,12 +55,12 @@
 class TransactionConflictError(StoreConflictError):
     """A transaction failed because a key has another revision; nothing was changed."""
 
-    def __init__(self, found: dict[str, StoredVersion]) -> None:
+    def __init__(self, current_versions: dict[str, StoredVersion]) -> None:
         """Set ``current_versions``, the versions of the expected keys; absent keys are omitted."""
         super().__init__(
-            f"current revisions: {({key: one.revision for key, one in found.items()})}"
+            f"current revisions: {({key: version.revision for key, version in current_versions.items()})}"
         )
-        self.found = found
+        self.current_versions = current_versions
 
 
 class PlatformError(FireflyforkError):
--- a/fireflyfork/decisions/placement/_eviction_budget.py
+++ b/fireflyfork/decisions/placement/_eviction_budget.py
@@ -4,8 +4,8 @@
 
 from ..._contracts import Weights
 
-_SHARE_PER_HOUR_WHEN_LATENCY_IS_ALL = 0.3
-_LEAST_BURST = 2.0
+_MAX_SHARE_PER_HOUR = 0.3
+_MIN_BURST = 2.0
 _BURST_HOURS = 0.05
 """Tokens of this many hours can be saved up on top of the minimum burst."""
 
@@ -13,11 +13,11 @@
 class EvictionBudget:
     """A token bucket that is refilled in proportion to running batch tasks and elapsed time."""
 
-    def __init__(self, least_burst: float = _LEAST_BURST) -> None:
+    def __init__(self, min_burst: float = _MIN_BURST) -> None:
         """Start with ``min_burst`` tokens, which can always be saved up, even by a small fleet."""
-        self._least_burst = least_burst
-        self._tokens = least_burst
-        self._filled_at: float | None = None
+        self._min_burst = min_burst
+        self._tokens = min_burst
+        self._refilled_at: float | None = None
 
     @property
     def tokens(self) -> float:
@@ -30,10 +30,10 @@
         Per hour, ``share_per_hour`` of the ``running`` batch tasks may be evicted.
         """
         rate = running * share_per_hour
-        if self._filled_at is not None and now > self._filled_at:
-            self._tokens += rate * (now - self._filled_at) / 3600.0
-        self._filled_at = now
-        self._tokens = min(self._tokens, self._least_burst + rate * _BURST_HOURS)
+        if self._refilled_at is not None and now > self._refilled_at:
+            self._tokens += rate * (now - self._refilled_at) / 3600.0
+        self._refilled_at = now
+        self._tokens = min(self._tokens, self._min_burst + rate * _BURST_HOURS)
 
     def take(self) -> bool:
         """Consume one token. Return False if there is none."""
@@ -48,4 +48,4 @@
     total = weights.tail_latency + weights.evictions
     if total <= 0.0:
         return 0.0
-    return _SHARE_PER_HOUR_WHEN_LATENCY_IS_ALL * weights.tail_latency / total
+    return _MAX_SHARE_PER_HOUR * weights.tail_latency / total
--- a/fireflyfork/decisions/placement/_misfits.py
+++ b/fireflyfork/decisions/placement/_failed_searches.py
@@ -5,24 +5,24 @@
 from dataclasses import dataclass
 
 from ..._machines import Resources
-from ._choice import Limits
 from ._classes import TaskClass
+from ._worker_selection import InterferenceLimits
 
-_REMEMBERED_SECONDS = 2.0
+_RETENTION_SECONDS = 2.0
 """How long a failed search is remembered. Failed searches examine many workers, and this delay is
 short compared to any batch task."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Misfit:
+class _FailedSearch:
     need: Resources
-    harm: float
+    max_slope: float
     """The slope limit of the search. A task that has waited longer has a higher limit, so it may
     find a worker nevertheless."""
     until: float
 
 
-class Misfits:
+class FailedSearches:
     """The sizes for which no worker was found recently.
 
     If no worker had room, a size applies to tasks of all classes, otherwise only to tasks of the
@@ -31,7 +31,7 @@
 
     def __init__(self) -> None:
         """Start without failed searches."""
-        self._sizes: dict[TaskClass | None, list[_Misfit]] = {}
+        self._searches: dict[TaskClass | None, list[_FailedSearch]] = {}
         self._count = 0
 
     @property
@@ -42,30 +42,30 @@
     def begin_round(self, now: float) -> None:
         """Reset the count and remove expired searches."""
         self._count = 0
-        for key, sizes in list(self._sizes.items()):
-            recent = [misfit for misfit in sizes if misfit.until > now]
+        for key, searches in list(self._searches.items()):
+            recent = [search for search in searches if search.until > now]
             if recent:
-                self._sizes[key] = recent
+                self._searches[key] = recent
             else:
-                del self._sizes[key]
+                del self._searches[key]
 
     def add(
-        self, need: Resources, task_class: TaskClass | None, limits: Limits, now: float
+        self, need: Resources, task_class: TaskClass | None, limits: InterferenceLimits, now: float
     ) -> None:
         """Add a failed search.
 
         ``task_class`` is None if no worker had room, or the class of the task if workers had room
         but the effect on their services was over the limits.
         """
-        misfit = _Misfit(need, limits.harm, now + _REMEMBERED_SECONDS)
-        self._sizes.setdefault(task_class, []).append(misfit)
+        search = _FailedSearch(need, limits.max_slope, now + _RETENTION_SECONDS)
+        self._searches.setdefault(task_class, []).append(search)
         self._count += 1
 
-    def cover(self, need: Resources, task_class: TaskClass, limits: Limits) -> bool:
+    def covers(self, need: Resources, task_class: TaskClass, limits: InterferenceLimits) -> bool:
         """Return whether a search for no more than ``need`` failed with limits at least as high."""
-        if any(misfit.need.fits_in(need) for misfit in self._sizes.get(None, ())):
+        if any(search.need.fits_in(need) for search in self._searches.get(None, ())):
             return True
         return any(
-            limits.harm <= misfit.harm and misfit.need.fits_in(need)
-            for misfit in self._sizes.get(task_class, ())
+            limits.max_slope <= search.max_slope and search.need.fits_in(need)
+            for search in self._searches.get(task_class, ())
         )
--- a/fireflyfork/decisions/placement/_fair_queue.py
+++ b/fireflyfork/decisions/placement/_fair_queue.py
@@ -12,7 +12,7 @@
 
 WaitingJob = Mapping[TaskId, Task]
 """The waiting tasks of one job."""
-_NOTHING = Resources()
+_NO_RESOURCES = Resources()
 
 
 class QuotaLedger:
@@ -26,25 +26,25 @@
         """Start from the reservations in the task table. ``reserved`` is not modified."""
         self._teams = teams
         self._reserved = reserved
-        self._changed: dict[TeamName, Resources] = {}
+        self._reserved_this_round: dict[TeamName, Resources] = {}
 
     def reserved(self, team: TeamName) -> Resources:
         """Return what the team's batch tasks have reserved."""
-        changed = self._changed.get(team)
-        return changed if changed is not None else self._reserved.get(team, _NOTHING)
+        changed = self._reserved_this_round.get(team)
+        return changed if changed is not None else self._reserved.get(team, _NO_RESOURCES)
 
     def quota(self, team: TeamName) -> Resources:
         """Return the team's quota, which is empty for a team that isn't in the configuration."""
         contract = self._teams.get(team)
-        return contract.quota if contract is not None else _NOTHING
+        return contract.quota if contract is not None else _NO_RESOURCES
 
     def allows(self, team: TeamName, need: Resources) -> bool:
         """Return whether the team may reserve ``need`` in addition."""
         return (self.reserved(team) + need).fits_in(self.quota(team))
 
-    def take(self, team: TeamName, need: Resources) -> None:
+    def add_reservation(self, team: TeamName, need: Resources) -> None:
         """Add the reservation of a task that starts in this round."""
-        self._changed[team] = self.reserved(team) + need
+        self._reserved_this_round[team] = self.reserved(team) + need
 
     def dominant_share(self, team: TeamName) -> float:
         """Return the largest share of its quota that the team has reserved of any resource."""
--- a/fireflyfork/decisions/placement/_feasibility.py
+++ b/fireflyfork/decisions/placement/_feasibility.py
@@ -31,7 +31,7 @@
     return None
 
 
-def cut_to_worker(
+def cap_to_worker(
     learned: Resources, declared: Resources, capacities: Iterable[Resources]
 ) -> Resources:
     """Cap the learned size at the capacity of the largest worker that holds the declared size.
@@ -39,21 +39,21 @@
     Without the cap, a class whose measured usage exceeds its declared size could outgrow every
     worker. Its accepted tasks would then wait forever.
     """
-    holding = [capacity for capacity in capacities if declared.fits_in(capacity)]
-    if not holding or any(learned.fits_in(capacity) for capacity in holding):
+    sufficient = [capacity for capacity in capacities if declared.fits_in(capacity)]
+    if not sufficient or any(learned.fits_in(capacity) for capacity in sufficient):
         return learned
-    largest = max(holding, key=lambda item: (item.memory, item.millicores))
-    return _smaller(learned, largest)
+    largest = max(sufficient, key=lambda item: (item.memory, item.millicores))
+    return _minimum(learned, largest)
 
 
-def cut_to_quota(need: Resources, declared: Resources, quota: Resources) -> Resources:
+def cap_to_quota(need: Resources, declared: Resources, quota: Resources) -> Resources:
     """Cap a reservation at the team's whole quota if the declared size is within the quota."""
-    return _smaller(need, quota) if declared.fits_in(quota) else need
+    return _minimum(need, quota) if declared.fits_in(quota) else need
 
 
-def _smaller(one: Resources, other: Resources) -> Resources:
+def _minimum(first: Resources, second: Resources) -> Resources:
     return Resources(
-        min(one.millicores, other.millicores),
-        min(one.memory, other.memory),
-        min(one.accelerators, other.accelerators),
+        min(first.millicores, second.millicores),
+        min(first.memory, second.memory),
+        min(first.accelerators, second.accelerators),
     )
--- a/fireflyfork/decisions/placement/_fleet.py
+++ b/fireflyfork/decisions/placement/_fleet.py
@@ -13,8 +13,8 @@
 from ._free_index import FreeIndex
 from ._worker_entries import AttemptEntry, WorkerEntry
 
-_NOTHING = Resources()
-_MOST_GONE = 256
+_NO_RESOURCES = Resources()
+_MAX_REMOVED_WORKERS = 256
 """The number of removed workers whose state is kept."""
 
 
@@ -25,16 +25,16 @@
         """Start without workers and attempts."""
         self._entries: dict[WorkerId, WorkerEntry] = {}
         self._numbers: list[WorkerEntry | None] = []
-        self._plain = FreeIndex()
-        self._accelerated = FreeIndex()
+        self._without_accelerators = FreeIndex()
+        self._with_accelerators = FreeIndex()
         self._free_numbers: list[int] = []
-        self._gone: dict[WorkerId, WorkerEntry] = {}
+        self._removed: dict[WorkerId, WorkerEntry] = {}
         """The state of workers that were recently removed from the list. The list lags, and a
         worker that is listed again still runs its tasks."""
         self._tentative: list[tuple[WorkerEntry, TaskClass, int]] = []
         """Starts of this round, with their millicores, which the task table has not confirmed."""
         self._attempts: dict[TaskId, AttemptEntry] = {}
-        self._early: dict[WorkerId, list[tuple[float, Task]]] = {}
+        self._early_starts: dict[WorkerId, list[tuple[float, Task]]] = {}
         """Attempts, with their start times, on workers that have not been listed yet."""
         self._racks: dict[FailureDomainName, dict[RackName, list[WorkerEntry]]] = {}
         self._capacities: dict[Resources, int] = {}
@@ -81,35 +81,35 @@
             entry = entries.get(worker_id)
             if entry is None or entry.worker is not worker:
                 entry = self._add_worker(worker)
-            now_reserved = reserved.get(worker_id, _NOTHING)
+            now_reserved = reserved.get(worker_id, _NO_RESOURCES)
             if entry.reserved is not now_reserved:
                 entry.refresh(now_reserved)
                 self.reindex(entry)
         if len(entries) == len(view.workers):
             return []
-        gone = [worker_id for worker_id in entries if worker_id not in view.workers]
-        for worker_id in gone:
+        removed = [worker_id for worker_id in entries if worker_id not in view.workers]
+        for worker_id in removed:
             self._remove_worker(worker_id)
-        return gone
+        return removed
 
     def with_room(self, need: Resources) -> Iterator[WorkerEntry]:
         """Yield workers that have room for ``need``, in order of free processor time, least first.
 
         Workers without accelerators come before those with accelerators.
         """
-        plain = () if need.accelerators else self._plain.candidates(need.millicores)
+        plain = () if need.accelerators else self._without_accelerators.candidates(need.millicores)
         numbers = self._numbers
-        for number in chain(plain, self._accelerated.candidates(need.millicores)):
+        for number in chain(plain, self._with_accelerators.candidates(need.millicores)):
             entry = numbers[number]
             if entry is not None and entry.has_room(need):
                 yield entry
 
-    def take(self, entry: WorkerEntry, need: Resources, task_class: TaskClass) -> None:
+    def add_start(self, entry: WorkerEntry, need: Resources, task_class: TaskClass) -> None:
         """Reserve resources for a start of this round.
 
         The next ``sync`` replaces the reservation by that of the task table.
         """
-        entry.take(need)
+        entry.subtract_free(need)
         entry.add_pending(task_class, need.millicores)
         entry.reserved = None
         self._tentative.append((entry, task_class, need.millicores))
@@ -118,13 +118,13 @@
     def hold(self, entry: WorkerEntry, amount: Resources) -> None:
         """Hold resources of a worker for one task, so that no other task can use them."""
         entry.held = entry.held + amount
-        entry.take(amount)
+        entry.subtract_free(amount)
         self.reindex(entry)
 
     def release(self, entry: WorkerEntry, amount: Resources) -> None:
         """Release held resources of a worker."""
         entry.held = entry.held - amount
-        entry.take(_NOTHING - amount)
+        entry.subtract_free(_NO_RESOURCES - amount)
         self.reindex(entry)
 
     def started(self, task: Task, now: float) -> None:
@@ -133,7 +133,7 @@
             return
         entry = self._entries.get(task.worker_id)
         if entry is None:
-            self._early.setdefault(task.worker_id, []).append((now, task))
+            self._early_starts.setdefault(task.worker_id, []).append((now, task))
             return
         self._attempts[task.task_id] = AttemptEntry(task, entry, now)
         entry.add_pending(TaskClass(task.shape.task_class), task.reservation.millicores)
@@ -151,7 +151,7 @@
         """
         attempt = self._attempts.pop(task.task_id, None)
         if attempt is None:
-            self._forget_early(task)
+            self._discard_early_start(task)
             return None
         entry = attempt.entry
         entry.throttled.discard(task.task_id)
@@ -177,7 +177,7 @@
     def reindex(self, entry: WorkerEntry) -> None:
         """Move a worker to the bucket of its free processor time."""
         has_accelerators = entry.worker.capacity.accelerators > 0
-        index = self._accelerated if has_accelerators else self._plain
+        index = self._with_accelerators if has_accelerators else self._without_accelerators
         index.put(entry.number, entry.free_millicores)
 
     def _undo_tentative(self) -> None:
@@ -186,30 +186,30 @@
         self._tentative.clear()
 
     def _add_worker(self, worker: Worker) -> WorkerEntry:
-        known = self._entries.get(worker.worker_id)
-        if known is not None:
-            self._leave_place(known)
-        entry = known or self._gone.pop(worker.worker_id, None) or WorkerEntry(worker)
+        existing = self._entries.get(worker.worker_id)
+        if existing is not None:
+            self._remove_from_indexes(existing)
+        entry = existing or self._removed.pop(worker.worker_id, None) or WorkerEntry(worker)
         entry.worker = worker
         entry.reserved = None
-        if known is None:
+        if existing is None:
             self._number(entry)
             self._entries[worker.worker_id] = entry
         racks = self._racks.setdefault(worker.failure_domain, {})
         racks.setdefault(worker.rack, []).append(entry)
         self._capacities[worker.capacity] = self._capacities.get(worker.capacity, 0) + 1
-        for now, task in self._early.pop(worker.worker_id, ()):
+        for now, task in self._early_starts.pop(worker.worker_id, ()):
             self.started(task, now)
         return entry
 
     def _remove_worker(self, worker_id: WorkerId) -> None:
         entry = self._entries.pop(worker_id)
-        self._leave_place(entry)
+        self._remove_from_indexes(entry)
         self._numbers[entry.number] = None
         self._free_numbers.append(entry.number)
-        self._gone[worker_id] = entry
-        if len(self._gone) > _MOST_GONE:
-            del self._gone[next(iter(self._gone))]
+        self._removed[worker_id] = entry
+        if len(self._removed) > _MAX_REMOVED_WORKERS:
+            del self._removed[next(iter(self._removed))]
 
     def _number(self, entry: WorkerEntry) -> None:
         if self._free_numbers:
@@ -219,9 +219,9 @@
         entry.number = len(self._numbers)
         self._numbers.append(entry)
 
-    def _leave_place(self, entry: WorkerEntry) -> None:
-        self._plain.remove(entry.number)
-        self._accelerated.remove(entry.number)
+    def _remove_from_indexes(self, entry: WorkerEntry) -> None:
+        self._without_accelerators.remove(entry.number)
+        self._with_accelerators.remove(entry.number)
         capacity = entry.worker.capacity
         self._capacities[capacity] -= 1
         if not self._capacities[capacity]:
@@ -240,6 +240,6 @@
         if service not in attempt.entry.replicas:
             attempt.entry.pressure.forget(service)
 
-    def _forget_early(self, task: Task) -> None:
-        for waiting in self._early.values():
-            waiting[:] = [item for item in waiting if item[1].task_id != task.task_id]
+    def _discard_early_start(self, task: Task) -> None:
+        for starts in self._early_starts.values():
+            starts[:] = [item for item in starts if item[1].task_id != task.task_id]
--- a/fireflyfork/decisions/placement/_free_index.py
+++ b/fireflyfork/decisions/placement/_free_index.py
@@ -19,24 +19,24 @@
     def __init__(self) -> None:
         """Start without workers."""
         self._buckets: list[list[int]] = [[] for _ in range(_BUCKET_COUNT)]
-        self._place: dict[int, tuple[int, int]] = {}
-        self._turn = 0
+        self._positions: dict[int, tuple[int, int]] = {}
+        self._offset = 0
 
     def put(self, number: int, free_millicores: int) -> None:
         """Add a worker, or move it, to the bucket of its free processor time."""
         bucket = _bucket_of(free_millicores)
-        place = self._place.get(number)
+        place = self._positions.get(number)
         if place is not None:
             if place[0] == bucket:
                 return
             self.remove(number)
         members = self._buckets[bucket]
-        self._place[number] = (bucket, len(members))
+        self._positions[number] = (bucket, len(members))
         members.append(number)
 
     def remove(self, number: int) -> None:
         """Remove a worker. The last worker of the bucket moves to its position."""
-        place = self._place.pop(number, None)
+        place = self._positions.pop(number, None)
         if place is None:
             return
         bucket, position = place
@@ -44,19 +44,19 @@
         last = members.pop()
         if last != number:
             members[position] = last
-            self._place[last] = (bucket, position)
+            self._positions[last] = (bucket, position)
 
     def candidates(self, millicores: int) -> Iterator[int]:
         """Yield workers that may have ``millicores`` free, buckets with the least free time first.
 
         Each search enters the buckets at a new position.
         """
-        self._turn += _STRIDE
+        self._offset += _STRIDE
         for bucket in range(_bucket_of(millicores), _BUCKET_COUNT):
             members = self._buckets[bucket]
             if not members:
                 continue
-            start = self._turn % len(members)
+            start = self._offset % len(members)
             yield from members[start:]
             yield from members[:start]
 
--- a/fireflyfork/decisions/placement/_health.py
+++ b/fireflyfork/decisions/placement/_health.py
@@ -7,17 +7,17 @@
 
 from ..._ids import JobId, TaskId, WorkerId
 
-_TASKS_TO_ACCUSE_WORKER = 4
-_JOBS_TO_ACCUSE_WORKER = 2
+_FAILED_TASKS_BEFORE_QUARANTINE = 4
+_FAILED_JOBS_BEFORE_QUARANTINE = 2
 """A broken job fails all its tasks on any worker, so the failures of a single job don't lead to
 quarantine."""
-_WORKERS_TO_ACCUSE_TASK = 3
-_MOST_FAILURES = 9
+_FAILED_WORKERS_BEFORE_REFUSAL = 3
+_MAX_TASK_FAILURES = 9
 """A task is given up after this many failures, even if the workers were suspected."""
 _FAILURE_WINDOW_SECONDS = 900.0
 _FIRST_QUARANTINE_SECONDS = 300.0
-_LONGEST_QUARANTINE_SECONDS = 4 * 3600.0
-_LARGEST_QUARANTINED_SHARE = 0.25
+_MAX_QUARANTINE_SECONDS = 4 * 3600.0
+_MAX_QUARANTINED_SHARE = 0.25
 """If more workers than this seem broken, the failures have a common cause, and quarantining all of
 them would stop all work."""
 
@@ -124,20 +124,23 @@
             return False
         record.failures[task] = (job, now)
         _drop_old(record, now)
-        if not (record.on_probation or _accused(record)) or self._too_many():
+        if (
+            not (record.on_probation or _has_too_many_failures(record))
+            or self._is_quarantine_full()
+        ):
             record.trial = None if record.trial == task else record.trial
             return False
         self._quarantine(worker, record, now)
         return True
 
-    def _too_many(self) -> bool:
-        allowed = max(1, int(_LARGEST_QUARANTINED_SHARE * self._worker_count))
+    def _is_quarantine_full(self) -> bool:
+        allowed = max(1, int(_MAX_QUARANTINED_SHARE * self._worker_count))
         return len(self._quarantined) >= allowed
 
     def _quarantine(self, worker: WorkerId, record: _WorkerRecord, now: float) -> None:
         if record.on_probation:
-            longer = 2 * record.quarantine_seconds
-            record.quarantine_seconds = min(longer, _LONGEST_QUARANTINE_SECONDS)
+            doubled = 2 * record.quarantine_seconds
+            record.quarantine_seconds = min(doubled, _MAX_QUARANTINE_SECONDS)
         record.quarantined_until = now + record.quarantine_seconds
         record.on_probation = False
         record.trial = None
@@ -145,10 +148,10 @@
         self._quarantined.add(worker)
 
 
-def _accused(record: _WorkerRecord) -> bool:
+def _has_too_many_failures(record: _WorkerRecord) -> bool:
     jobs = {job for job, _ in record.failures.values()}
-    enough_tasks = len(record.failures) >= _TASKS_TO_ACCUSE_WORKER
-    return enough_tasks and len(jobs) >= _JOBS_TO_ACCUSE_WORKER
+    enough_tasks = len(record.failures) >= _FAILED_TASKS_BEFORE_QUARANTINE
+    return enough_tasks and len(jobs) >= _FAILED_JOBS_BEFORE_QUARANTINE
 
 
 def _drop_old(record: _WorkerRecord, now: float) -> None:
@@ -158,14 +161,14 @@
         del record.failures[task]
 
 
-def is_to_blame(failed_on: tuple[WorkerId, ...], health: WorkerHealth) -> bool:
+def is_task_at_fault(failed_on: tuple[WorkerId, ...], health: WorkerHealth) -> bool:
     """Return whether a task has failed on so many different workers that it must not be retried.
 
     Failures on suspected workers are no evidence against the task, up to a maximum number.
     """
-    if len(failed_on) >= _MOST_FAILURES:
+    if len(failed_on) >= _MAX_TASK_FAILURES:
         return True
-    if len(failed_on) < _WORKERS_TO_ACCUSE_TASK:
+    if len(failed_on) < _FAILED_WORKERS_BEFORE_REFUSAL:
         return False
     trusted = {worker for worker in failed_on if not health.is_suspected(worker)}
-    return len(trusted) >= _WORKERS_TO_ACCUSE_TASK
+    return len(trusted) >= _FAILED_WORKERS_BEFORE_REFUSAL
--- a/fireflyfork/decisions/placement/_interference.py
+++ b/fireflyfork/decisions/placement/_interference.py
@@ -15,27 +15,27 @@
 """Variance of the logarithm of one reported p99, which is measured over few requests."""
 _INTERCEPT_VARIANCE = 0.25
 """Initial variance of an intercept."""
-_HIGHEST_FIRST_INTERCEPT = math.log(0.7)
+_MAX_INITIAL_INTERCEPT = math.log(0.7)
 """Upper bound of the initial intercept. A service is assumed to meet its objective when alone."""
 _SLOPE_VARIANCE = 4.0
 """Variance of the slope of a pair without measurements."""
 _BORROWED_VARIANCE = 1.0
 """Minimum initial variance of a slope that is copied from another load band."""
-_LEAST_INTERCEPT_VARIANCE = 0.0005
-_LEAST_SLOPE_VARIANCE = 0.05
+_MIN_INTERCEPT_VARIANCE = 0.0005
+_MIN_SLOPE_VARIANCE = 0.05
 """Minimum variances. A filter without covariances would become overconfident too early."""
 _VARIANCE_PER_SECOND = 2e-6
 """Growth of a slope's variance, since tasks and load change over time."""
-_LARGEST_ERROR = 1.0
+_MAX_ERROR = 1.0
 """Bound on the prediction error of one report, which limits the effect of outliers."""
-_MOST_PAIRS = 512
+_MAX_PAIRS = 512
 """Maximum number of classes kept for each service and load band."""
-_DOUBT = 0.5
+_PESSIMISM_DEVIATIONS = 0.5
 """Standard deviations that are added to a slope before a task is placed next to a service."""
-_FEARED_WHEN_UNKNOWN = _DOUBT * math.sqrt(_SLOPE_VARIANCE)
+_PESSIMISTIC_SLOPE_WHEN_UNKNOWN = _PESSIMISM_DEVIATIONS * math.sqrt(_SLOPE_VARIANCE)
 _HALF_LIFE_SECONDS = 6 * 3600.0
 """Half-life of a slope without new reports, so that a class that was improved is tried again."""
-_SMALLEST_LATENCY_RATIO = 0.01
+_MIN_LATENCY_RATIO = 0.01
 
 
 def load_band(load: float) -> int:
@@ -67,14 +67,14 @@
     def slope(self, task_class: TaskClass, now: float) -> float:
         """Return what a worker full of the class would add to the logarithm of the tail ratio."""
         pair = self.pairs.get(task_class)
-        return 0.0 if pair is None else _faded(pair, now)
+        return 0.0 if pair is None else _decayed_slope(pair, now)
 
-    def feared_slope(self, task_class: TaskClass, now: float) -> float:
+    def pessimistic_slope(self, task_class: TaskClass, now: float) -> float:
         """Return the slope plus a part of its standard deviation."""
         pair = self.pairs.get(task_class)
         if pair is None:
-            return _FEARED_WHEN_UNKNOWN
-        return _faded(pair, now) + _DOUBT * math.sqrt(pair.variance)
+            return _PESSIMISTIC_SLOPE_WHEN_UNKNOWN
+        return _decayed_slope(pair, now) + _PESSIMISM_DEVIATIONS * math.sqrt(pair.variance)
 
 
 class InterferenceModel:
@@ -105,37 +105,37 @@
         ``latency_ratio`` is the ratio of p99 latency to objective; ``shares`` are the shares of the
         worker that the neighbouring classes used.
         """
-        measured = math.log(max(latency_ratio, _SMALLEST_LATENCY_RATIO))
-        band = self._band(service, load_band(load), measured)
+        log_ratio = math.log(max(latency_ratio, _MIN_LATENCY_RATIO))
+        band = self._band(service, load_band(load), log_ratio)
         band.reports += 1
         neighbours = [(self._pair(band, name, now), share) for name, share in shares.items()]
         expected = band.intercept + sum(pair.slope * share for pair, share in neighbours)
-        error = min(max(measured - expected, -_LARGEST_ERROR), _LARGEST_ERROR)
-        spread = band.intercept_variance + _NOISE_VARIANCE
-        spread += sum(pair.variance * share * share for pair, share in neighbours)
-        gain = band.intercept_variance / spread
+        error = min(max(log_ratio - expected, -_MAX_ERROR), _MAX_ERROR)
+        total_variance = band.intercept_variance + _NOISE_VARIANCE
+        total_variance += sum(pair.variance * share * share for pair, share in neighbours)
+        gain = band.intercept_variance / total_variance
         band.intercept += gain * error
         band.intercept_variance = max(
-            (1.0 - gain) * band.intercept_variance, _LEAST_INTERCEPT_VARIANCE
+            (1.0 - gain) * band.intercept_variance, _MIN_INTERCEPT_VARIANCE
         )
         for pair, share in neighbours:
-            gain = pair.variance * share / spread
+            gain = pair.variance * share / total_variance
             pair.slope = max(pair.slope + gain * error, 0.0)
-            pair.variance = max((1.0 - gain * share) * pair.variance, _LEAST_SLOPE_VARIANCE)
+            pair.variance = max((1.0 - gain * share) * pair.variance, _MIN_SLOPE_VARIANCE)
 
-    def added(
+    def added_log_ratio(
         self, service: ServiceName, load: float, task_class: TaskClass, share: float, now: float
     ) -> float:
         """Return what ``share`` of a worker used by the class adds to the log of the tail ratio."""
-        band = self._nearest(service, load_band(load))
+        band = self._nearest_band(service, load_band(load))
         if band is None:
             return 0.0
         pair = band.pairs.get(task_class)
-        return 0.0 if pair is None else share * _faded(pair, now)
+        return 0.0 if pair is None else share * _decayed_slope(pair, now)
 
     def estimate(self, service: ServiceName, load: float) -> BandEstimate | None:
         """Return the estimates for a service at a load, or None without any measurement."""
-        return self._nearest(service, load_band(load))
+        return self._nearest_band(service, load_band(load))
 
     def reports(self, service: ServiceName, load: float) -> int:
         """Return the number of reports about the service in the band of ``load``."""
@@ -146,16 +146,18 @@
         self, service: ServiceName, load: float, shares: Mapping[TaskClass, float], now: float
     ) -> float:
         """Predict the ratio of p99 latency to objective; 0 if the service was never measured."""
-        band = self._nearest(service, load_band(load))
-        return 0.0 if band is None else math.exp(self._explain(band, shares, now))
+        band = self._nearest_band(service, load_band(load))
+        return 0.0 if band is None else math.exp(self._predicted_log_ratio(band, shares, now))
 
-    def _explain(self, band: BandEstimate, shares: Mapping[TaskClass, float], now: float) -> float:
+    def _predicted_log_ratio(
+        self, band: BandEstimate, shares: Mapping[TaskClass, float], now: float
+    ) -> float:
         pairs = band.pairs
         total = band.intercept
         for task_class, share in shares.items():
             pair = pairs.get(task_class)
             if pair is not None:
-                total += share * _faded(pair, now)
+                total += share * _decayed_slope(pair, now)
         return total
 
     def _pair(self, band: BandEstimate, task_class: TaskClass, now: float) -> PairEstimate:
@@ -164,51 +166,51 @@
             _drop_oldest(band.pairs)
             pair = band.pairs[task_class] = PairEstimate(0.0, _SLOPE_VARIANCE, now)
             return pair
-        pair.slope = _faded(pair, now)
+        pair.slope = _decayed_slope(pair, now)
         pair.variance += (now - pair.learned_at) * _VARIANCE_PER_SECOND
         pair.learned_at = now
         return pair
 
-    def _band(self, service: ServiceName, band: int, measured: float) -> BandEstimate:
-        found = self._bands.get((service, band))
-        if found is not None:
-            return found
-        neighbour = self._nearest(service, band)
+    def _band(self, service: ServiceName, band: int, log_ratio: float) -> BandEstimate:
+        existing = self._bands.get((service, band))
+        if existing is not None:
+            return existing
+        nearest = self._nearest_band(service, band)
         # A service is assumed to meet its objective when alone. If the intercept were initialized
         # with the first report, the effect of a neighbour that is present from the start would be
         # attributed to the service itself forever.
-        created = BandEstimate(min(measured, _HIGHEST_FIRST_INTERCEPT))
-        if neighbour is not None:
-            created.intercept = neighbour.intercept
-            created.pairs = {
+        estimate = BandEstimate(min(log_ratio, _MAX_INITIAL_INTERCEPT))
+        if nearest is not None:
+            estimate.intercept = nearest.intercept
+            estimate.pairs = {
                 name: PairEstimate(
                     pair.slope, max(pair.variance, _BORROWED_VARIANCE), pair.learned_at
                 )
-                for name, pair in neighbour.pairs.items()
+                for name, pair in nearest.pairs.items()
             }
-        self._bands[(service, band)] = created
-        return created
+        self._bands[(service, band)] = estimate
+        return estimate
 
-    def _nearest(self, service: ServiceName, band: int) -> BandEstimate | None:
+    def _nearest_band(self, service: ServiceName, band: int) -> BandEstimate | None:
         """Return the estimates of the band, or else of the nearest band with measurements."""
         for distance in range(len(LOAD_BAND_EDGES) + 1):
             for candidate in (band - distance, band + distance):
-                found = self._bands.get((service, candidate))
-                if found is not None:
-                    return found
+                estimate = self._bands.get((service, candidate))
+                if estimate is not None:
+                    return estimate
         return None
 
 
 def _drop_oldest(pairs: dict[TaskClass, PairEstimate]) -> None:
     """Bound memory when classes don't recur, as when each job has a class of its own."""
-    if len(pairs) < _MOST_PAIRS:
+    if len(pairs) < _MAX_PAIRS:
         return
     by_age = sorted(pairs, key=lambda name: pairs[name].learned_at)
-    for name in by_age[: _MOST_PAIRS // 2]:
+    for name in by_age[: _MAX_PAIRS // 2]:
         del pairs[name]
 
 
-def _faded(pair: PairEstimate, now: float) -> float:
+def _decayed_slope(pair: PairEstimate, now: float) -> float:
     age = now - pair.learned_at
     if age < 60.0:
         return pair.slope
--- a/fireflyfork/decisions/placement/_policy.py
+++ b/fireflyfork/decisions/placement/_policy.py
@@ -25,16 +25,16 @@
 )
 from .._task_changes import AttemptOutcome
 from .._tasks import Task, TaskShape
-from ._choice import NO_LIMITS, Limits, WorkerChoice
 from ._classes import TaskClass
+from ._failed_searches import FailedSearches
 from ._fair_queue import FairQueue, QuotaLedger, WaitingJob
-from ._feasibility import cut_to_quota, cut_to_worker, why_infeasible
+from ._feasibility import cap_to_quota, cap_to_worker, why_infeasible
 from ._fleet import Fleet
 from ._headroom import UrgentHeadroom
-from ._health import WorkerHealth, is_to_blame
+from ._health import WorkerHealth, is_task_at_fault
 from ._interference import InterferenceModel
-from ._misfits import Misfits
 from ._policy_settings import PolicySettings, Relief
+from ._preemption import Preemptor
 from ._reasons import (
     FailedOnManyWorkers,
     PlacedBatch,
@@ -47,23 +47,23 @@
     WaitsForTurn,
 )
 from ._relief import ReliefPlanner
-from ._room import RoomMaker
 from ._sizes import LearnedSizes
 from ._spread import ReplicaCounts, replica_places
-from ._waiting import split, tasks_of
+from ._waiting import split_waiting_jobs, tasks_of
 from ._worker_entries import AttemptEntry, WorkerEntry
+from ._worker_selection import NO_LIMITS, InterferenceLimits, WorkerSelector
 
-_MOST_MISFITS = 8
+_MAX_FAILED_SEARCHES = 8
 """Failed searches for batch tasks after which a round ends; bounds its cost on a full fleet."""
-_MOST_URGENT_MISFITS = 64
+_MAX_FAILED_URGENT_SEARCHES = 64
 """Urgent tasks, or replicas, without a worker after which a round stops placing more of them."""
-_HIGHEST_RATIO = 0.75
+_MAX_RATIO = 0.75
 """Maximum ratio of p99 latency to objective that a new batch task may cause for a service."""
-_PATIENCE_SECONDS = 1200.0
+_FULL_PATIENCE_SECONDS = 1200.0
 """Waiting time after which the limits on interference are fully relaxed."""
-_HARM_AT_FIRST = 0.8
+_INITIAL_MAX_SLOPE = 0.8
 """Maximum slope of a class next to a service for a task that has just arrived."""
-_HARM_AT_LAST = 5.0
+_MAX_SLOPE_INCREASE = 5.0
 """Increase of the maximum slope after the full waiting time."""
 
 
@@ -84,14 +84,14 @@
         self._health = WorkerHealth()
         self._replicas = ReplicaCounts()
         self._relief = ReliefPlanner(self._fleet, self._interference, self._settings.relief)
-        self._room = RoomMaker(self._fleet)
+        self._preemptor = Preemptor(self._fleet)
         self._headroom = UrgentHeadroom(self._fleet)
-        self._misfits = Misfits()
+        self._failed_searches = FailedSearches()
         self._tentative_replicas: list[tuple[ServiceName, WorkerEntry, int]] = []
         """Replicas started in this round, which the task table hasn't confirmed yet."""
-        self._choice = WorkerChoice(self._fleet, self._interference)
+        self._selector = WorkerSelector(self._fleet, self._interference)
         self._services: Mapping[ServiceName, ServiceContract] = {}
-        self._measured: dict[WorkerId, WorkerEntry] = {}
+        self._newly_measured: dict[WorkerId, WorkerEntry] = {}
         """Workers with latency reports about their services since the last round."""
 
     @property
@@ -110,15 +110,15 @@
         return self._relief
 
     @property
-    def room(self) -> RoomMaker:
+    def preemptor(self) -> Preemptor:
         """The preemption of batch tasks for urgent work, with its eviction budget."""
-        return self._room
+        return self._preemptor
 
     def observe(self, observation: Observation) -> InterferenceAwarePolicy:
         """See PlacementPolicy. Modifies and returns this object."""
         if isinstance(observation, SamplesTaken):
             for sample in observation.samples:
-                self._sample(sample, observation.now)
+                self._learn_from_sample(sample, observation.now)
         elif isinstance(observation, AttemptStarted):
             self._attempt_started(observation.task, observation.now)
         else:
@@ -127,7 +127,7 @@
 
     def _attempt_started(self, task: Task, now: float) -> None:
         self._fleet.started(task, now)
-        self._room.release(task.task_id)
+        self._preemptor.release(task.task_id)
         attempt = self._fleet.attempt(task.task_id)
         if attempt is None:
             return
@@ -138,7 +138,7 @@
     def _attempt_ended(self, ended: AttemptEnded) -> None:
         task = ended.task
         attempt = self._fleet.ended(task, ended.now)
-        self._room.forget_victim(task.task_id)
+        self._preemptor.forget_victim(task.task_id)
         worker_id = task.worker_id
         if worker_id is None:
             return
@@ -148,7 +148,7 @@
                 self._replicas.add(task.shape.service, attempt.entry, -1)
         if ended.outcome is AttemptOutcome.FINISHED:
             self._health.succeeded(worker_id)
-        elif _accuses_worker(ended):
+        elif _may_be_worker_fault(ended):
             self._health.failed(worker_id, task.task_id, task.job_id, ended.now)
         else:
             self._health.stopped(worker_id, task.task_id)
@@ -163,7 +163,7 @@
             peak = attempt.memory_peak
             self._sizes.observe_memory_peak(task_class, shape.resources, peak)
 
-    def _sample(self, sample: RunSample, now: float) -> None:
+    def _learn_from_sample(self, sample: RunSample, now: float) -> None:
         attempt = self._fleet.attempt(sample.task.task_id)
         if attempt is None or attempt.task.attempt != sample.task.attempt:
             return
@@ -182,9 +182,9 @@
                 sample.used.millicores,
             )
         if shape.service is not None and sample.tail_milliseconds is not None:
-            self._latency(sample, entry, shape.service, sample.tail_milliseconds, now)
+            self._learn_from_latency(sample, entry, shape.service, sample.tail_milliseconds, now)
 
-    def _latency(
+    def _learn_from_latency(
         self,
         sample: RunSample,
         entry: WorkerEntry,
@@ -196,10 +196,10 @@
         if contract is None:
             return
         ratio = tail_milliseconds / contract.latency_objective_milliseconds
-        entry.settle_departed(sample.measured_at)
+        entry.drop_departed_usage(sample.measured_at)
         entry.pressure.report(service, ratio, sample.measured_at)
         entry.forecasts.clear()
-        self._measured[entry.worker.worker_id] = entry
+        self._newly_measured[entry.worker.worker_id] = entry
         if self._settings.learns_interference:
             shares = entry.reported_shares(TaskClass(sample.task.shape.task_class))
             self._interference.learn(service, entry.reported_load(), shares, ratio, now)
@@ -211,7 +211,7 @@
             self._health.forget(worker_id)
         self._health.set_worker_count(len(view.workers))
         self._health.drop_trials(lambda task_id: self._fleet.attempt(task_id) is not None)
-        self._room.begin_round(view.now)
+        self._preemptor.begin_round(view.now)
         for service, entry, millicores in self._tentative_replicas:
             self._replicas.add(service, entry, -1)
             entry.drop_replica(service, millicores)
@@ -219,8 +219,8 @@
         return tuple(self._commands(view))
 
     def _commands(self, view: PlacementView) -> Iterator[PlacementCommand]:
-        measured = list(self._measured.values())
-        self._measured.clear()
+        measured = list(self._newly_measured.values())
+        self._newly_measured.clear()
         yield from self._relief.plan(measured, view.on_worker, view.weights, view.now)
         quotas = QuotaLedger(view.teams, view.team_reserved)
         starts = 0
@@ -231,26 +231,26 @@
                 return
 
     def _placements(self, view: PlacementView, quotas: QuotaLedger) -> Iterator[PlacementCommand]:
-        waiting = split(view)
+        waiting = split_waiting_jobs(view)
         yield from self._replica_starts(waiting.replicas, view)
         yield from self._urgent_starts(waiting.urgent, view, quotas)
         if self._settings.keeps_urgent_headroom:
-            may_come = any(team.urgent for team in view.teams.values())
-            self._headroom.replenish(may_come, view.now)
+            urgent_work_allowed = any(team.urgent for team in view.teams.values())
+            self._headroom.replenish(urgent_work_allowed, view.now)
         yield from self._batch_starts(FairQueue(waiting.batch, quotas), view, quotas)
 
     def _refusal(self, task: Task) -> Refuse | None:
         """Return a refusal if the task has failed on so many workers that it must be at fault."""
-        if not is_to_blame(task.failed_on, self._health):
+        if not is_task_at_fault(task.failed_on, self._health):
             return None
         return Refuse(task.task_id, FailedOnManyWorkers(task.failed_on).sentence())
 
     def _replica_starts(
         self, jobs: list[WaitingJob], view: PlacementView
     ) -> Iterator[PlacementCommand]:
-        misfits = 0
+        failed_count = 0
         for task in tasks_of(jobs):
-            if misfits >= _MOST_URGENT_MISFITS:
+            if failed_count >= _MAX_FAILED_URGENT_SEARCHES:
                 return
             refusal = self._refusal(task)
             if refusal is not None:
@@ -261,18 +261,18 @@
             if start is not None:
                 yield start
                 continue
-            misfits += 1
-            yield from self._make_room(task, need, view)
+            failed_count += 1
+            yield from self._preempt(task, need, view)
 
     def _replica_start(self, task: Task, need: Resources, view: PlacementView) -> Start | None:
         service = task.shape.service
         if service is None:
             return None
-        accepts = self._acceptance(task, view.now)
+        accepts = self._worker_filter(task, view.now)
         places = replica_places(self._fleet, self._replicas, service, need, accepts)
         place = next(places, None)
         if place is None:
-            claimed = self._room.claim(task.task_id, need)
+            claimed = self._preemptor.claim(task.task_id, need)
             if claimed is None:
                 return None
             place = self._replicas.place(service, claimed)
@@ -292,9 +292,9 @@
     def _urgent_starts(
         self, jobs: list[WaitingJob], view: PlacementView, quotas: QuotaLedger
     ) -> Iterator[PlacementCommand]:
-        misfits = 0
+        failed_count = 0
         for task in tasks_of(jobs):
-            if misfits >= _MOST_URGENT_MISFITS:
+            if failed_count >= _MAX_FAILED_URGENT_SEARCHES:
                 return
             refusal = self._refusal(task)
             if refusal is not None:
@@ -302,35 +302,35 @@
                 continue
             need = self._need_within_quota(task.shape, quotas)
             if not quotas.allows(task.shape.team, need):
-                misfits += 1
+                failed_count += 1
                 continue
             entry = self._urgent_worker(task, need, view.now)
             if entry is None:
-                misfits += 1
-                yield from self._make_room(task, need, view)
+                failed_count += 1
+                yield from self._preempt(task, need, view)
                 continue
-            quotas.take(task.shape.team, need)
+            quotas.add_reservation(task.shape.team, need)
             self._headroom.note_arrival(need, view.now)
             waited = view.now - task.submitted
             reason = PlacedUrgent(entry.worker.worker_id, waited)
             yield self._start(task, entry, need, reason, view.now)
 
     def _urgent_worker(self, task: Task, need: Resources, now: float) -> WorkerEntry | None:
-        claimed = self._room.claim(task.task_id, need)
+        claimed = self._preemptor.claim(task.task_id, need)
         if claimed is not None:
             return claimed
-        accepts = self._acceptance(task, now)
+        accepts = self._worker_filter(task, now)
         task_class = TaskClass(task.shape.task_class)
-        choice = self._choice.choose(need, task_class, accepts, NO_LIMITS, now)
-        if choice.best is not None:
-            return choice.best.entry
+        selection = self._selector.choose(need, task_class, accepts, NO_LIMITS, now)
+        if selection.best is not None:
+            return selection.best.entry
         return self._headroom.take(need, accepts)
 
     def _batch_starts(
         self, queue: FairQueue, view: PlacementView, quotas: QuotaLedger
     ) -> Iterator[PlacementCommand]:
-        misfits = self._misfits
-        misfits.begin_round(view.now)
+        failed_searches = self._failed_searches
+        failed_searches.begin_round(view.now)
         for task in queue.tasks():
             refusal = self._refusal(task)
             if refusal is not None:
@@ -341,35 +341,39 @@
             need = self._need_within_quota(shape, quotas)
             task_class = TaskClass(shape.task_class)
             limits = _limits(view, view.now - task.submitted)
-            if misfits.cover(need, task_class, limits) or not quotas.allows(shape.team, need):
+            if failed_searches.covers(need, task_class, limits) or not quotas.allows(
+                shape.team, need
+            ):
                 queue.skip_job()
                 continue
             start = self._batch_start(task, need, limits, view.now)
             if start is not None:
-                quotas.take(shape.team, need)
+                quotas.add_reservation(shape.team, need)
                 queue.started()
                 yield start
                 continue
             queue.skip_job()
-            if misfits.count >= _MOST_MISFITS:
+            if failed_searches.count >= _MAX_FAILED_SEARCHES:
                 return
 
-    def _batch_start(self, task: Task, need: Resources, limits: Limits, now: float) -> Start | None:
+    def _batch_start(
+        self, task: Task, need: Resources, limits: InterferenceLimits, now: float
+    ) -> Start | None:
         """Return a start, or None if there is no worker; the failed search is then remembered."""
-        accepts = self._batch_acceptance(task, now)
+        accepts = self._batch_worker_filter(task, now)
         task_class = TaskClass(task.shape.task_class)
-        choice = self._choice.choose(need, task_class, accepts, limits, now)
-        best = choice.best
+        selection = self._selector.choose(need, task_class, accepts, limits, now)
+        best = selection.best
         if best is None:
             if not task.failed_on:
-                key = task_class if choice.compared else None
-                self._misfits.add(need, key, limits, now)
+                key = task_class if selection.compared else None
+                self._failed_searches.add(need, key, limits, now)
             return None
         reason = PlacedBatch(
             best.entry.worker.worker_id,
             task.shape.resources,
             need,
-            choice.compared,
+            selection.compared,
             best.slowdown - 1.0,
         )
         return self._start(task, best.entry, need, reason, now)
@@ -378,18 +382,18 @@
         self, task: Task, entry: WorkerEntry, need: Resources, reason: Reason, now: float
     ) -> Start:
         task_class = TaskClass(task.shape.task_class)
-        self._choice.note_start(entry, need, task_class, now)
-        self._fleet.take(entry, need, task_class)
+        self._selector.note_start(entry, need, task_class, now)
+        self._fleet.add_start(entry, need, task_class)
         self._health.started(entry.worker.worker_id, task.task_id)
         return Start(task.task_id, entry.worker.worker_id, need, reason.sentence())
 
-    def _make_room(
+    def _preempt(
         self, task: Task, need: Resources, view: PlacementView
     ) -> Iterator[PlacementCommand]:
-        accepts = self._acceptance(task, view.now)
-        return self._room.make_room(task.task_id, need, view.on_worker, accepts, view.now)
+        accepts = self._worker_filter(task, view.now)
+        return self._preemptor.preempt(task.task_id, need, view.on_worker, accepts, view.now)
 
-    def _acceptance(self, task: Task, now: float) -> Callable[[WorkerEntry], bool]:
+    def _worker_filter(self, task: Task, now: float) -> Callable[[WorkerEntry], bool]:
         """Return a predicate that states whether a worker may run the task."""
         health = self._health
         failed_on = task.failed_on
@@ -400,9 +404,9 @@
 
         return accepts
 
-    def _batch_acceptance(self, task: Task, now: float) -> Callable[[WorkerEntry], bool]:
+    def _batch_worker_filter(self, task: Task, now: float) -> Callable[[WorkerEntry], bool]:
         """Return a predicate for batch tasks, which also excludes workers with slowed services."""
-        may_start = self._acceptance(task, now)
+        may_start = self._worker_filter(task, now)
         if self._settings.relief is not Relief.THROTTLE_FIRST:
             return may_start
 
@@ -418,10 +422,10 @@
         is_service = shape.service is not None
         task_class = TaskClass(shape.task_class)
         learned = self._sizes.reservation(task_class, shape.resources, is_service)
-        return cut_to_worker(learned, shape.resources, self._fleet.capacities)
+        return cap_to_worker(learned, shape.resources, self._fleet.capacities)
 
     def _need_within_quota(self, shape: TaskShape, quotas: QuotaLedger) -> Resources:
-        return cut_to_quota(self._need(shape), shape.resources, quotas.quota(shape.team))
+        return cap_to_quota(self._need(shape), shape.resources, quotas.quota(shape.team))
 
     def infeasible(
         self,
@@ -436,7 +440,7 @@
 
     def why_waiting(self, task: Task, view: PlacementView) -> Reason:
         """See PlacementPolicy. Computed only on request, so waiting tasks cost nothing."""
-        held_on = self._room.held_on(task.task_id)
+        held_on = self._preemptor.held_on(task.task_id)
         if held_on is not None:
             return WaitsForEvicted(held_on)
         quotas = QuotaLedger(view.teams, view.team_reserved)
@@ -446,19 +450,22 @@
             need = self._need_within_quota(task.shape, quotas)
             if not quotas.allows(team, need):
                 return WaitsForQuota(team, need, quotas.reserved(team), quotas.quota(team))
-        accepts = self._acceptance(task, view.now)
+        accepts = self._worker_filter(task, view.now)
         if not any(map(accepts, self._fleet.with_room(need))):
             return WaitsForRoom(need, self._health.quarantined_count)
         if task.shape.service is None and not task.shape.urgent:
             task_class = TaskClass(task.shape.task_class)
             limits = _limits(view, view.now - task.submitted)
-            quiet = self._batch_acceptance(task, view.now)
-            if self._choice.choose(need, task_class, quiet, limits, view.now).best is None:
+            accepts_batch = self._batch_worker_filter(task, view.now)
+            if (
+                self._selector.choose(need, task_class, accepts_batch, limits, view.now).best
+                is None
+            ):
                 return WaitsForQuietWorker(need)
         return WaitsForTurn()
 
 
-def _limits(view: PlacementView, waited: float) -> Limits:
+def _limits(view: PlacementView, waited: float) -> InterferenceLimits:
     """Return how far a start may slow services. Limits grow with the wait to prevent starvation.
 
     They are low at first, since the room next to a service is better used by other waiting tasks
@@ -467,12 +474,12 @@
     weights = view.weights
     total = weights.throughput + weights.tail_latency
     impatience = weights.throughput / total if total > 0.0 else 0.0
-    patience = min(waited / _PATIENCE_SECONDS, 1.0)
-    ratio = _HIGHEST_RATIO + impatience * patience
-    return Limits(ratio, _HARM_AT_FIRST + _HARM_AT_LAST * patience)
+    patience = min(waited / _FULL_PATIENCE_SECONDS, 1.0)
+    ratio = _MAX_RATIO + impatience * patience
+    return InterferenceLimits(ratio, _INITIAL_MAX_SLOPE + _MAX_SLOPE_INCREASE * patience)
 
 
-def _accuses_worker(ended: AttemptEnded) -> bool:
+def _may_be_worker_fault(ended: AttemptEnded) -> bool:
     """Return whether the worker may be at fault for the end of an attempt.
 
     A refusal counts, since a worker that refuses starts always has room and would attract all work.
--- a/fireflyfork/decisions/placement/_room.py
+++ b/fireflyfork/decisions/placement/_preemption.py
@@ -18,10 +18,10 @@
 from ._worker_entries import WorkerEntry
 
 _SHARE_PER_HOUR = 1.0
-_LEAST_BURST = 16.0
-_MOST_VICTIMS = 4
-_WORKERS_EXAMINED = 48
-_PLANS_COMPARED = 8
+_MIN_BURST = 16.0
+_MAX_VICTIMS = 4
+_MAX_WORKERS_EXAMINED = 48
+_MAX_PLANS_COMPARED = 8
 _HOLD_SECONDS = 15.0
 """Room that is not used within this time is released, because the victims did not stop or the
 worker was removed."""
@@ -39,14 +39,14 @@
     expires: float
 
 
-class RoomMaker:
+class Preemptor:
     """Evicts batch tasks for urgent tasks and replicas, within a separate budget."""
 
     def __init__(self, fleet: Fleet) -> None:
         """Use the fleet index of the policy, which changes over time."""
         self._fleet = fleet
         self._holds: dict[TaskId, Hold] = {}
-        self._budget = EvictionBudget(_LEAST_BURST)
+        self._budget = EvictionBudget(_MIN_BURST)
         self._next_worker = 0
         self._victims: set[TaskId] = set()
 
@@ -92,7 +92,7 @@
         self._fleet.hold(hold.entry, hold.amount)
         return None
 
-    def make_room(
+    def preempt(
         self,
         task_id: TaskId,
         need: Resources,
@@ -106,7 +106,7 @@
         """
         if task_id in self._holds or self._budget.tokens < 1.0:
             return
-        plans = islice(self._plans(need, on_worker, accepts, now), _PLANS_COMPARED)
+        plans = islice(self._plans(need, on_worker, accepts, now), _MAX_PLANS_COMPARED)
         best = min(plans, key=lambda plan: plan[0], default=None)
         if best is None or len(best[2]) > self._budget.tokens:
             return
@@ -138,7 +138,7 @@
                 continue
             victims = self._victims_on(entry, need, on_worker, now)
             if victims:
-                lost = sum(self._lost(task, now) for task in victims)
+                lost = sum(self._lost_core_seconds(task, now) for task in victims)
                 yield (len(victims), lost), entry, victims
 
     def _next_workers(self) -> Iterator[WorkerEntry]:
@@ -147,7 +147,7 @@
         Each call continues after the last worker of the previous call.
         """
         entries = self._fleet.numbered
-        for _ in range(min(_WORKERS_EXAMINED, len(entries))):
+        for _ in range(min(_MAX_WORKERS_EXAMINED, len(entries))):
             self._next_worker = (self._next_worker + 1) % len(entries)
             entry = entries[self._next_worker]
             if entry is not None:
@@ -164,7 +164,7 @@
         free = Resources(entry.free_millicores, entry.free_memory, entry.free_accelerators)
         tasks = on_worker.get(entry.worker.worker_id, {})
         evictable = [task for task in tasks.values() if self._may_be_evicted(task)]
-        evictable.sort(key=lambda task: (self._lost(task, now), task.task_id))
+        evictable.sort(key=lambda task: (self._lost_core_seconds(task, now), task.task_id))
         victims: Victims = []
         for task in evictable:
             if need.fits_in(free):
@@ -173,8 +173,8 @@
             victims.append(task)
         if not need.fits_in(free):
             return []
-        victims = _without_needless(victims, free, need)
-        return victims if len(victims) <= _MOST_VICTIMS else []
+        victims = _drop_unneeded(victims, free, need)
+        return victims if len(victims) <= _MAX_VICTIMS else []
 
     def _may_be_evicted(self, task: Task) -> bool:
         return (
@@ -185,18 +185,18 @@
             and task.task_id not in self._victims
         )
 
-    def _lost(self, task: Task, now: float) -> float:
+    def _lost_core_seconds(self, task: Task, now: float) -> float:
         attempt = self._fleet.attempt(task.task_id)
         return 0.0 if attempt is None else lost_core_seconds(attempt, now)
 
 
-def _without_needless(victims: Victims, free: Resources, need: Resources) -> Victims:
+def _drop_unneeded(victims: Victims, free: Resources, need: Resources) -> Victims:
     """Drop victims that aren't needed to make enough room, the most expensive ones first."""
     kept = []
     for task in reversed(victims):
-        without = free - task.reservation
-        if need.fits_in(without):
-            free = without
+        remaining = free - task.reservation
+        if need.fits_in(remaining):
+            free = remaining
         else:
             kept.append(task)
     return kept
--- a/fireflyfork/decisions/placement/_pressure.py
+++ b/fireflyfork/decisions/placement/_pressure.py
@@ -14,9 +14,9 @@
 """Weight of a new report in the exponential moving average."""
 _HIGH_REPORTS = 2
 """Consecutive rounds of high reports before relief."""
-_FIRST_LOW_REPORTS = 4
+_MIN_LOW_REPORTS = 4
 """Initial number of consecutive rounds of low reports before relaxation."""
-_MOST_LOW_REPORTS = 64
+_MAX_LOW_REPORTS = 64
 """Maximum number of consecutive rounds of low reports before relaxation."""
 _SETTLE_SECONDS = 2.0
 """Time that an action takes to reach the worker. Earlier measurements don't show its effect."""
@@ -63,7 +63,7 @@
         self._counts_from = float("-inf")
         self._last_measured = float("-inf")
         self._round = float("-inf")
-        self._calm_needed = _FIRST_LOW_REPORTS
+        self._calm_needed = _MIN_LOW_REPORTS
         self._relaxed_at = float("-inf")
         self._relapsed_at = float("-inf")
 
@@ -113,14 +113,14 @@
     def relieved(self, now: float) -> None:
         """Record that tasks were throttled or evicted."""
         if now - self._relaxed_at < _RELAPSE_SECONDS:
-            self._calm_needed = min(2 * self._calm_needed, _MOST_LOW_REPORTS)
+            self._calm_needed = min(2 * self._calm_needed, _MAX_LOW_REPORTS)
             self._relapsed_at = now
         self._restart(now)
 
     def relaxed(self, now: float) -> None:
         """Record that limits were raised or lifted."""
         if now - self._relapsed_at > _RELAPSE_SECONDS:
-            self._calm_needed = max(self._calm_needed // 2, _FIRST_LOW_REPORTS)
+            self._calm_needed = max(self._calm_needed // 2, _MIN_LOW_REPORTS)
         self._relaxed_at = now
         self._restart(now)
 
--- a/fireflyfork/decisions/placement/_ratio_histogram.py
+++ b/fireflyfork/decisions/placement/_ratio_histogram.py
@@ -10,7 +10,7 @@
 _OCTAVES_ABOVE_ONE = 5
 _BIN_COUNT = _BINS_PER_OCTAVE * (_OCTAVES_BELOW_ONE + _OCTAVES_ABOVE_ONE)
 _FIRST_BIN_EXPONENT = -_OCTAVES_BELOW_ONE * _BINS_PER_OCTAVE
-_LARGEST_TOTAL = 1024.0
+_MAX_TOTAL = 1024.0
 """Above this total weight all counts are halved, so old usage patterns lose influence."""
 
 
@@ -36,24 +36,24 @@
         """Count a ratio. A ratio outside the range counts in the nearest bin."""
         self._counts[_bin_of(ratio)] += 1.0
         self._total += 1.0
-        if self._total > _LARGEST_TOTAL:
+        if self._total > _MAX_TOTAL:
             self._halve()
 
     def quantile(self, share: float) -> float:
         """Return an upper bound of a quantile: the upper edge of its bin, or 0 without counts."""
         if not self._total:
             return 0.0
-        wanted = share * self._total
-        seen = 0.0
-        last = 0
+        target = share * self._total
+        cumulative = 0.0
+        last_index = 0
         for index, count in enumerate(self._counts):
             if count <= 0.0:
                 continue
-            seen += count
-            last = index
-            if seen >= wanted:
+            cumulative += count
+            last_index = index
+            if cumulative >= target:
                 break
-        return _upper_edge(last)
+        return _upper_edge(last_index)
 
     def _halve(self) -> None:
         self._counts = array("f", (count / 2 for count in self._counts))
--- a/fireflyfork/decisions/placement/_reasons.py
+++ b/fireflyfork/decisions/placement/_reasons.py
@@ -32,19 +32,19 @@
     def as_json(self) -> dict[str, object]:
         """Return the class name as ``kind``, and all fields, with resources as objects."""
         fields = {
-            field.name: _plain(getattr(self, field.name))
+            field.name: _json_value(getattr(self, field.name))
             for field in dataclasses.fields(self)  # type: ignore[arg-type]
         }
         return {"kind": type(self).__name__, **fields}
 
 
-def _plain(value: object) -> object:
+def _json_value(value: object) -> object:
     if isinstance(value, Resources):
         return dataclasses.asdict(value)
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, tuple):
-        return [_plain(item) for item in value]
+        return [_json_value(item) for item in value]
     return value
 
 
--- a/fireflyfork/decisions/placement/_relief.py
+++ b/fireflyfork/decisions/placement/_relief.py
@@ -23,28 +23,28 @@
 from ._reasons import EvictedForLatency, ThrottledForLatency, ThrottleLifted
 from ._worker_entries import AttemptEntry, WorkerEntry
 
-_WANTED_RATIO = 0.75
+_TARGET_RATIO = 0.75
 """The target ratio of p99 latency to objective. With a target at the objective, the next report
 would trigger relief again."""
-_THROTTLE_SHARE = 0.5
+_THROTTLE_FACTOR = 0.5
 """Factor by which one throttle reduces a task's processor time."""
-_LEAST_SHARE_OF_RESERVATION = 0.25
-_LEAST_MILLICORES = 50
-_MATERIAL_SHARE = 0.25
+_MIN_SHARE_OF_RESERVATION = 0.25
+_MIN_MILLICORES = 50
+_MIN_CONTRIBUTION_SHARE = 0.25
 """Neighbours that contribute less than this share of the largest contribution are left alone."""
-_HARMLESS = 0.01
+_NEGLIGIBLE_EFFECT = 0.01
 """A limit with at most this effect on the logarithm of tail latency is always lifted."""
-_LEAST_EXPLAINED = 0.05
+_MIN_EXPLAINED = 0.05
 """If the contributions of all neighbours to the logarithm of tail latency sum to less than this,
 they don't explain the latency, and slowing them would not help."""
-_REPORTS_TO_ACQUIT = 12
+_REPORTS_TO_TRUST_ESTIMATES = 12
 """Reports about a service after which its neighbours' low contributions are trusted."""
-_HORIZON_MINUTES = 10.0
+_MAX_GAIN_MINUTES = 10.0
 """The benefit of an eviction is counted for at most this time, since load shifts."""
 _RESTART_MINUTES = 0.5
 """Cost of a restart in addition to the lost work, in minutes of the task's run time."""
-_SHORTEST_REMAINING_MINUTES = 0.5
-_CORE_MINUTE = 0.05
+_MIN_REMAINING_MINUTES = 0.5
+_CORE_MINUTE_COST = 0.05
 """Cost of a lost core-minute before weighting; an eviction costs 1."""
 
 
@@ -54,19 +54,19 @@
 
     task: Task
     attempt: AttemptEntry
-    blame: float
+    contribution: float
     """What the task adds to the logarithm of the service's tail latency. If the effects are
     unknown, the share of the worker's processors that the task uses."""
     limit: int
     """The processor limit in millicores that the next throttle would set."""
 
     @property
-    def blame_per_use(self) -> float:
+    def contribution_per_use(self) -> float:
         """The contribution per processor time used.
 
         Throttling the tasks with the highest value first costs the least throughput.
         """
-        return self.blame / max(self.attempt.used, 1)
+        return self.contribution / max(self.attempt.used, 1)
 
     @property
     def can_be_throttled(self) -> bool:
@@ -93,14 +93,14 @@
 
     def plan(
         self,
-        touched: Iterable[WorkerEntry],
+        measured: Iterable[WorkerEntry],
         on_worker: Mapping[WorkerId, Mapping[TaskId, Task]],
         weights: Weights,
         now: float,
     ) -> Iterator[PlacementCommand]:
         """Yield commands for the given workers, which have new latency measurements."""
         self._budget.refill(now, self._fleet.batch_count, latency_share_per_hour(weights))
-        for entry in touched:
+        for entry in measured:
             tasks = on_worker.get(entry.worker.worker_id, {})
             yield from self._plan_worker(entry, tasks, weights, now)
 
@@ -153,39 +153,39 @@
         """
         capacity = max(entry.worker.capacity.millicores, 1)
         load = entry.expected_load()
-        found = []
-        for task, attempt in self._yielding(tasks):
+        neighbours = []
+        for task, attempt in self._throttleable(tasks):
             share = attempt.used / capacity
             task_class = TaskClass(task.shape.task_class)
-            blame = self._interference.added(service, load, task_class, share, now)
-            found.append(_Neighbour(task, attempt, blame, _next_limit(task, attempt)))
-        if sum(neighbour.blame for neighbour in found) < _LEAST_EXPLAINED:
-            if self._interference.reports(service, load) >= _REPORTS_TO_ACQUIT:
+            contribution = self._interference.added_log_ratio(service, load, task_class, share, now)
+            neighbours.append(_Neighbour(task, attempt, contribution, _next_limit(task, attempt)))
+        if sum(neighbour.contribution for neighbour in neighbours) < _MIN_EXPLAINED:
+            if self._interference.reports(service, load) >= _REPORTS_TO_TRUST_ESTIMATES:
                 return []
-            found = [
+            neighbours = [
                 _Neighbour(item.task, item.attempt, item.attempt.used / capacity, item.limit)
-                for item in found
+                for item in neighbours
             ]
-        return sorted(found, key=lambda item: (-item.blame_per_use, item.task.task_id))
+        return sorted(neighbours, key=lambda item: (-item.contribution_per_use, item.task.task_id))
 
-    def _yielding(self, tasks: Mapping[TaskId, Task]) -> Iterator[tuple[Task, AttemptEntry]]:
+    def _throttleable(self, tasks: Mapping[TaskId, Task]) -> Iterator[tuple[Task, AttemptEntry]]:
         for task in tasks.values():
             attempt = self._fleet.attempt(task.task_id)
-            if attempt is not None and attempt.reported and _may_be_slowed(task):
+            if attempt is not None and attempt.reported and _may_be_throttled(task):
                 yield task, attempt
 
     def _throttle(
         self, entry: WorkerEntry, neighbours: list[_Neighbour], service: ServiceName, ratio: float
     ) -> Iterator[Throttle]:
-        excess = math.log(ratio / _WANTED_RATIO)
-        least_blame = _MATERIAL_SHARE * neighbours[0].blame_per_use
+        excess = math.log(ratio / _TARGET_RATIO)
+        min_contribution = _MIN_CONTRIBUTION_SHARE * neighbours[0].contribution_per_use
         for neighbour in neighbours:
-            if excess <= 0.0 or neighbour.blame_per_use < least_blame:
+            if excess <= 0.0 or neighbour.contribution_per_use < min_contribution:
                 return
             if not neighbour.can_be_throttled:
                 continue
             used = max(neighbour.attempt.used, 1)
-            excess -= neighbour.blame * max(1.0 - neighbour.limit / used, 0.0)
+            excess -= neighbour.contribution * max(1.0 - neighbour.limit / used, 0.0)
             entry.throttled.add(neighbour.task.task_id)
             worker_id = entry.worker.worker_id
             reason = ThrottledForLatency(service, worker_id, ratio, neighbour.limit)
@@ -201,15 +201,18 @@
         now: float,
     ) -> Iterator[CheckpointAndEvict]:
         """Evict at most one task: the one that loses the least work of the main contributors."""
-        least_blame = _MATERIAL_SHARE * max(neighbour.blame for neighbour in neighbours)
-        material = [
+        min_contribution = _MIN_CONTRIBUTION_SHARE * max(
+            neighbour.contribution for neighbour in neighbours
+        )
+        contributors = [
             item
             for item in neighbours
-            if item.blame >= least_blame and item.task.shape.tolerance is Tolerance.EVICT
+            if item.contribution >= min_contribution
+            and item.task.shape.tolerance is Tolerance.EVICT
         ]
-        if not material:
+        if not contributors:
             return
-        victim = min(material, key=lambda item: lost_core_seconds(item.attempt, now))
+        victim = min(contributors, key=lambda item: lost_core_seconds(item.attempt, now))
         gain = self._gain(entry, victim, ratio, weights, now)
         cost = eviction_cost(victim.attempt, weights, now)
         if gain <= cost or not self._budget.take():
@@ -226,8 +229,8 @@
 
         The unit is one replica that for one minute has a tail latency higher by its objective.
         """
-        after = max(ratio * math.exp(-victim.blame), _WANTED_RATIO)
-        minutes = min(remaining_minutes(victim.attempt, now), _HORIZON_MINUTES)
+        after = max(ratio * math.exp(-victim.contribution), _TARGET_RATIO)
+        minutes = min(remaining_minutes(victim.attempt, now), _MAX_GAIN_MINUTES)
         replicas = sum(entry.replicas.values())
         return weights.tail_latency * replicas * max(ratio - after, 0.0) * minutes
 
@@ -240,25 +243,25 @@
         now: float,
     ) -> Iterator[Throttle]:
         """Raise limits in order of effect, while the service is predicted to stay on target."""
-        slack = math.log(_WANTED_RATIO / ratio)
-        for harm, task in self._limited(entry, tasks, service, now):
-            slack -= harm
-            if slack < 0.0 and harm > _HARMLESS:
+        slack = math.log(_TARGET_RATIO / ratio)
+        for effect, task in self._throttled_tasks(entry, tasks, service, now):
+            slack -= effect
+            if slack < 0.0 and effect > _NEGLIGIBLE_EFFECT:
                 return
-            raised: int | None = int((task.millicores_limit or 0) / _THROTTLE_SHARE)
+            raised: int | None = int((task.millicores_limit or 0) / _THROTTLE_FACTOR)
             if raised is not None and raised >= task.reservation.millicores:
                 raised = None
                 entry.throttled.discard(task.task_id)
             reason = ThrottleLifted(entry.worker.worker_id, ratio)
             yield Throttle(task.task_id, raised, reason.sentence())
 
-    def _limited(
+    def _throttled_tasks(
         self, entry: WorkerEntry, tasks: Mapping[TaskId, Task], service: ServiceName, now: float
     ) -> list[tuple[float, Task]]:
         """Return the throttled tasks with the effect of raising each limit, smallest first."""
         capacity = max(entry.worker.capacity.millicores, 1)
         load = entry.expected_load()
-        limited = []
+        throttled = []
         for task_id in tuple(entry.throttled):
             task = tasks.get(task_id)
             if task is None or task.millicores_limit is None:
@@ -266,9 +269,9 @@
                 continue
             share = task.millicores_limit / capacity
             task_class = TaskClass(task.shape.task_class)
-            harm = self._interference.added(service, load, task_class, share, now)
-            limited.append((harm, task))
-        return sorted(limited, key=lambda item: (item[0], item[1].task_id))
+            effect = self._interference.added_log_ratio(service, load, task_class, share, now)
+            throttled.append((effect, task))
+        return sorted(throttled, key=lambda item: (item[0], item[1].task_id))
 
     def _evict_largest(
         self,
@@ -281,7 +284,7 @@
         """Evict the largest neighbour. This baseline has no hysteresis, cost model or budget."""
         attempts = [
             attempt
-            for task, attempt in self._yielding(tasks)
+            for task, attempt in self._throttleable(tasks)
             if task.shape.tolerance is Tolerance.EVICT
         ]
         if not attempts:
@@ -309,18 +312,18 @@
     It has a positive minimum, since declared run times are often too short.
     """
     shape = attempt.task.shape
-    left = (1.0 - attempt.progress) * shape.run_seconds / 60.0
-    return max(left, _SHORTEST_REMAINING_MINUTES)
+    remaining = (1.0 - attempt.progress) * shape.run_seconds / 60.0
+    return max(remaining, _MIN_REMAINING_MINUTES)
 
 
 def eviction_cost(attempt: AttemptEntry, weights: Weights, now: float) -> float:
     """Return the weighted cost of an eviction, including the lost work and the restart."""
     cores = attempt.task.reservation.millicores / 1000.0
     lost_core_minutes = lost_core_seconds(attempt, now) / 60.0 + cores * _RESTART_MINUTES
-    return weights.evictions + weights.throughput * lost_core_minutes * _CORE_MINUTE
+    return weights.evictions + weights.throughput * lost_core_minutes * _CORE_MINUTE_COST
 
 
-def _may_be_slowed(task: Task) -> bool:
+def _may_be_throttled(task: Task) -> bool:
     return (
         task.state is TaskState.RUNNING
         and task.shape.service is None
@@ -332,5 +335,5 @@
 def _next_limit(task: Task, attempt: AttemptEntry) -> int:
     current = task.millicores_limit
     base = attempt.used if current is None else current
-    floor = int(_LEAST_SHARE_OF_RESERVATION * task.reservation.millicores)
-    return max(int(base * _THROTTLE_SHARE), floor, _LEAST_MILLICORES)
+    floor = int(_MIN_SHARE_OF_RESERVATION * task.reservation.millicores)
+    return max(int(base * _THROTTLE_FACTOR), floor, _MIN_MILLICORES)
--- a/fireflyfork/decisions/placement/_sizes.py
+++ b/fireflyfork/decisions/placement/_sizes.py
@@ -11,7 +11,7 @@
 
 _PRIOR_SAMPLES = 8.0
 """The weight of the declared size, as a number of samples, if usage is lower."""
-_FEWEST_SAMPLES_TO_SHRINK_MEMORY = 16.0
+_MIN_SAMPLES_TO_SHRINK_MEMORY = 16.0
 """Fewer tasks don't show the tail of memory usage, so until then the declared memory is a lower
 bound."""
 _PROCESSOR_QUANTILE = 0.9
@@ -25,9 +25,9 @@
 """Factor by which usage that may be cut off is increased."""
 _EXHAUSTED_MEMORY_GROWTH = 1.5
 """Factor from the reservation of a task that ran out of memory to its assumed need."""
-_SMALLEST_MILLICORES = 10
-_SMALLEST_MEMORY = 1 << 20
-_LARGEST_CLASS_COUNT = 20_000
+_MIN_MILLICORES = 10
+_MIN_MEMORY = 1 << 20
+_MAX_CLASSES = 20_000
 _REFRESH_SAMPLES = 8
 """Samples between two updates of the ratios of a class."""
 
@@ -61,8 +61,8 @@
             return declared
         ratio = usage.service_processor_ratio if is_service else usage.processor_ratio
         return Resources(
-            _scaled(declared.millicores, ratio, _SMALLEST_MILLICORES),
-            _scaled(declared.memory, usage.memory_ratio, _SMALLEST_MEMORY),
+            _scaled(declared.millicores, ratio, _MIN_MILLICORES),
+            _scaled(declared.memory, usage.memory_ratio, _MIN_MEMORY),
             declared.accelerators,
         )
 
@@ -105,7 +105,7 @@
         usage = self._classes.get(task_class)
         if usage is None:
             usage = self._classes[task_class] = _ClassUsage()
-            if len(self._classes) > _LARGEST_CLASS_COUNT:
+            if len(self._classes) > _MAX_CLASSES:
                 self._classes.popitem(last=False)
         else:
             self._classes.move_to_end(task_class)
@@ -130,7 +130,7 @@
 
 def _memory_ratio(memory: RatioHistogram) -> float:
     tail = memory.quantile(_MEMORY_QUANTILE) * _MEMORY_MARGIN
-    if memory.total < _FEWEST_SAMPLES_TO_SHRINK_MEMORY:
+    if memory.total < _MIN_SAMPLES_TO_SHRINK_MEMORY:
         return max(tail, 1.0)
     return _blended(tail, memory.total)
 
--- a/fireflyfork/decisions/placement/_spread.py
+++ b/fireflyfork/decisions/placement/_spread.py
@@ -11,7 +11,7 @@
 from ._fleet import Fleet
 from ._worker_entries import WorkerEntry
 
-_SERVICE_SHARE = 0.6
+_MAX_SERVICE_SHARE = 0.6
 """Above this share of a worker's processors, replicas slow each other when load rises."""
 
 
@@ -74,18 +74,20 @@
             entry for entry in fleet.racks[domain][rack] if entry.has_room(need) and accepts(entry)
         ]
         if members:
-            entry = min(members, key=lambda item: _crowding(item, service, need))
+            entry = min(members, key=lambda item: _placement_rank(item, service, need))
             yield ReplicaPlace(entry, in_domain, in_rack)
 
 
-def _crowding(entry: WorkerEntry, service: ServiceName, need: Resources) -> tuple[int, bool, int]:
+def _placement_rank(
+    entry: WorkerEntry, service: ServiceName, need: Resources
+) -> tuple[int, bool, int]:
     """Return a sort key of workers for a replica, lowest first.
 
     Workers with the fewest replicas of the same service come first, then those with the most
     reserved by all services up to a share of the worker. Concentrating services leaves more workers
     on which batch tasks can't slow any service.
     """
-    same = entry.replicas.get(service, 0)
-    together = entry.service_millicores + need.millicores
-    is_too_full = together > _SERVICE_SHARE * entry.worker.capacity.millicores
-    return same, is_too_full, together if is_too_full else -together
+    same_service = entry.replicas.get(service, 0)
+    service_millicores = entry.service_millicores + need.millicores
+    is_too_full = service_millicores > _MAX_SERVICE_SHARE * entry.worker.capacity.millicores
+    return same_service, is_too_full, service_millicores if is_too_full else -service_millicores
--- a/fireflyfork/decisions/placement/_waiting.py
+++ b/fireflyfork/decisions/placement/_waiting.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WaitingWork:
+class WaitingJobGroups:
     """The waiting jobs of one round, in order of arrival."""
 
     replicas: list[WaitingJob]
@@ -21,7 +21,7 @@
     batch: Mapping[TeamName, list[WaitingJob]]
 
 
-def split(view: PlacementView) -> WaitingWork:
+def split_waiting_jobs(view: PlacementView) -> WaitingJobGroups:
     """Split the waiting jobs of a view.
 
     Only the first task of each job is examined, since the tasks of a job are equal.
@@ -39,7 +39,7 @@
             urgent.append(tasks)
         else:
             batch.setdefault(first.shape.team, []).append(tasks)
-    return WaitingWork(replicas, urgent, batch)
+    return WaitingJobGroups(replicas, urgent, batch)
 
 
 def tasks_of(jobs: list[WaitingJob]) -> Iterator[Task]:
--- a/fireflyfork/decisions/placement/_worker_entries.py
+++ b/fireflyfork/decisions/placement/_worker_entries.py
@@ -12,7 +12,7 @@
 from ._interference import BandEstimate
 from ._pressure import Pressure
 
-_NOTHING = Resources()
+_NO_RESOURCES = Resources()
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
         self.worker = worker
         self.reserved: Resources | None = None
         """The task table's value from which ``free_*`` was last computed; None forces an update."""
-        self.held = _NOTHING
+        self.held = _NO_RESOURCES
         """Resources held for urgent work, as headroom or after evictions."""
         self.free_millicores = 0
         self.free_memory = 0
@@ -85,7 +85,7 @@
             and need.accelerators <= self.free_accelerators
         )
 
-    def take(self, need: Resources) -> None:
+    def subtract_free(self, need: Resources) -> None:
         """Subtract the reservation of a start, or held resources, from the free resources."""
         self.free_millicores -= need.millicores
         self.free_memory -= need.memory
@@ -111,9 +111,9 @@
         """Remove a replica with its reservation."""
         self.forecasts.clear()
         self.service_millicores -= millicores
-        left = self.replicas[service] - 1
-        if left:
-            self.replicas[service] = left
+        remaining = self.replicas[service] - 1
+        if remaining:
+            self.replicas[service] = remaining
         else:
             del self.replicas[service]
 
@@ -146,7 +146,7 @@
             shares[name] = shares.get(name, 0.0) + reserved / capacity
         return shares
 
-    def settle_departed(self, measured_at: float) -> None:
+    def drop_departed_usage(self, measured_at: float) -> None:
         """Drop the usage of attempts that ended before a measurement was taken.
 
         Reports lag, so the first report after an eviction still describes the time before it. If
--- a/fireflyfork/decisions/placement/_choice.py
+++ b/fireflyfork/decisions/placement/_worker_selection.py
@@ -13,13 +13,13 @@
 from ._interference import BandEstimate, InterferenceModel, load_band
 from ._worker_entries import ServiceForecast, WorkerEntry
 
-_CANDIDATES = 6
+_ENOUGH_CANDIDATES = 6
 """The number of workers to examine if at least one of them is within the limits."""
-_CANDIDATES_WHEN_SLOWED = 16
+_MAX_CANDIDATES = 16
 """The maximum number of workers to examine if none of them is within the limits."""
-_HARMLESS_COST = 0.002
+_NEGLIGIBLE_COST = 0.002
 """A candidate with at most this cost is selected without comparing further workers."""
-_PENALTY_FROM_RATIO = 0.6
+_PENALTY_MIN_RATIO = 0.6
 """Ratios of p99 latency to objective up to this value have no cost."""
 _NEGLIGIBLE_SLOWDOWN = 1.01
 """Services that the task slows by no more than this factor are ignored."""
@@ -37,21 +37,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class InterferenceLimits:
     """Limits on the effect that a started task may have on services."""
 
-    ratio: float
+    max_ratio: float
     """The maximum predicted ratio of a service's p99 latency to its objective."""
-    harm: float = float("inf")
+    max_slope: float = float("inf")
     """The maximum increase of the logarithm of a service's tail latency that a worker full of tasks
     of the class would cause."""
 
 
-NO_LIMITS = Limits(float("inf"))
+NO_LIMITS = InterferenceLimits(float("inf"))
 
 
 @dataclass(frozen=True, slots=True)
-class Choice:
+class Selection:
     """The result of a search for a worker."""
 
     best: Candidate | None
@@ -61,7 +61,7 @@
     worker has room."""
 
 
-class WorkerChoice:
+class WorkerSelector:
     """Selects workers for tasks by the predicted latency of services."""
 
     def __init__(self, fleet: Fleet, interference: InterferenceModel) -> None:
@@ -74,35 +74,35 @@
         need: Resources,
         task_class: TaskClass,
         accepts: Callable[[WorkerEntry], bool],
-        limits: Limits,
+        limits: InterferenceLimits,
         now: float,
-    ) -> Choice:
+    ) -> Selection:
         """Return the cheapest of a few accepted workers with room that are within the limits."""
         best: Candidate | None = None
         compared = 0
         for entry in self._candidates(need, accepts):
             compared += 1
-            candidate = self.rate(entry, need, task_class, limits, now)
+            candidate = self.evaluate(entry, need, task_class, limits, now)
             if candidate is None:
                 continue
             if best is None or candidate.cost < best.cost:
                 best = candidate
-            if best.cost <= _HARMLESS_COST or compared >= _CANDIDATES:
+            if best.cost <= _NEGLIGIBLE_COST or compared >= _ENOUGH_CANDIDATES:
                 break
-        return Choice(best, compared)
+        return Selection(best, compared)
 
     def _candidates(
         self, need: Resources, accepts: Callable[[WorkerEntry], bool]
     ) -> Iterator[WorkerEntry]:
         accepted = filter(accepts, self._fleet.with_room(need))
-        return islice(accepted, _CANDIDATES_WHEN_SLOWED)
+        return islice(accepted, _MAX_CANDIDATES)
 
-    def rate(
+    def evaluate(
         self,
         entry: WorkerEntry,
         need: Resources,
         task_class: TaskClass,
-        limits: Limits,
+        limits: InterferenceLimits,
         now: float,
     ) -> Candidate | None:
         """Predict the effect of a task on the services of a worker.
@@ -119,17 +119,19 @@
         cost = 0.0
         slowdown = 1.0
         load = entry.expected_load()
-        now_there = self._forecasts(entry, load, now)
+        current = self._forecasts(entry, load, now)
         with_task = self._forecasts(entry, load + share, now)
-        for before, forecast in zip(now_there, with_task, strict=True):
+        for before, forecast in zip(current, with_task, strict=True):
             estimate = forecast.estimate
-            feared = estimate.feared_slope(task_class, now)
-            if (estimate.slope(task_class, now) if is_first else feared) > limits.harm:
+            pessimistic_slope = estimate.pessimistic_slope(task_class, now)
+            if (
+                estimate.slope(task_class, now) if is_first else pessimistic_slope
+            ) > limits.max_slope:
                 return None
-            after = forecast.ratio * math.exp(feared * share)
+            after = forecast.ratio * math.exp(pessimistic_slope * share)
             if after <= before.ratio * _NEGLIGIBLE_SLOWDOWN:
                 continue
-            if after > limits.ratio:
+            if after > limits.max_ratio:
                 return None
             slowdown = max(slowdown, after / before.ratio)
             cost += forecast.replicas * (_penalty(after) - _penalty(before.ratio))
@@ -167,4 +169,4 @@
 
 
 def _penalty(ratio: float) -> float:
-    return max(ratio - _PENALTY_FROM_RATIO, 0.0) ** 2
+    return max(ratio - _PENALTY_MIN_RATIO, 0.0) ** 2
--- a/fireflyfork/decisions/placement/tests/builders_placement.py
+++ b/fireflyfork/decisions/placement/tests/builders_placement.py
@@ -80,7 +80,7 @@
 
 
 @dataclass(slots=True)
-class SmallTable:
+class FakeTaskTable:
     """Simulates the planner's task table. Raises AssertionError on an invalid command."""
 
     policy: PlacementPolicy
@@ -165,7 +165,7 @@
         """Iterate over the tasks with an attempt that may be running."""
         return (task for task in self.tasks.values() if task.worker_id is not None)
 
-    def round(self, seconds: float = 1.0) -> list[PlacementCommand]:
+    def run_round(self, seconds: float = 1.0) -> list[PlacementCommand]:
         """Advance the clock, run one round of the policy and execute its commands."""
         self.now += seconds
         self.commands = list(self.policy.decide(self.view()))
@@ -239,8 +239,8 @@
 
 def table(
     policy: PlacementPolicy, workers: int = 4, capacity: Resources | None = None
-) -> SmallTable:
+) -> FakeTaskTable:
     """Build a table of equal workers and two teams with large quotas and urgent work allowed."""
     made = [worker(number, capacity) for number in range(workers)]
     teams = {name: TeamContract(name, WIDE_QUOTA, urgent=True) for name in (LETTERS, QUOTES)}
-    return SmallTable(policy, {item.worker_id: item for item in made}, teams)
+    return FakeTaskTable(policy, {item.worker_id: item for item in made}, teams)
--- a/fireflyfork/decisions/placement/tests/test_interference.py
+++ b/fireflyfork/decisions/placement/tests/test_interference.py
@@ -15,11 +15,11 @@
 
 def _learned(reports: int) -> InterferenceModel:
     """Train a model with reports next to a noisy class (slope 3) and a quiet class (slope 0)."""
-    chance = random.Random(7)
+    generator = random.Random(7)
     model = InterferenceModel()
     for number in range(reports):
-        shares = {_NOISY: chance.uniform(0.0, 0.4), _QUIET: chance.uniform(0.0, 0.4)}
-        noise = chance.gauss(0.0, 0.15)
+        shares = {_NOISY: generator.uniform(0.0, 0.4), _QUIET: generator.uniform(0.0, 0.4)}
+        noise = generator.gauss(0.0, 0.15)
         ratio = 0.4 * math.exp(3.0 * shares[_NOISY] + noise)
         model.learn(_DESK, 0.5, shares, ratio, float(number))
     return model
@@ -35,8 +35,8 @@
         both would slow tasks that don't interfere.
         """
         model = _learned(400)
-        noisy = model.added(_DESK, 0.5, _NOISY, 1.0, 400.0)
-        quiet = model.added(_DESK, 0.5, _QUIET, 1.0, 400.0)
+        noisy = model.added_log_ratio(_DESK, 0.5, _NOISY, 1.0, 400.0)
+        quiet = model.added_log_ratio(_DESK, 0.5, _QUIET, 1.0, 400.0)
         self.assertAlmostEqual(noisy, 3.0, delta=0.6)
         self.assertLess(quiet, 0.5)
 
@@ -47,15 +47,15 @@
         estimate.
         """
         model = _learned(400)
-        fresh = model.added(_DESK, 0.5, _NOISY, 1.0, 400.0)
-        later = model.added(_DESK, 0.5, _NOISY, 1.0, 400.0 + 24 * 3600.0)
+        fresh = model.added_log_ratio(_DESK, 0.5, _NOISY, 1.0, 400.0)
+        later = model.added_log_ratio(_DESK, 0.5, _NOISY, 1.0, 400.0 + 24 * 3600.0)
         self.assertLess(later, fresh / 8)
 
     def test_an_unmeasured_band_borrows_from_the_nearest(self) -> None:
         """Guards against losing all estimates when load rises to a new band for the first time."""
         model = _learned(400)
-        high = model.added(_DESK, 0.9, _NOISY, 1.0, 400.0)
-        self.assertEqual(high, model.added(_DESK, 0.5, _NOISY, 1.0, 400.0))
+        high = model.added_log_ratio(_DESK, 0.9, _NOISY, 1.0, 400.0)
+        self.assertEqual(high, model.added_log_ratio(_DESK, 0.5, _NOISY, 1.0, 400.0))
 
     def test_memory_is_bounded(self) -> None:
         """Guards against unbounded memory when each job has a class of its own, 26,000 per day."""
--- a/fireflyfork/decisions/placement/tests/test_policy_machine.py
+++ b/fireflyfork/decisions/placement/tests/test_policy_machine.py
@@ -18,7 +18,7 @@
     LETTERS,
     OBJECTIVE_MILLISECONDS,
     QUOTES,
-    SmallTable,
+    FakeTaskTable,
     replica_shape,
     shape,
     size,
@@ -37,9 +37,9 @@
     def __init__(self) -> None:
         super().__init__()
         self.policy = InterferenceAwarePolicy()
-        self.small: SmallTable = table(self.policy, workers=3)
-        self.small.weights = Weights(tail_latency=5.0)
-        self.small.teams = {
+        self.task_table: FakeTaskTable = table(self.policy, workers=3)
+        self.task_table.weights = Weights(tail_latency=5.0)
+        self.task_table.teams = {
             LETTERS: TeamContract(LETTERS, size(40, 150), urgent=True),
             QUOTES: TeamContract(QUOTES, size(6, 20)),
         }
@@ -51,7 +51,7 @@
 
     def running(self) -> list[Task]:
         """Return the running tasks in a fixed order."""
-        return list(self.small.running())
+        return list(self.task_table.running())
 
     @rule(
         count=st.integers(1, 6),
@@ -77,23 +77,23 @@
         task_class = "noisy" if noisy else "letters"
         amount = size(cores, gigabytes)
         job = shape(amount, team, task_class, urgent and not quotes, tolerance)
-        if not self.policy.infeasible(job, self.small.workers, self.small.teams):
-            self.small.submit(job, count)
+        if not self.policy.infeasible(job, self.task_table.workers, self.task_table.teams):
+            self.task_table.submit(job, count)
 
     @rule(count=st.integers(1, 4))
     def submit_replicas(self, count: int) -> None:
         """Submit replicas of the booking desk service."""
-        self.small.submit(replica_shape(), count)
+        self.task_table.submit(replica_shape(), count)
 
     @rule(seconds=st.sampled_from([0.1, 1.0, 5.0, 400.0]))
     def one_round(self, seconds: float) -> None:
         """Advance the clock, run one round and check the policy's commands."""
-        batch = sum(task.shape.service is None for task in self.small.running())
+        batch = sum(task.shape.service is None for task in self.task_table.running())
         hours = seconds / 3600.0
-        self.latency_allowance += hours * batch * latency_share_per_hour(self.small.weights)
+        self.latency_allowance += hours * batch * latency_share_per_hour(self.task_table.weights)
         self.urgent_allowance += hours * batch * _URGENT_SHARE_PER_HOUR
-        before = dict(self.small.tasks)
-        commands = self.small.round(seconds)
+        before = dict(self.task_table.tasks)
+        commands = self.task_table.run_round(seconds)
         for command in commands:
             if isinstance(command, Start):
                 self.check_start(command, before[command.task_id])
@@ -102,9 +102,9 @@
 
     def check_start(self, command: Start, task: Task) -> None:
         """Check that the worker is listed, not in quarantine, and not one the task failed on."""
-        now = self.small.now
+        now = self.task_table.now
         assert not self.policy.health.is_quarantined(command.worker_id, now)
-        assert command.worker_id in self.small.workers
+        assert command.worker_id in self.task_table.workers
         assert command.worker_id not in task.failed_on
 
     def check_eviction(self, command: CheckpointAndEvict, task: Task) -> None:
@@ -125,7 +125,7 @@
         task = data.draw(st.sampled_from(self.running()))
         reserved = task.reservation
         used = Resources(int(reserved.millicores * share), int(reserved.memory * share))
-        self.small.report(task.task_id, used)
+        self.task_table.report(task.task_id, used)
 
     @precondition(lambda self: any(task.shape.service for task in self.running()))
     @rule(ratio=st.sampled_from([0.3, 0.9, 2.0, 5.0]), lag=st.sampled_from([0.0, 10.0]))
@@ -133,21 +133,21 @@
         """Report the latency of all replicas and the usage of all tasks."""
         for task in self.running():
             tail = ratio * OBJECTIVE_MILLISECONDS if task.shape.service else None
-            self.small.report(task.task_id, task.reservation, tail, lag)
+            self.task_table.report(task.task_id, task.reservation, tail, lag)
 
     @precondition(lambda self: self.running())
     @rule(data=st.data(), outcome=st.sampled_from(AttemptOutcome), memory=st.booleans())
     def end_one(self, data: st.DataObject, outcome: AttemptOutcome, memory: bool) -> None:
         """End one attempt with a random outcome."""
         task = data.draw(st.sampled_from(self.running()))
-        self.small.end(task.task_id, outcome, "out of memory" if memory else "")
+        self.task_table.end(task.task_id, outcome, "out of memory" if memory else "")
 
     @rule()
     def stop_evicted(self) -> None:
         """End all evicted attempts."""
         for task in self.running():
             if task.state is TaskState.EVICTING:
-                self.small.end(task.task_id, AttemptOutcome.STOPPED)
+                self.task_table.end(task.task_id, AttemptOutcome.STOPPED)
 
     @precondition(lambda self: self.running())
     @rule(data=st.data())
@@ -156,44 +156,44 @@
         broken = data.draw(st.sampled_from(self.running())).worker_id
         for task in self.running():
             if task.worker_id == broken:
-                self.small.end(task.task_id, AttemptOutcome.FAILED, "broken")
+                self.task_table.end(task.task_id, AttemptOutcome.FAILED, "broken")
 
     @rule()
     def cancel_wave(self) -> None:
         """Cancel every second task at once."""
-        chosen: list[TaskId] = list(self.small.tasks)[::2]
+        chosen: list[TaskId] = list(self.task_table.tasks)[::2]
         for task_id in chosen:
-            self.small.cancel(task_id)
+            self.task_table.cancel(task_id)
 
     @rule()
     def add_worker(self) -> None:
         """Add a worker."""
-        if len(self.small.workers) < 6:
+        if len(self.task_table.workers) < 6:
             added = worker(self.next_worker)
             self.next_worker += 1
-            self.small.workers[added.worker_id] = added
+            self.task_table.workers[added.worker_id] = added
 
-    @precondition(lambda self: len(self.small.workers) > 1)
+    @precondition(lambda self: len(self.task_table.workers) > 1)
     @rule(data=st.data())
     def lose_worker(self, data: st.DataObject) -> None:
         """Remove a worker and end all its attempts."""
-        lost: WorkerId = data.draw(st.sampled_from(list(self.small.workers)))
-        del self.small.workers[lost]
+        lost: WorkerId = data.draw(st.sampled_from(list(self.task_table.workers)))
+        del self.task_table.workers[lost]
         for task in self.running():
             if task.worker_id == lost:
-                self.small.end(task.task_id, AttemptOutcome.LAPSED)
+                self.task_table.end(task.task_id, AttemptOutcome.LAPSED)
 
     @invariant()
     def capacity_is_never_exceeded(self) -> None:
         """Check that no reservations exceed a worker's capacity."""
-        for worker_id, reserved in self.small.reserved().items():
-            assert reserved.fits_in(self.small.workers[worker_id].capacity)
+        for worker_id, reserved in self.task_table.reserved().items():
+            assert reserved.fits_in(self.task_table.workers[worker_id].capacity)
 
     @invariant()
     def quota_is_never_exceeded(self) -> None:
         """Check that no team's reservations exceed its quota."""
-        for team, reserved in self.small.team_reserved().items():
-            assert reserved.fits_in(self.small.teams[team].quota)
+        for team, reserved in self.task_table.team_reserved().items():
+            assert reserved.fits_in(self.task_table.teams[team].quota)
 
 
 PolicyMachine.TestCase.settings = settings(max_examples=60, stateful_step_count=40)
--- a/fireflyfork/decisions/placement/tests/test_pressure.py
+++ b/fireflyfork/decisions/placement/tests/test_pressure.py
@@ -17,7 +17,7 @@
 def _actions(ratios: Sequence[float]) -> list[PressureAction]:
     """Return the actions that a sequence of reported ratios requires, each carried out at once."""
     pressure = Pressure()
-    done: list[PressureAction] = []
+    actions: list[PressureAction] = []
     for number, ratio in enumerate(ratios):
         now = number * _REPORT_SECONDS
         pressure.report(_DESK, ratio, now)
@@ -27,8 +27,8 @@
         elif action is PressureAction.RELAX:
             pressure.relaxed(now)
         if action is not PressureAction.NONE:
-            done.append(action)
-    return done
+            actions.append(action)
+    return actions
 
 
 class PressureTest(unittest.TestCase):
@@ -43,7 +43,7 @@
         there would be one every few reports.
         """
         actions = _actions(ratios)
-        changes = sum(one is not other for one, other in pairwise(actions))
+        changes = sum(before is not after for before, after in pairwise(actions))
         self.assertLessEqual(changes, 14)
 
     def test_worst_rhythm(self) -> None:
--- a/fireflyfork/programs/_service_journal.py
+++ b/fireflyfork/programs/_service_journal.py
@@ -249,8 +249,8 @@
 
     def _resolve_conflict(self, error: TransactionConflictError) -> None:
         """Resolve a conflict, caused either by an own write that got no answer or by a new owner."""
-        owner = error.found.get(owner_key(self._term.service))
+        owner = error.current_versions.get(owner_key(self._term.service))
         if owner is None or owner.revision != self._term.owner_revision:
             raise OwnershipLostError("another owner has taken over, or the lease has ended")
-        journal_item = error.found.get(journal_key(self._term.service))
+        journal_item = error.current_versions.get(journal_key(self._term.service))
         self._last_write = journal_item.revision if journal_item is not None else Revision(0)
--- a/fireflyfork_standins/scheduling/_wire_store.py
+++ b/fireflyfork_standins/scheduling/_wire_store.py
@@ -63,7 +63,7 @@
         except TransactionConflictError as error:
             items = [
                 {"key": key, "value": _base64(one.value), "revision": one.revision}
-                for key, one in error.found.items()
+                for key, one in error.current_versions.items()
             ]
             await exchange.answer_json(412, {"items": items})
         except StoreRefusedError:
