--- a/fireflyfork/decisions/tests/builders_fleet.py
+++ b/fireflyfork/decisions/tests/builders_fleet.py
@@ -1,4 +1,4 @@
-"""Members and fleet records for tests."""
+"""Builders of members and fleet records for tests."""
 
 from collections.abc import Iterable
 
@@ -13,19 +13,19 @@
 
 
 def zone(text: str) -> Zone:
-    """A zone from ``region/failure-domain``."""
+    """Return the zone written as ``region/failure-domain``."""
     region, _, domain = text.partition("/")
     return Zone(RegionName(region), FailureDomainName(domain))
 
 
 def member(name: str, place: str = "viti/suva", port: int | None = None) -> Member:
-    """A member; its address follows from its name unless a port is given."""
+    """Return a member whose port is derived from its name unless given."""
     number = port if port is not None else 1000 + sum(map(ord, name))
     return Member(MemberId(name), Address("127.0.0.1", number), zone(place))
 
 
 def fleet(members: Iterable[Member], partitions: int = 6) -> FleetRecord:
-    """The record after these joined one after the other, without planned moves."""
+    """Return the record after ``members`` have joined in order, without planned moves."""
     record = FleetRecord(partitions_per_region=partitions)
     for number, newcomer in enumerate(members):
         joined = join(record, newcomer, ChangeId(f"join-{number}"))
@@ -43,7 +43,7 @@
 
 
 def evened_out(record: FleetRecord) -> FleetRecord:
-    """The record after every owner made its planned moves."""
+    """Return the record after every owner has made its planned moves, three times over."""
     for _ in range(3):
         for name in sorted(record.members):
             receivers = planned_moves(record, name)
--- a/fireflyfork/decisions/tests/builders_ownership.py
+++ b/fireflyfork/decisions/tests/builders_ownership.py
@@ -1,7 +1,8 @@
-"""A fleet of membership state machines with clocks, links and a store that all misbehave.
+"""Deterministic simulation of a fleet of membership state machines under faults.
 
-Everything follows from the seed: pauses, crashes, restarts, planned stops, one-way cuts, a cut
-region, store outages, lost and late answers, and clocks that are off by up to the allowed drift.
+All faults are derived from the seed: pauses, crashes, restarts, planned stops, one-way link cuts,
+partitioned regions, store outages, lost and late answers, and clocks that drift by up to the
+allowed maximum.
 """
 
 from __future__ import annotations
@@ -56,7 +57,7 @@
 
 
 def letter_places(entries: int) -> tuple[str, ...]:
-    """Entries spread evenly over 7 regions with 16 failure domains."""
+    """Return the zones of entries spread evenly over 7 regions with 16 failure domains."""
     domains = [f"r{number % 7}/d{number}" for number in range(16)]
     by_region = sorted(domains, key=lambda place: int(place.partition("/d")[2]))
     return tuple(by_region[number % 16] for number in range(entries))
@@ -64,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Faults:
-    """What goes wrong, in the mean number of times in ten seconds, and for how long at most."""
+    """Fault rates, as the mean number in ten seconds, and maximum durations in seconds."""
 
     pauses: float = 3.0
     longest_pause: float = 7.0
@@ -72,19 +73,19 @@
     stops: float = 0.4
     link_cuts: float = 1.5
     group_cuts: float = 0.4
-    """A region, or a few processes anywhere, cut from all others and the store."""
+    """Partitions that isolate a region or a few processes from all others and the store."""
     store_link_cuts: float = 0.8
     store_outages: float = 0.5
     longest_cut: float = 8.0
     longest_group_cut: float = 20.0
     lost: float = 0.02
-    """The share of messages between members that are lost."""
+    """Share of the messages between members that are lost."""
     slow: float = 0.05
-    """The share of messages that take seconds."""
+    """Share of the messages and store calls that are delayed by up to 3 s."""
     unanswered: float = 0.1
-    """The share of store calls whose answer is lost after their effect."""
+    """Share of the store calls that take effect but whose answer is lost."""
     late_writes: float = 0.05
-    """The share of writes that take effect seconds after their sender gave up."""
+    """Share of the writes that take effect 1 to 12 s late, after their sender's timeout."""
 
 
 NO_FAULTS = Faults(*([0.0] * 14))
@@ -92,7 +93,7 @@
 
 @dataclass(eq=False, slots=True)
 class Process:
-    """One process: its state machine, its clock, and whether it runs."""
+    """A simulated process with its state machine and clock."""
 
     state: MembershipState
     rate: float
@@ -101,21 +102,21 @@
     paused_until: float = 0.0
     inbox: list[Event] = field(default_factory=list)
     call: int = 0
-    """Counts calls to the store, to tell a late answer from the present one's."""
+    """Number of the current store call, which distinguishes its answer from a late one."""
     owned: frozenset[PartitionId] = frozenset()
     owned_from: FleetRecord | None = None
     usable: frozenset[PartitionId] = frozenset()
-    """What it might dispatch for until ``expires``."""
+    """Partitions for which the process might dispatch until ``expires``."""
     expires: float = 0.0
 
     def clock(self, now: float) -> float:
-        """Its own time."""
+        """Return the process's own time at simulation time ``now``."""
         return self.offset + now * self.rate
 
 
 @dataclass(frozen=True, slots=True)
 class DoubleOwnership:
-    """Two processes that might dispatch for one partition at the same time."""
+    """A violation: two processes might dispatch for one partition at the same time."""
 
     at: float
     partition: PartitionId
@@ -123,7 +124,7 @@
 
 
 class FleetSimulation:
-    """One seeded run."""
+    """One simulation run, determined by its seed."""
 
     def __init__(
         self,
@@ -134,7 +135,7 @@
         faults: Faults | None = None,
         extreme_clocks: bool = True,
     ) -> None:
-        """Processes at ``places`` are about to join an empty record."""
+        """Start a process in each zone in ``places``; the store holds no record yet."""
         self.random = random.Random(seed)
         self.now = 0.0
         self.faults = faults or Faults()
@@ -147,12 +148,12 @@
         self.revision = Revision(0)
         self.store_down_until = 0.0
         self.cuts: dict[tuple[str, str], float] = {}
-        """When the one-way cut from one address's port to another's ends; the store is ``s``."""
+        """End of each one-way cut, by ports of sender and receiver; the store's is ``s``."""
         self.watching: dict[MemberId, Process] = {}
         self.successors = True
-        """Whether another process follows one that stopped as planned."""
+        """Whether a new process replaces each process that stopped as planned."""
         self.watches_silent = False
-        """Whether all watches stay silent for good."""
+        """Whether no watch delivers records any more."""
         self._extreme_clocks = extreme_clocks
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = count(1)
@@ -163,7 +164,7 @@
     # Processes
 
     def start(self, place: str, port: int) -> Process:
-        """Start a process at a place and port."""
+        """Start a process in a zone with a port."""
         newcomer = member(f"m{next(self._numbers):03}", place, port)
         rate = 1.0
         if self._extreme_clocks:
@@ -176,14 +177,14 @@
         return process
 
     def kill(self, process: Process) -> None:
-        """End it at once."""
+        """Crash a process."""
         process.alive = False
         process.usable = frozenset()
         self.processes.remove(process)
         self.counts["crash"] += 1
 
     def restart(self, old: Process, same_address: bool, delay: float) -> None:
-        """Start a successor in the same failure domain."""
+        """Start a successor of ``old`` in the same failure domain after ``delay`` seconds."""
         me = old.state.me
         place = f"{me.zone.region}/{me.zone.failure_domain}"
         port = me.address.port if same_address else next(self._ports)
@@ -193,11 +194,11 @@
         self.start(place, port)
 
     def stop(self, process: Process) -> None:
-        """Ask it to stop as planned; a successor follows at its address."""
+        """Request a planned stop of a process; a successor starts at its address."""
         self.deliver(process, LeaveRequested())
 
     def pause(self, process: Process, seconds: float) -> None:
-        """Freeze it; what is sent to it meanwhile arrives when it wakes."""
+        """Freeze a process; events sent to it during the pause arrive when it resumes."""
         process.paused_until = max(process.paused_until, self.now + seconds)
         self.counts["pause"] += 1
         self.after(process.paused_until - self.now, lambda: self._wake(process))
@@ -235,11 +236,11 @@
     # Events and commands
 
     def after(self, delay: float, action: Callable[[], None]) -> None:
-        """Do something later."""
+        """Schedule an action after ``delay`` seconds."""
         heapq.heappush(self._queue, (self.now + delay, next(self._numbers), action))
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the simulation by ``seconds``."""
         end = self.now + seconds
         while self._queue and self._queue[0][0] <= end:
             self.now, _, action = heapq.heappop(self._queue)
@@ -247,7 +248,7 @@
         self.now = end
 
     def deliver(self, process: Process, event: Event) -> None:
-        """Give an event to a process, when it runs."""
+        """Deliver an event to a process, or queue it while the process is paused."""
         if not process.alive:
             return
         if process.paused_until > self.now:
@@ -256,7 +257,7 @@
         self.feed(process, event)
 
     def feed(self, process: Process, event: Event) -> None:
-        """Let a process handle an event, and check that nobody shares its partitions."""
+        """Step a process with an event, and check that no other process shares its partitions."""
         now = process.clock(self.now)
         process.state, commands = step(process.state, event, now)
         self._check(process)
@@ -408,7 +409,7 @@
     # Faults
 
     def run_with_faults(self, seconds: float) -> None:
-        """Let time pass while things go wrong at random moments."""
+        """Advance the simulation by ``seconds`` with faults at random times."""
         faults = self.faults
         kinds: tuple[tuple[float, Callable[[], None]], ...] = (
             (faults.pauses, self._pause_one),
@@ -429,7 +430,7 @@
         self.run(seconds)
 
     def heal(self) -> None:
-        """Let nothing go wrong any more."""
+        """End all current faults and inject no further ones."""
         self.cuts.clear()
         self.store_down_until = 0.0
         self.faults = NO_FAULTS
@@ -466,7 +467,7 @@
             self.cut_one_way(other, one, seconds)
 
     def cut_from_rest(self, inside: list[Process], seconds: float) -> None:
-        """Cut some processes from all others and the store."""
+        """Cut the processes in ``inside`` from all others and the store."""
         end = self.now + seconds
         near_ports = {self._port(one) for one in inside}
         far_ports = {self._port(one) for one in self.processes} - near_ports
@@ -475,7 +476,7 @@
                 self.cuts[near, far] = self.cuts[far, near] = end
 
     def cut_one_way(self, sender: Process, receiver: Process, seconds: float) -> None:
-        """Lose all that one sends to the other."""
+        """Drop all messages from ``sender`` to ``receiver``."""
         self.cuts[self._port(sender), self._port(receiver)] = self.now + seconds
 
     def _cut_group(self) -> None:
@@ -503,7 +504,7 @@
     # Liveness
 
     def unserved(self) -> set[PartitionId]:
-        """Partitions of regions with members that no process may dispatch for now."""
+        """Return the partitions in the record that no process may dispatch for now."""
         if self.record is None:
             return set()
         served: set[PartitionId] = set()
@@ -513,14 +514,14 @@
         return set(self.record.owners) - served
 
     def dead_cycle(self) -> bool:
-        """Whether members that are all dead guard only each other, so that nobody may fence them."""
+        """Return whether dead members guard only each other, so that no process may fence them."""
         if self.record is None:
             return False
         living = {one.state.me.member_id for one in self.processes}
         return any(not self._is_guarded(name, living) for name in self.record.members)
 
     def _is_guarded(self, name: MemberId, living: set[MemberId]) -> bool:
-        """Whether the chain of guards from a member ends at a living one."""
+        """Return whether the chain of guards from a member reaches a live process."""
         assert self.record is not None
         seen: set[MemberId] = set()
         present: MemberId | None = name
--- a/fireflyfork/decisions/tests/builders_requests.py
+++ b/fireflyfork/decisions/tests/builders_requests.py
@@ -1,4 +1,4 @@
-"""Test data for the decisions on the request path."""
+"""Builders of test data for the decisions on the request path."""
 
 from uuid import UUID
 
@@ -29,12 +29,12 @@
 
 
 def service(name: str = "booking", longest_run: float = LONGEST_RUN) -> ServiceContract:
-    """A service whose requests end within ``longest_run`` seconds."""
+    """Return a service whose requests end within ``longest_run`` seconds."""
     return ServiceContract(ServiceName(name), TeamName("desk"), longest_run)
 
 
 def target(slots: int = 2, connections: int = 8) -> TargetContract:
-    """An executor in viti."""
+    """Return the contract of a target in viti."""
     return TargetContract(
         TargetId("t1"),
         ServiceName("booking"),
@@ -47,7 +47,7 @@
 
 
 def slot_terms(slots: int = 2, connections: int = 8) -> SlotTerms:
-    """The terms of such an executor."""
+    """Return the slot terms of such a target."""
     return SlotTerms.from_contracts(target(slots, connections), service())
 
 
@@ -59,7 +59,7 @@
     region: RegionName = VITI,
     sent_since: int = 0,
 ) -> MemberFigures:
-    """What a peer said; its targets end ten requests a second."""
+    """Return the load of a peer whose targets complete ten requests per second."""
     return MemberFigures(
         MemberId(name), region, free, queued, 10.0, measured_at, sent_since=sent_since
     )
@@ -73,7 +73,10 @@
     forwarded: bool = False,
     draw: tuple[float, float] = (0.0, 0.0),
 ) -> RouteQuestion:
-    """A request of a thousand bytes in viti; ``own`` gives the free slots by target."""
+    """Return the routing input for a request of 1,000 bytes in viti.
+
+    ``own`` maps own targets to their free slots.
+    """
     targets = [OwnTarget(TargetId(name), free) for name, free in (own or {}).items()]
     drain = 10.0 * len(targets)
     return RouteQuestion(
@@ -82,16 +85,16 @@
 
 
 def waiting(name: str, deadline: float = 1.0, entry: str = "e1") -> WaitingRequest:
-    """A request that asks for a slot."""
+    """Return a request that needs a slot."""
     return WaitingRequest(RequestId(name), MemberId(entry), deadline)
 
 
 def queue(mean: float = 0.1, longest: int = 10) -> AdmissionQueue:
-    """An empty queue of a service whose requests all take ``mean`` seconds."""
+    """Return an empty queue of a service whose requests all take ``mean`` seconds."""
     return AdmissionQueue(longest, ServiceTime(mean, 0.0))
 
 
 def timed_key(minted: float, serial: int = 0) -> IdempotencyKey:
-    """A UUIDv7 made at that Unix time."""
+    """Return a UUIDv7 created at the Unix time ``minted``."""
     milliseconds = int(minted * 1000)
     return IdempotencyKey(str(UUID(int=milliseconds << 80 | 7 << 76 | 2 << 62 | serial)))
--- a/fireflyfork/decisions/tests/builders_rights.py
+++ b/fireflyfork/decisions/tests/builders_rights.py
@@ -1,4 +1,4 @@
-"""Weaker rules of the right to dispatch, which must let two members own one partition."""
+"""Weakened rules of the right to dispatch, each of which lets two members own one partition."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class AcknowledgesWithoutRight(RightRules):
-    """A guard acknowledges whether or not it holds the right."""
+    """A guard acknowledges even if it doesn't hold the right itself."""
 
     def answer(self, holds_right: bool, own_guard: MemberId | None, asker: MemberId) -> GuardAnswer:
         """See ``RightRules``."""
@@ -15,7 +15,7 @@
 
 
 class DatedFromReceipt(RightRules):
-    """A proof counts from when its answer arrived."""
+    """A proof counts from the arrival of the answer."""
 
     def dated(self, sent_at: float, received_at: float) -> float:
         """See ``RightRules``."""
@@ -23,7 +23,7 @@
 
 
 class NoWait(RightRules):
-    """Partitions are taken over at once after the fence."""
+    """Partitions are taken over immediately after the fence."""
 
     def takeover_wait(self, timing: MembershipTiming) -> float:
         """See ``RightRules``."""
@@ -31,7 +31,7 @@
 
 
 class WaitWithoutDrift(RightRules):
-    """The takeover waits as if all clocks ran equally fast."""
+    """The takeover wait ignores clock drift."""
 
     def takeover_wait(self, timing: MembershipTiming) -> float:
         """See ``RightRules``."""
@@ -39,7 +39,7 @@
 
 
 class OldValueSettles(RightRules):
-    """A read of the old value counts as proof that a write failed."""
+    """A read of the old value is taken as proof that a write failed."""
 
     def settled(self, expected: Revision, seen: Revision) -> bool:
         """See ``RightRules``."""
--- a/fireflyfork/decisions/tests/builders_tasks.py
+++ b/fireflyfork/decisions/tests/builders_tasks.py
@@ -1,4 +1,4 @@
-"""Workers, teams and jobs for tests of partitions."""
+"""Builders of workers, teams, jobs and partitions for tests."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def make_workers(count: int = 2) -> dict[WorkerId, Worker]:
-    """Equal workers of 3 cores."""
+    """Return identical workers with 3 cores."""
     size = Resources(3000, 3000)
     domain = FailureDomainName("suva")
     rack = RackName("suva-1")
@@ -40,24 +40,24 @@
 
 
 def make_teams() -> dict[TeamName, TeamContract]:
-    """One team whose quota is less than the workers hold."""
+    """Return one team whose quota is less than the capacity of the two workers."""
     return {TEAM: TeamContract(TEAM, Resources(5000, 5000), urgent=True)}
 
 
 def make_partition(table: TaskTable | None = None, now: float = 0.0) -> Partition:
-    """A partition right after its takeover."""
+    """Return a partition right after its takeover, with workers and teams."""
     policy = FirstFitPolicy()
     return configured(Partition.at_takeover(table or TaskTable.empty(), policy, now, RULES))
 
 
 def configured(partition: Partition) -> Partition:
-    """The partition with its workers and teams."""
+    """Return the partition with workers and teams."""
     return replace(partition, workers=make_workers(), teams=make_teams())
 
 
 def make_submission(
     name: str, tasks: int, millicores: int = 1000, urgent: bool = False
 ) -> Submission:
-    """A job of equal tasks."""
+    """Return a submission of a job with ``tasks`` identical tasks."""
     size = Resources(millicores, millicores)
     return Submission(JobId(name), TaskShape(TEAM, "letter", size, 5.0, urgent), tasks)
--- a/fireflyfork/decisions/tests/test_admission.py
+++ b/fireflyfork/decisions/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Who waits for a slot, and who is refused at once."""
+"""Tests of the admission queue and the concurrency limit."""
 
 import unittest
 
@@ -13,7 +13,7 @@
 
 
 def _filled(count: int, entry: str = "e1", longest: int = 10) -> AdmissionQueue:
-    """A queue in which ``count`` requests wait, with all the time in the world."""
+    """Return a queue with ``count`` requests whose deadlines are a minute away."""
     filled = queue(longest=longest)
     for number in range(count):
         request = waiting(f"{entry}-{number}", 60.0, entry)
@@ -22,16 +22,16 @@
 
 
 class AdmissionQueueTest(unittest.TestCase):
-    """Single decisions. Requests take 0.1 s and two slots work, so one ends each 0.05 s."""
+    """Single decisions. Requests take 0.1 s on two slots, so one completes every 0.05 s."""
 
     def _refused(self, decision: AdmissionDecision) -> list[str]:
         return [refused.request.request_id for refused in decision.refused]
 
     def test_offers(self) -> None:
-        """A request that can't be expected to make its deadline is refused at once.
+        """A request that is not expected to meet its deadline is refused immediately.
 
-        If it waited all the same, its caller would learn at the deadline what was clear at the
-        start, and an executor would work for nobody.
+        If it were queued, its caller would learn only at the deadline what was known at the start,
+        and an executor would work on an answer that no caller waits for.
         """
         cases = [
             ("free slot", 0, 1, 2, 1.0, AdmissionKind.RUN, 0.0),
@@ -54,13 +54,13 @@
                     self.assertAlmostEqual(seconds, retry_after)
 
     def test_an_urgent_request_makes_nobody_late(self) -> None:
-        """Those who wait were let in because they would be served; that is kept."""
+        """An urgent request must not make an already admitted request miss its deadline."""
         tight, _ = queue().offer(waiting("first", 0.151), 0, 2, 0.0)
         _, decision = tight.offer(waiting("second", 0.1505), 0, 2, 0.0)
         self.assertIs(decision.kind, AdmissionKind.REFUSE)
 
     def test_earliest_deadline_first(self) -> None:
-        """The order of arrival would let the urgent ones miss their deadlines."""
+        """In order of arrival, requests with an early deadline would miss it."""
         both, _ = _filled(1).offer(waiting("urgent", 5.0), 0, 2, 0.0)
         rest, taken = both.take(0.0)
         assert taken is not None
@@ -68,7 +68,7 @@
         self.assertEqual(rest.withdraw(RequestId("e1-0")).take(0.0)[1], None)
 
     def test_one_entry_can_not_fill_the_queue(self) -> None:
-        """All callers of one entry come at once; those of the others must still be served."""
+        """A burst at one entry must not cause the requests of other entries to be refused."""
         crowded = _filled(10, "greedy")
         names = []
         for number in range(6):
@@ -79,9 +79,9 @@
         self.assertEqual(names[:2], ["greedy-9", "greedy-8"])
 
     def test_a_stalled_service_does_not_fill_its_queue(self) -> None:
-        """All executors hang. Nothing ends, while the learned time says that two end in 0.1 s.
+        """All executors hang, while the learned service time predicts two completions in 0.1 s.
 
-        Callers that were let in on that would all wait for nothing.
+        Requests admitted on that prediction would all wait in vain.
         """
         stalled = _filled(3)
         _, decision = stalled.offer(waiting("new", 1.5), 0, 2, now=1.0)
@@ -91,10 +91,10 @@
         self.assertIs(decision.kind, AdmissionKind.QUEUE)
 
     def test_a_lasting_queue_is_kept_short(self) -> None:
-        """More callers come than there is room for, for minutes.
+        """Load exceeds capacity for minutes.
 
-        With a queue as long as the deadlines allow, every booking would take as long as its
-        caller's patience, and not one more would be served.
+        If the queue grew as long as the deadlines allow, every request would take almost as long as
+        its deadline, without any gain in throughput.
         """
         filling = _filled(3).answered(0.1, 0.4)
         _, decision = filling.offer(waiting("burst", 60.0), 0, 2, now=0.4)
@@ -104,7 +104,7 @@
         self.assertIs(decision.kind, AdmissionKind.REFUSE)
 
     def test_nobody_waits_past_hope(self) -> None:
-        """A request that can't end in time any more is refused then, not at its deadline."""
+        """A request is refused once it can no longer finish in time, not only at its deadline."""
         one, _ = queue().offer(waiting("w", 1.0), 0, 2, 0.0)
         self.assertEqual(one.next_expiry(), 0.9)
         self.assertEqual(one.expire(0.89)[1], ())
@@ -114,7 +114,7 @@
 
 
 class ConcurrencyLimitTest(unittest.TestCase):
-    """How many slots are worth using."""
+    """The adaptive limit on the slots in use."""
 
     def _after(self, limit: ConcurrencyLimit, seconds: float, windows: int) -> ConcurrencyLimit:
         for _ in range(WINDOW * windows):
@@ -122,7 +122,7 @@
         return limit
 
     def test_limit_follows_the_executor(self) -> None:
-        """Batch work next to an executor slows it down and later ends; slots are used again."""
+        """Batch work slows an executor down and ends later; its slots must be used again."""
         quick = self._after(ConcurrencyLimit.initial(8), 0.1, 2)
         self.assertEqual(quick.limit, 8)
         slow = self._after(quick, 0.5, 20)
@@ -132,12 +132,12 @@
 
 
 class AdmissionHistory(RuleBasedStateMachine):
-    """Any history of a queue before a service whose speed changes and that may hang."""
+    """Generated histories of the queue of a service whose speed varies and that may hang."""
 
     SLOTS = 2
 
     def __init__(self) -> None:
-        """Nobody waits, all slots are free."""
+        """Start with an empty queue and free slots."""
         super().__init__()
         self.queue = queue()
         self.now = 0.0
@@ -147,7 +147,7 @@
 
     @rule(timeout=st.sampled_from([0.05, 0.3, 1.0, 5.0]), entry=st.sampled_from("abc"))
     def request(self, timeout: float, entry: str) -> None:
-        """Each request is either let in or refused at once, with when to come back."""
+        """Each request is either admitted or refused immediately with a retry time."""
         self.count += 1
         request = waiting(str(self.count), self.now + timeout, entry)
         before = set(self.queue.waiting)
@@ -168,7 +168,7 @@
     @precondition(lambda self: self.running)
     @rule(data=st.data(), seconds=st.sampled_from([0.01, 0.1, 0.4]))
     def answer(self, data: st.DataObject, seconds: float) -> None:
-        """An answer comes, in any order, and the next in the queue gets the slot."""
+        """An answer arrives, in any order, and the next queued request gets the slot."""
         index = data.draw(st.integers(0, len(self.running) - 1))
         self.running.pop(index)
         self.queue = self.queue.answered(seconds, self.now)
@@ -182,19 +182,19 @@
     @precondition(lambda self: self.open)
     @rule(data=st.data())
     def caller_leaves(self, data: st.DataObject) -> None:
-        """A caller gives up."""
+        """The caller of a queued request gives up."""
         gone = data.draw(st.sampled_from(sorted(self.open)))
         self.open.remove(gone)
         self.queue = self.queue.withdraw(gone)
 
     @rule(seconds=st.sampled_from([0.01, 0.3, 2.0]))
     def pause(self, seconds: float) -> None:
-        """The owner's loop stands still, or nothing happens."""
+        """Time passes without events, for example because the owner's event loop is blocked."""
         self.now += seconds
         self.expire()
 
     def expire(self) -> None:
-        """Those without hope are refused."""
+        """Expire the requests that can no longer finish in time."""
         self.queue, refused = self.queue.expire(self.now)
         self.open -= {other.request.request_id for other in refused}
         expiry = self.queue.next_expiry()
@@ -202,7 +202,7 @@
 
     @invariant()
     def everyone_is_accounted_for(self) -> None:
-        """Nobody is lost, waits twice or waits beyond the bound, and the order is kept."""
+        """No request is lost or duplicated, the queue is bounded, and deadlines are in order."""
         ids = [request.request_id for request in self.queue.waiting]
         assert sorted(ids) == sorted(self.open)
         deadlines = [request.deadline for request in self.queue.waiting]
--- a/fireflyfork/decisions/tests/test_configuration_register.py
+++ b/fireflyfork/decisions/tests/test_configuration_register.py
@@ -1,4 +1,4 @@
-"""Which configuration entries hold, and what becomes of operators' changes."""
+"""Tests of the configuration register and of operators' changes."""
 
 import random
 import unittest
@@ -40,10 +40,10 @@
 
 
 class RegisterTest(unittest.TestCase):
-    """What an entry takes and what it does not."""
+    """Which offers an entry adopts, and when it is ready."""
 
     def test_offers(self) -> None:
-        """An entry hears old news from a slow peer, and must not go back to it."""
+        """A slow peer offers an older version, which must not replace the held one."""
         cases = [
             (None, _offer(3), OfferSource.PEER, OfferOutcome.TAKEN, "change-3"),
             (_offer(3), _offer(4), OfferSource.PEER, OfferOutcome.TAKEN, "change-4"),
@@ -61,9 +61,9 @@
                 self.assertEqual(state.held.change_id, change)
 
     def test_restarted_entry_waits_for_all_it_asked(self) -> None:
-        """The store is down, and the first peer to answer has an older version than was in force.
+        """The store is down, and the first peer to answer has a version older than the one in force.
 
-        An entry that took it would serve a configuration that operators had replaced.
+        An entry that became ready with it would serve a configuration that had been replaced.
         """
         state = begin_register((PEER, MemberId("slow")))
         state, _ = consider(state, _offer(4), OfferSource.PEER)
@@ -73,13 +73,13 @@
         self.assertTrue(peer_done(state, MemberId("slow")).ready)
 
     def test_store_answer_is_enough(self) -> None:
-        """Peers that are gone must not delay a start while the store answers."""
+        """Unreachable peers must not delay the start of an entry while the store answers."""
         state, _ = consider(begin_register((PEER,)), _offer(5), OfferSource.STORE)
         self.assertTrue(state.ready)
         self.assertFalse(store_is_empty(begin_register((PEER,))).ready)
 
     def test_unreadable_value(self) -> None:
-        """A damaged value is reported as such."""
+        """A malformed value raises SettingsError."""
         offer = replace(_offer(2), history=(ChangeId("change-1"),))
         self.assertEqual(decode_configuration(encode_configuration(offer)), offer)
         for value in (b"", b"\xc1", encode_configuration(offer)[:-2]):
@@ -88,10 +88,10 @@
 
 
 class ApplyTest(unittest.TestCase):
-    """An operator's change."""
+    """The protocol for an operator's change."""
 
     def test_second_operator_is_refused(self) -> None:
-        """Two operators change version 3; the second would undo the first's change unseen."""
+        """Two operators edit version 3; the second must not silently overwrite the first's change."""
         second = apply_read(_apply("second", 3), _offer(3), Revision(7))
         second = apply_written(second, WriteOutcome.LOST)
         second = apply_read(second, replace(_offer(4, "first")), Revision(8))
@@ -100,10 +100,10 @@
         self.assertEqual(second.current.change_id, "first")
 
     def test_accepted_and_then_replaced(self) -> None:
-        """The answer is lost, and another change follows before the operator's tool reads back.
+        """The answer to a write is lost, and another change follows before the tool reads it back.
 
-        Judged by the newest change id alone it would say "refused" of a change that was in force,
-        and the operator would apply it a second time over the other's.
+        If the tool compared only the latest change id, it would report a change that was in force
+        as refused, and the operator would apply it again over the later change.
         """
         state = apply_read(_apply("mine", 3), _offer(3), Revision(7))
         state = apply_written(state, WriteOutcome.UNKNOWN)
@@ -112,7 +112,7 @@
         self.assertIs(apply_read(state, later, Revision(9)).phase, ApplyPhase.ACCEPTED)
 
     def test_old_value_settles_nothing(self) -> None:
-        """The write may still be on its way, so the tool must not report a failure yet."""
+        """The old value doesn't prove a failure, since the write may still be in flight."""
         state = apply_read(_apply("mine", 3), _offer(3), Revision(7))
         state = apply_written(state, WriteOutcome.UNKNOWN)
         again = apply_read(state, _offer(3), Revision(7))
@@ -120,9 +120,9 @@
         self.assertEqual(again.proposal, state.proposal)
 
     def test_store_that_was_set_back(self) -> None:
-        """The store was restored from a copy, so the next version number is already in use.
+        """The store was restored from a backup, so its next version number is already in use.
 
-        Entries that hold a higher one would ignore the change for ever.
+        Entries that hold a higher version would ignore the change forever.
         """
         state = replace(_apply("mine", 3), highest_seen=ConfigurationVersion(9))
         proposal = apply_read(state, _offer(3), Revision(2)).proposal
@@ -132,16 +132,16 @@
     @settings(max_examples=150)
     @given(st.integers(0, 2**32))
     def test_racing_operators(self, seed: int) -> None:
-        """Operators race, answers get lost and writes arrive late; verdicts must all be true.
+        """Operators race while answers are lost and writes are delayed; verdicts must be correct.
 
-        A change called accepted was once in force, one called refused never was nor will be, and no
-        entry ever goes back.
+        A change reported as accepted was in force at some time, a change reported as refused never
+        is, and no entry goes back to an older version.
         """
         _Race(random.Random(seed)).run(self)
 
 
 class _Race:
-    """Three operators, a store and an entry that hears in any order."""
+    """Three operators, a store, and an entry that receives accepted changes in any order."""
 
     def __init__(self, chance: random.Random) -> None:
         self.chance = chance
--- a/fireflyfork/decisions/tests/test_connections.py
+++ b/fireflyfork/decisions/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections that go silent for good."""
+"""Tests of the connection pool with connections that silently stop working."""
 
 import unittest
 
@@ -16,15 +16,15 @@
     """Single decisions."""
 
     def setUp(self) -> None:
-        """Two idle connections, the second proved last."""
+        """Create a pool with two idle connections, the second verified last."""
         pool, _ = ConnectionPool(TERMS).answered(FIRST, 0.0)
         self.pool, _ = pool.answered(SECOND, 1.0)
 
     def test_only_a_lately_proved_connection_is_trusted(self) -> None:
-        """A pooled connection has gone silent in the night.
+        """An idle pooled connection has silently stopped working.
 
-        A booking sent on it would neither arrive nor fail; its caller would wait until the
-        deadline, hear that it may have run, and could not safely repeat it.
+        A request sent on it would neither arrive nor fail. Its caller would wait until the deadline
+        for the verdict that the request may have run, and could not safely retry it.
         """
         cases = [
             (False, 1.0 + TERMS.proof_lasts, ConnectionChoice.REUSE, SECOND, ()),
@@ -40,7 +40,7 @@
                 self.assertEqual((decision.connection_id, decision.close), (connection, close))
 
     def test_a_silence_accuses_its_neighbours(self) -> None:
-        """What lost track of one connection lost track of all; the next caller must not wait."""
+        """One silent connection makes all others suspect, so the next request uses a new one."""
         pool, close = self.pool.silent(THIRD, newest=THIRD, now=1.5)
         self.assertEqual(close, (FIRST, SECOND))
         self.assertIs(pool.choose(True, 1.5)[1].choice, ConnectionChoice.OPEN)
@@ -49,7 +49,7 @@
         self.assertEqual(pool.answered(FIRST, 1.7), (pool, (FIRST,)))
 
     def test_a_path_whose_new_connections_are_silent_is_left_alone(self) -> None:
-        """Handshakes succeed and nothing else does, so only a few callers may find it out."""
+        """Handshakes succeed but requests get no answer; only a few requests may be lost to it."""
         pool, _ = self.pool.silent(SECOND, newest=SECOND, now=10.0)
         pool, _ = pool.opened().silent(THIRD, newest=THIRD, now=15.0)
         self.assertIs(pool.state, PathState.SILENT)
@@ -64,7 +64,7 @@
         self.assertIs(healed.choose(False, 15.8)[1].choice, ConnectionChoice.REUSE)
 
     def test_a_path_that_can_not_be_opened_is_tried_less_and_less(self) -> None:
-        """A target is gone; nothing of a request left, so callers are refused or sent elsewhere."""
+        """A target is unreachable: no request was sent, and new attempts back off exponentially."""
         pool = ConnectionPool(TERMS)
         waits = []
         for _ in range(8):
@@ -74,7 +74,7 @@
         self.assertIs(pool.opened().choose(False, 100.0)[1].choice, ConnectionChoice.OPEN)
 
     def test_the_pool_is_bounded(self) -> None:
-        """Idle connections count against the target's contract."""
+        """The number of idle connections is limited, since they count against the contract."""
         pool = ConnectionPool(TERMS)
         for number in range(1, TERMS.most_idle + 1):
             pool, close = pool.answered(ConnectionId(number), 0.0)
@@ -85,16 +85,16 @@
 
 
 class SilentPath(RuleBasedStateMachine):
-    """Any history of one path on which all traffic may be swallowed at any moment.
+    """Generated histories of a path on which all traffic may be dropped silently at any time.
 
-    A bounded number of requests meets one silence: those already under way, as many on new
-    connections, and afterwards one for each quarantine.
+    The number of requests lost to one silence is bounded: the requests already in flight, as many on
+    new connections, and then one per quarantine.
     """
 
     SLOTS = 3
 
     def __init__(self) -> None:
-        """A working path with nothing on it."""
+        """Start with a working path and an empty pool."""
         super().__init__()
         self.pool = ConnectionPool(TERMS)
         self.now = 0.0
@@ -108,7 +108,7 @@
     @precondition(lambda self: len(self.waiting) < self.SLOTS)
     @rule(idempotent=st.booleans())
     def request(self, idempotent: bool) -> None:
-        """A request picks a connection and is sent."""
+        """Choose a connection for a request and send it."""
         self.pool, decision = self.pool.choose(idempotent, self.now)
         if decision.choice is ConnectionChoice.QUARANTINED:
             assert 0 < decision.retry_after <= max(TERMS.longest_quarantine, TERMS.silence_seconds)
@@ -128,7 +128,7 @@
     @precondition(lambda self: set(self.waiting) - self.silent_ids)
     @rule(data=st.data())
     def answer(self, data: st.DataObject) -> None:
-        """Answers come in any order."""
+        """One request is answered, in any order."""
         connection = data.draw(st.sampled_from(sorted(set(self.waiting) - self.silent_ids)))
         del self.waiting[connection]
         self.pool, _ = self.pool.answered(connection, self.now)
@@ -137,7 +137,7 @@
 
     @rule(seconds=st.sampled_from([0.1, 0.5, TERMS.proof_lasts, TERMS.silence_seconds, 30.0]))
     def time_passes(self, seconds: float) -> None:
-        """Requests that wait too long are reported, the oldest first."""
+        """Advance the clock and report requests that time out, oldest first."""
         end = self.now + seconds
         for connection, sent_at in sorted(self.waiting.items(), key=lambda item: item[1]):
             if sent_at + TERMS.silence_seconds <= end and connection in self.silent_ids:
@@ -152,7 +152,7 @@
     @precondition(lambda self: not self.swallows)
     @rule()
     def go_silent(self) -> None:
-        """From now on the path swallows everything, handshakes excepted."""
+        """From now on the path drops all traffic except handshakes."""
         self.swallows = True
         self.silent_ids = {ConnectionId(number) for number in range(1, self.newest + 1)}
         self.lost = len(self.waiting)
@@ -161,13 +161,13 @@
     @precondition(lambda self: self.swallows)
     @rule()
     def new_ones_work(self) -> None:
-        """Connections opened from now on work; those open now stay silent for good."""
+        """New connections work from now on; the open connections stay silent."""
         self.swallows = False
 
     @precondition(lambda self: not self.waiting)
     @rule()
     def burst(self) -> None:
-        """Requests on all slots at the same time; those that are not lost are answered."""
+        """Send requests on all slots at once, and answer the ones on working connections."""
         for _ in range(self.SLOTS):
             self.request(idempotent=False)
         for connection in set(self.waiting) - self.silent_ids:
@@ -176,7 +176,7 @@
 
     @rule()
     def steady_load(self) -> None:
-        """Callers come all the time, whatever becomes of the others."""
+        """Send requests continuously, regardless of the outcome of earlier ones."""
         for _ in range(40):
             if len(self.waiting) < self.SLOTS:
                 self.request(idempotent=False)
@@ -187,12 +187,12 @@
 
     @invariant()
     def as_many_connections_as_slots(self) -> None:
-        """An owner whose contract allows no more must still be able to use every slot."""
+        """The pool never needs more connections than there are slots."""
         assert len(self.pool.idle) + len(self.waiting) <= self.SLOTS
 
     @invariant()
     def few_met_the_dead_path(self) -> None:
-        """The bound, at any moment of a silence."""
+        """The number of requests lost to a silence never exceeds the bound."""
         if self.swallows:
             assert self.lost <= self.allowed_to_lose, (self.lost, self.allowed_to_lose)
 
--- a/fireflyfork/decisions/tests/test_fleet.py
+++ b/fireflyfork/decisions/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The permitted changes of the fleet record, and its stored form."""
+"""Tests of the permitted changes of the fleet record and of its stored form."""
 
 import unittest
 from collections import Counter
@@ -30,23 +30,23 @@
     """Joining, guards, moves, leaving, fencing and taking over."""
 
     def test_first_member_owns_its_region(self) -> None:
-        """Nobody is asked for partitions that nobody owns."""
+        """The first member takes partitions that have no owner without asking."""
         record = fleet([member("a")])
         self.assertEqual(len(record.owned_by(A)), 6)
         self.assertIsNone(record.guard_of(A))
         self.assertIsNone(record.owner_of(partition_id(VANUA, 0)))
 
     def test_join_takes_nothing_from_an_owner(self) -> None:
-        """A newcomer that took partitions by itself would dispatch beside their present owner.
+        """A newcomer must not take partitions itself, or it would dispatch alongside their owner.
 
-        Users would see two requests in one slot.
+        Two requests would then be sent to one slot.
         """
         record = fleet([member("a"), member("b", "viti/nadi")])
         self.assertEqual(len(record.owned_by(A)), 6)
         self.assertEqual((record.guard_of(A), record.guard_of(B)), (B, A))
 
     def test_guards_stand_in_the_best_place(self) -> None:
-        """A guard behind the same switch or across the metered link fails with its ward."""
+        """A guard in the same failure domain or across the metered link may fail with its ward."""
         cases = [
             ("viti/nadi", ("viti/suva", "viti/nadi", "vanua/labasa"), "m0"),
             ("viti/nadi", ("viti/nadi", "vanua/labasa"), "m0"),
@@ -61,7 +61,7 @@
                 self.assertEqual(changes.choose_guard(members, member("x", place)), expected)
 
     def test_planned_moves_even_out_and_stay_home(self) -> None:
-        """After a join everyone in the region owns an even share, and nothing moves again."""
+        """After the moves each member owns an even share of its region, and no moves remain."""
         record = evened_out(fleet(NAIDU))
         counts = Counter(ownership.owner for ownership in record.owners.values())
         self.assertEqual(set(counts.values()), {3})
@@ -71,9 +71,10 @@
         self.assertEqual([changes.planned_moves(record, name) for name in record.members], [{}] * 4)
 
     def test_region_without_members_is_served_from_another(self) -> None:
-        """The last member of a region leaves, and its targets would be nobody's.
+        """When the last member of a region leaves, another region takes over its partitions.
 
-        Callers would be refused though the targets live. The next member to join there gets them.
+        Otherwise requests would be refused although the targets are live. The next member to join
+        the region gets the partitions back.
         """
         record = evened_out(fleet(NAIDU))
         for leaver in (C, D):
@@ -87,9 +88,9 @@
         self.assertEqual(len(evened_out(joined).owned_by(MemberId("e"))), 6)
 
     def test_leaving_hands_over_occupied_slots(self) -> None:
-        """Requests in flight outlive the hand-over; the new owner must count their slots.
+        """Requests in flight continue after a hand-over, so the new owner must count their slots.
 
-        Otherwise it sends a ninth request to a target with eight slots.
+        Otherwise it would send a ninth request to a target with eight slots.
         """
         record = evened_out(fleet(NAIDU[:2]))
         partition = record.owned_by(A)[0]
@@ -102,7 +103,7 @@
         self.assertIsNone(left.guard_of(B))
 
     def test_last_member_leaves_partitions_to_the_next(self) -> None:
-        """A fleet that was stopped and started again must find its record usable."""
+        """The record must remain usable after the whole fleet was stopped and restarted."""
         left = changes.leave(fleet([member("a")]), A, {}, CHANGE)
         assert left is not None
         joined = changes.join(left, member("b"), CHANGE)
@@ -110,7 +111,7 @@
         self.assertEqual(len(joined.owned_by(B)), 6)
 
     def test_only_the_guard_fences_and_only_the_taker_takes_over(self) -> None:
-        """Anyone else could fence a member whose guard goes on acknowledging it."""
+        """Other members must not fence a member, since its guard would still acknowledge it."""
         record = fleet(NAIDU)
         self.assertEqual(record.guard_of(A), B)
         self.assertIsNone(changes.fence(record, A, C, CHANGE))
@@ -125,7 +126,10 @@
         self.assertIs(taken.owners[partition_id(VITI, 0)].acquired, Acquisition.TAKEN_OVER)
 
     def test_removed_taker_passes_the_takeover_on(self) -> None:
-        """The guard leaves between fence and takeover; its ward would own partitions for ever."""
+        """If the guard leaves between fence and takeover, another member must become the taker.
+
+        Otherwise the fenced member would own its partitions forever.
+        """
         fenced = changes.fence(fleet(NAIDU), A, B, CHANGE)
         assert fenced is not None
         left = changes.leave(fenced, B, {}, CHANGE)
@@ -133,9 +137,10 @@
         self.assertIn(left.fenced[A].taker, (C, D))
 
     def test_restart_at_the_same_address_replaces_the_predecessor(self) -> None:
-        """Two members that guard each other die together, and nobody is left who may fence them.
+        """Two members that guard each other die together, so no live member may fence them.
 
-        Their targets would be refused until an operator steps in.
+        Unless their restarts replace them, requests for their targets would be refused until an
+        operator intervenes.
         """
         record = evened_out(fleet([member("a", port=1), member("b", "viti/nadi", port=2)]))
         for newcomer in (member("e", port=1), member("f", "viti/nadi", port=2)):
@@ -146,13 +151,13 @@
         self.assertEqual(record.owned_by(A) + record.owned_by(B), ())
 
     def test_member_id_is_not_used_twice(self) -> None:
-        """A fenced member must not come back as if nothing had happened."""
+        """A fenced member must not rejoin under the same member id."""
         fenced = changes.fence(fleet(NAIDU), A, B, CHANGE)
         assert fenced is not None
         self.assertIsNone(changes.join(fenced, member("a"), CHANGE))
 
     def test_unreadable_record(self) -> None:
-        """A damaged value must be reported as such, not crash the reader with a stray error."""
+        """A malformed value raises SettingsError and no other exception."""
         for value in (b"", b"\xc1", b"\x93\x01\x02\x03", encode_fleet(fleet(NAIDU))[:-1]):
             with self.subTest(value=value[:4]), self.assertRaises(SettingsError):
                 decode_fleet(value)
@@ -160,9 +165,9 @@
     @settings(max_examples=60)
     @given(st.lists(st.tuples(st.sampled_from("jflt"), st.integers(0, 5)), max_size=25))
     def test_every_change_keeps_the_record_sound(self, moves: list[tuple[str, int]]) -> None:
-        """Whatever changes follow each other, each partition has one owner that is known.
+        """After any sequence of changes, the owner of each partition is a member or fenced.
 
-        An owner that is neither member nor fenced could never be replaced.
+        Any other owner could never be replaced.
         """
         record = FleetRecord(partitions_per_region=4)
         joined = 0
@@ -206,10 +211,10 @@
 
 
 class PartitionTest(unittest.TestCase):
-    """Hashing targets into partitions."""
+    """The hashing of targets to partitions."""
 
     def test_spread_and_stability(self) -> None:
-        """Two processes that disagree on a target's partition would both dispatch to it."""
+        """The hash is deterministic, since processes that disagree would both dispatch to a target."""
         self.assertEqual(partition_of(VITI, "executor-1", 32), partition_of(VITI, "executor-1", 32))
         found = {partition_of(RegionName("a/b"), f"executor-{n}", 32) for n in range(1000)}
         self.assertEqual(len(found), 32)
--- a/fireflyfork/decisions/tests/test_idempotency.py
+++ b/fireflyfork/decisions/tests/test_idempotency.py
@@ -1,4 +1,4 @@
-"""The home of idempotency keys."""
+"""Tests of the table of idempotency keys."""
 
 import unittest
 from dataclasses import dataclass, field
@@ -27,7 +27,7 @@
     """Single decisions."""
 
     def test_minted_at(self) -> None:
-        """Only version 7 carries a time."""
+        """Only a version 7 UUID has a creation time."""
         cases = [
             ("01890a5d-ac96-774b-bcce-b302099a8057", 1688096058.518),
             ("viti.01890a5d-ac96-774b-bcce-b302099a8057", 1688096058.518),
@@ -39,9 +39,9 @@
                 self.assertEqual(minted_at(IdempotencyKey(text)), expected)
 
     def test_repeats(self) -> None:
-        """A clerk's client times out and sends the same booking again, at another entry.
+        """A client times out and sends the same request again to another entry.
 
-        If the repeat ran, two rooms would be booked.
+        If the repeat were run, the request would take effect twice.
         """
         for key in (OLD, PLAIN):
             begun = _begun(KeyTable(TERMS), key)
@@ -62,10 +62,10 @@
                     self.assertEqual(decision.answer, answer)
 
     def test_after_a_lost_home(self) -> None:
-        """The home of a key dies with its table, and the caller sends the request again.
+        """The home of a key fails and its table is lost, and the caller sends the request again.
 
-        The new home can't know whether the first one ran, so it must not run it; a request made
-        after the takeover must not suffer for it.
+        The new home can't determine whether the first request ran, so it must not run the repeat. A
+        request created after the takeover must still run.
         """
         table = KeyTable.after_lost_home(TERMS, START)
         doubt = TERMS.accepted_lead + TERMS.member_clock_error
@@ -84,7 +84,7 @@
                 self.assertIs(table.begin(key, 1, now, minted_here)[1].kind, expected)
 
     def test_a_key_without_a_time_is_kept_for_the_retention_time(self) -> None:
-        """It can't be told from a new one once it is forgotten."""
+        """Once forgotten, a key without a creation time can't be distinguished from a new one."""
         table = _begun(KeyTable(TERMS), PLAIN)
         _, decision = table.begin(PLAIN, 1, START + TERMS.retention)
         self.assertIs(decision.kind, KeyDecisionKind.JOIN)
@@ -92,7 +92,7 @@
         self.assertEqual(table.expire(later).keys, 0)
 
     def test_answers_are_bounded(self) -> None:
-        """Large answers would fill the instance's memory; the fact that it ran is kept."""
+        """Answers beyond the size limit are dropped, but the fact that the request ran is kept."""
         table = KeyTable(TERMS)
         keys = [timed_key(START - 70 * age) for age in (3, 2, 1, 0)]
         for key in keys:
@@ -102,7 +102,7 @@
         self.assertEqual(kinds, [KeyDecisionKind.ANSWER_DROPPED] + [KeyDecisionKind.REPLAY] * 3)
 
     def test_keys_are_bounded(self) -> None:
-        """A flood of keys fills the table; none that was forgotten may run again."""
+        """When the table is full, old keys are forgotten, but a forgotten key must not run again."""
         table = KeyTable(TERMS)
         early = [timed_key(START - 120, serial) for serial in range(3)]
         present = [timed_key(START, serial) for serial in range(7)]
@@ -113,7 +113,7 @@
         self.assertIs(table.begin(present[0], 1, START)[1].kind, KeyDecisionKind.JOIN)
 
     def test_a_clock_that_jumps_does_not_run_a_key_twice(self) -> None:
-        """A clock is set forward by mistake, so the table expires, and is then set right."""
+        """The clock is set forward by mistake, so that all keys expire, and is then corrected."""
         table = _begun(KeyTable(TERMS), OLD).expire(START + 86_400)
         self.assertEqual(table.keys, 0)
         self.assertIs(table.begin(OLD, 1, START + 1)[1].kind, KeyDecisionKind.MAY_HAVE_RUN)
@@ -121,7 +121,7 @@
 
 @dataclass
 class _Booking:
-    """What the world knows of one key."""
+    """The true history of one key."""
 
     key: IdempotencyKey
     runs: int = 0
@@ -132,7 +132,7 @@
 
 @dataclass
 class _Home:
-    """The home and its clock."""
+    """A home with the error of its clock."""
 
     table: KeyTable
     clock_error: float
@@ -140,10 +140,10 @@
 
 
 class KeyHistory(RuleBasedStateMachine):
-    """Callers with wrong clocks, homes that come and go, answers in any order."""
+    """Generated histories with wrong callers' clocks, changing homes and reordered answers."""
 
     def __init__(self) -> None:
-        """One home, no keys."""
+        """Start with one home and no keys."""
         super().__init__()
         self.time = START
         self.home = _Home(KeyTable(TERMS), 0.0)
@@ -155,20 +155,20 @@
 
     @rule(clock=st.sampled_from([-700.0, -70.0, 0.0, 0.9, 2.9]), count=st.integers(1, 4))
     def new_keys(self, clock: float, count: int) -> None:
-        """Callers make keys by their own clocks, and one makes a key without a time."""
+        """Callers create timed keys from their own clocks, and one key without a time."""
         for serial in range(len(self.bookings), len(self.bookings) + count):
             self.bookings.append(_Booking(timed_key(self.time + clock, serial)))
         self.bookings.append(_Booking(IdempotencyKey(f"plain {len(self.bookings)}")))
 
     @rule(repeats=st.integers(1, 2))
     def send_all(self, repeats: int) -> None:
-        """All callers send, for the first time or again, at any entry, also twice."""
+        """All callers send or resend their requests, possibly twice."""
         for booking in self.bookings * repeats:
             self._begin(booking, minted_here=False)
 
     @rule()
     def mint(self) -> None:
-        """An entry makes the key for a caller that gave none; its clock is a member's."""
+        """An entry creates the key for a request without one, using a member's clock."""
         booking = _Booking(timed_key(self.time, len(self.bookings)))
         self.bookings.append(booking)
         self._begin(booking, minted_here=True)
@@ -189,7 +189,7 @@
     @precondition(lambda self: self.under_way)
     @rule(data=st.data(), outcome=st.sampled_from(["answer", "late", "not run", "silence"]))
     def attempt_ends(self, data: st.DataObject, outcome: str) -> None:
-        """An attempt ends in one way or another, in any order."""
+        """Any attempt in progress ends with any outcome."""
         booking = data.draw(st.sampled_from(self.under_way))
         self.under_way.remove(booking)
         if outcome in ("late", "silence"):
@@ -210,19 +210,19 @@
 
     @rule(error=st.sampled_from([-0.45, 0.0, 0.45]))
     def hand_over(self, error: float) -> None:
-        """The home changes as planned and its table goes along."""
+        """A planned change of the home, which hands over its table."""
         self.home = _Home(self.home.table, error)
 
     @rule(error=st.sampled_from([-0.45, 0.0, 0.45]))
     def lose_home(self, error: float) -> None:
-        """The home is lost; what it began may run on, and nobody hears of it."""
+        """The home fails; its requests may continue to run, but their outcome is never learned."""
         self.home = _Home(KeyTable(TERMS), error)
         self.home.table = KeyTable.after_lost_home(TERMS, self._now())
         self.under_way.clear()
 
     @invariant()
     def at_most_one_run(self) -> None:
-        """Within the retention time for keys without a time, for ever for those with one."""
+        """No key runs twice: ever for timed keys, within the retention time for other keys."""
         for booking in self.bookings:
             timed = minted_at(booking.key) is not None
             since = self.time - (booking.first_run_at or self.time)
@@ -231,7 +231,7 @@
 
     @invariant()
     def the_table_is_bounded(self) -> None:
-        """In keys and in bytes."""
+        """The table never exceeds its limits on keys and answer bytes."""
         assert self.home.table.keys <= TERMS.most_keys
         assert self.home.table.answer_bytes <= TERMS.most_answer_bytes
 
--- a/fireflyfork/decisions/tests/test_membership.py
+++ b/fireflyfork/decisions/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""One member's state machine, event by event."""
+"""Tests of a single member's state machine."""
 
 import unittest
 
@@ -41,7 +41,7 @@
 
 
 class _Driver:
-    """Feeds events to one member and keeps its last commands."""
+    """Feeds events to one member and stores the commands of the last event."""
 
     def __init__(self, state: MembershipState) -> None:
         self.state = state
@@ -54,7 +54,7 @@
         return self.commands
 
     def pass_time(self, seconds: float, heard: tuple[MemberId, ...], guard: bool = True) -> None:
-        """Let time pass; these wards ask, and the guard acknowledges if it is to."""
+        """Tick for ``seconds`` while the wards in ``heard`` ask; the guard acknowledges if ``guard``."""
         end = self.now + seconds
         while self.now < end:
             for ward in heard:
@@ -72,7 +72,7 @@
 
 
 def _active(name_index: int = 0, record: FleetRecord | None = None) -> _Driver:
-    """Member ``a`` of the four (or another), which just read the record at revision 5."""
+    """Return a driver of member ``a`` (or another), which has just read the record at revision 5."""
     driver = _Driver(begin_membership(NAIDU[name_index], TIMING))
     driver.feed(Tick())
     driver.feed(RecordRead(record or evened_out(fleet(NAIDU, 4)), Revision(5)))
@@ -80,10 +80,10 @@
 
 
 class RightTest(unittest.TestCase):
-    """When a member may dispatch."""
+    """When a member holds the right to dispatch."""
 
     def test_right_dates_from_the_question(self) -> None:
-        """Guards against a right that outlives the takeover, since it counts from a late answer."""
+        """If the right counted from a late answer, it would outlast the takeover wait."""
         driver = _active()
         driver.feed(Tick(), after=0.6)
         driver.feed(GuardAnswered(1, GuardAnswer(True), Revision(5)), after=1.9)
@@ -91,21 +91,21 @@
         self.assertFalse(holds_right(driver.state, driver.now + 0.15))
 
     def test_right_is_lost_without_proof(self) -> None:
-        """Store and guard are both silent: the member stops by its own clock."""
+        """When neither store nor guard answers, the right expires on the member's own clock."""
         driver = _active()
         partition = driver.state.record.owned_by(A)[0]
         self.assertTrue(may_dispatch(driver.state, partition, driver.now + 1.99))
         self.assertFalse(may_dispatch(driver.state, partition, driver.now + 2.0))
 
     def test_record_from_a_peer_proves_nothing(self) -> None:
-        """A record that was passed on may be old, and its reader fenced since."""
+        """A forwarded record may be outdated, and its receiver may have been fenced since."""
         driver = _Driver(begin_membership(NAIDU[0], TIMING))
         driver.feed(RecordHeard(fleet(NAIDU, 4), Revision(5)))
         self.assertIs(driver.state.phase, MemberPhase.ACTIVE)
         self.assertFalse(holds_right(driver.state, driver.now))
 
     def test_fenced_member_stops_at_once(self) -> None:
-        """A member that hears of its own fence need not wait for its right to run out."""
+        """A member that learns of its own fence stops before its right expires."""
         driver = _active()
         fenced = fence(driver.state.record, A, B, CHANGE)
         assert fenced is not None
@@ -114,7 +114,7 @@
         self.assertFalse(holds_right(driver.state, driver.now))
 
     def test_read_that_shows_the_own_fence(self) -> None:
-        """Guards against a member that ends with an error on reading its own fence."""
+        """Reading a record in which the member itself is fenced must not raise an error."""
         driver = _active()
         fenced = fence(driver.state.record, A, B, CHANGE)
         driver.pass_time(1.5, (B, C), guard=False)
@@ -123,7 +123,10 @@
         self.assertEqual(driver.commands, ())
 
     def test_old_guard_counts_no_more(self) -> None:
-        """Guards against a right from the old guard while the new one, unknown yet, may be fencing."""
+        """After a guard change of unknown outcome, the old guard's answers prove nothing.
+
+        The new guard may already be fencing the member.
+        """
         driver = _active()
         driver.pass_time(1.5, (B, C), guard=False)
         driver.feed(RecordRead(driver.state.record, Revision(5)))
@@ -135,10 +138,10 @@
 
 
 class TakeoverWaitTest(unittest.TestCase):
-    """How long a taker waits after the fence."""
+    """The wait between a fence and the takeover."""
 
     def test_wait_outlasts_the_right_on_unequal_clocks(self) -> None:
-        """Guards against two owners for a moment when clocks run as differently as allowed."""
+        """With the maximum difference of clock rates, two owners must not overlap."""
         for drift in (0.0, 0.001, 0.01, 0.05):
             with self.subTest(drift=drift):
                 timing = MembershipTiming(drift=drift)
@@ -147,12 +150,12 @@
                 self.assertGreater(taken_over, right_ends)
 
     def test_guard_is_not_quicker_than_the_old_guards_word(self) -> None:
-        """Guards against a new guard that fences while the old guard's word still counts."""
+        """A new guard must not fence while an acknowledgement of the old guard is still valid."""
         self.assertGreaterEqual(TIMING.suspect_seconds, TIMING.right_seconds)
 
 
 class GuardTest(unittest.TestCase):
-    """Acknowledging and fencing."""
+    """How a guard acknowledges and fences its wards."""
 
     def _answer(self, driver: _Driver, asker_index: int) -> GuardAnswer:
         asker = NAIDU[asker_index].member_id
@@ -161,7 +164,7 @@
         return answers[0].answer
 
     def test_guard_without_right_does_not_acknowledge(self) -> None:
-        """A guard that was paused and fenced meanwhile does not know that it was replaced."""
+        """A guard that was fenced during a pause doesn't know that it was replaced."""
         driver = _active()
         wards = driver.state.record.wards_of(A)
         self.assertEqual(wards, (B, C))
@@ -170,7 +173,7 @@
         self.assertEqual(self._answer(driver, 2), GuardAnswer(False, False))
 
     def test_pair_renews_each_other(self) -> None:
-        """Guards against a region that stands still after a pause of guards of each other."""
+        """Two members that guard each other regain the right after a pause of both."""
         first, second = _active(0), _active(1)
         for driver in (first, second):
             driver.feed(Tick(), after=5.0)
@@ -182,11 +185,11 @@
         self.assertTrue(holds_right(first.state, first.now))
 
     def test_not_the_guard(self) -> None:
-        """An asker whose record is old asks somebody who may not know of its fence."""
+        """An asker with an outdated record asks a former guard, which may not know of its fence."""
         self.assertFalse(self._answer(_active(), 3).acknowledged)
 
     def test_silent_ward_is_fenced_after_a_read(self) -> None:
-        """Guards against a fence that is sent into a store that is down, and takes effect later."""
+        """A fence must not be sent to a store that is down, where it could take effect later."""
         driver = _active()
         driver.pass_time(2.3, (C,))
         self.assertIsNotNone(driver.state.reading_since)
@@ -195,7 +198,7 @@
         self.assertTrue(self._answer(driver, 1).acknowledged)
 
     def test_fence_without_answer_blocks_the_ward(self) -> None:
-        """The fence may have taken effect, so its ward must not be acknowledged meanwhile."""
+        """A fence without an answer may have taken effect, so the ward isn't acknowledged."""
         driver = _active()
         driver.pass_time(2.3, (C,))
         driver.feed(RecordRead(driver.state.record, Revision(5)))
@@ -205,7 +208,7 @@
         self.assertEqual(self._answer(driver, 1), GuardAnswer(False))
 
     def test_guard_forgives_after_its_own_pause(self) -> None:
-        """A paused guard wakes to wards that it did not hear, though they asked all the time."""
+        """A guard that resumes after a pause must not fence wards whose questions it missed."""
         driver = _active()
         driver.feed(Tick())
         driver.feed(Tick(), after=10.0)
@@ -214,7 +217,7 @@
 
 
 class WriteTest(unittest.TestCase):
-    """Changes of the record whose answer is lost."""
+    """Writes of the record whose answer is lost or delayed."""
 
     def _handing_over(self) -> _Driver:
         driver = _active(0, fleet(NAIDU, 4))
@@ -224,7 +227,7 @@
         return driver
 
     def test_old_value_settles_nothing(self) -> None:
-        """Guards against an owner that goes on while its hand-over may be on its way."""
+        """An owner must not resume while its hand-over may still be in flight."""
         driver = self._handing_over()
         given = next(iter(driver.state.write.partitions)) if driver.state.write else None
         assert given is not None
@@ -241,7 +244,7 @@
         self.assertTrue(may_dispatch(driver.state, given, driver.now))
 
     def test_lost_repetition_may_have_lost_to_itself(self) -> None:
-        """The first try took effect unseen, so its repetition finds a newer revision."""
+        """The first write took effect without an answer, so its retry finds a newer revision."""
         driver = self._handing_over()
         write = driver.state.write
         assert write is not None
@@ -256,7 +259,7 @@
             self.assertFalse(may_dispatch(driver.state, partition, driver.now))
 
     def test_leaving_goes_on_serving_while_the_store_is_down(self) -> None:
-        """A planned stop during an outage must not end the service before it can hand over."""
+        """During a store outage, a member with a planned stop serves until it can hand over."""
         driver = _active(1)
         driver.feed(LeaveRequested())
         driver.feed(Tick(), after=1.2)
--- a/fireflyfork/decisions/tests/test_ownership.py
+++ b/fireflyfork/decisions/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""A whole fleet of membership state machines under faults."""
+"""Tests of a simulated fleet of membership state machines under faults."""
 
 import unittest
 from typing import Any
@@ -17,11 +17,11 @@
 
 
 class OwnershipMachine(RuleBasedStateMachine):
-    """Hypothesis picks the faults; messages and answers get lost and late besides."""
+    """Hypothesis chooses the faults; messages and answers are also lost and delayed."""
 
     @initialize(seed=st.integers(0, 2**16))
     def start(self, seed: int) -> None:
-        """A settled fleet of six."""
+        """Start a fleet of six processes and let it settle."""
         messages = Faults(lost=0.02, slow=0.05, unanswered=0.1, late_writes=0.1)
         self.simulation = FleetSimulation(seed, faults=messages)
         self.simulation.run(6)
@@ -32,37 +32,37 @@
 
     @rule(seconds=_SHORT)
     def pass_time(self, seconds: float) -> None:
-        """Nothing new happens."""
+        """Time passes without a new fault."""
         self.simulation.run(seconds)
 
     @rule(number=_ONE, seconds=_LONG)
     def pause(self, number: int, seconds: float) -> None:
-        """One is frozen."""
+        """A process is frozen."""
         if (process := self._pick(number)) is not None:
             self.simulation.pause(process, seconds)
 
     @rule(number=_ONE, same_address=st.booleans(), delay=_SHORT)
     def crash(self, number: int, same_address: bool, delay: float) -> None:
-        """One dies, and another starts."""
+        """A process crashes, and a successor starts."""
         if (process := self._pick(number)) is not None:
             self.simulation.kill(process)
             self.simulation.restart(process, same_address, delay)
 
     @rule(number=_ONE)
     def stop(self, number: int) -> None:
-        """One is replaced as planned."""
+        """A process is stopped as planned and replaced."""
         if (process := self._pick(number)) is not None:
             self.simulation.stop(process)
 
     @rule(numbers=st.sets(_ONE, min_size=1, max_size=3), seconds=_LONG)
     def cut_group(self, numbers: set[int], seconds: float) -> None:
-        """A few are cut from all others and the store."""
+        """Some processes are cut from all others and the store."""
         inside = [process for number in numbers if (process := self._pick(number)) is not None]
         self.simulation.cut_from_rest(inside, seconds)
 
     @rule(sender=_ONE, receiver=_ONE, seconds=_LONG)
     def cut_one_way(self, sender: int, receiver: int, seconds: float) -> None:
-        """One hears another no more, which may hear it."""
+        """Messages from one process to another are dropped, in one direction."""
         one, other = self._pick(sender), self._pick(receiver)
         if one is not None and other is not None:
             self.simulation.cut_one_way(one, other, seconds)
@@ -74,12 +74,12 @@
 
     @invariant()
     def one_owner_at_a_time(self) -> None:
-        """Two owners of one partition would fill the same slots twice."""
+        """No two processes may dispatch for a partition at the same time."""
         if hasattr(self, "simulation"):
             assert not self.simulation.violations, self.simulation.violations
 
     def teardown(self) -> None:
-        """Once everything works again, each partition is served, unless nobody may fence."""
+        """After all faults have ended, each partition is served, unless no process may fence."""
         if not hasattr(self, "simulation"):
             return
         self.simulation.heal()
@@ -89,20 +89,20 @@
 
 
 class OwnershipTest(unittest.TestCase):
-    """What the fleet as a whole keeps to."""
+    """Safety and recovery of the fleet as a whole."""
 
     def test_one_owner_at_a_time(self) -> None:
-        """Pauses, cuts, deaths, stops and a failing store come together in any order.
+        """Any combination of pauses, cuts, crashes, stops and store outages.
 
-        Two owners of one target would give it more work than it has slots, and users would see
-        slow answers or doubled bookings.
+        Two owners of one target would send it more requests than it has slots, and requests could
+        be slow or run twice.
         """
         machine: Any = OwnershipMachine.TestCase()
         machine.settings = settings(max_examples=30, stateful_step_count=10)
         machine.runTest()
 
     def test_death_is_made_good_within_seconds(self) -> None:
-        """A member dies while the store works; its targets are refused until others own them."""
+        """A member crashes while the store works; its partitions get new owners within 6 s."""
         for seed in range(6):
             simulation = FleetSimulation(seed, faults=NO_FAULTS)
             simulation.run(20)
@@ -114,9 +114,9 @@
     def test_silent_watches_do_not_hide_news(self) -> None:
         """Two members that guard each other are cut off while the record changes.
 
-        Their watch goes silent for good and nobody tells them twice. Without comparing revisions
-        they would keep their right and never hear of partitions that were moved to them, whose
-        callers would be refused for ever.
+        Their watch goes silent permanently and each record is forwarded only once. Without the
+        comparison of revisions they would keep their right and never learn of partitions that were
+        moved to them, and requests for those partitions would be refused forever.
         """
         cases = [(MembershipTiming(), False), (MembershipTiming(compare_seconds=1e9), True)]
         for timing, stays_behind in cases:
@@ -133,9 +133,10 @@
                 self.assertEqual(behind, stays_behind)
 
     def test_cut_off_member_does_not_wear_out_the_store(self) -> None:
-        """A member can't reach the guard that suits it best, and takes another.
+        """A member that can't reach its best-ranked guard must not switch back and forth.
 
-        It once took the best one back at once, again and again: several writes a second.
+        Without hysteresis it switches back to the best guard immediately and repeatedly, with
+        several writes per second.
         """
         simulation = FleetSimulation(3, faults=NO_FAULTS)
         simulation.run(20)
@@ -148,9 +149,9 @@
         self.assertLess(simulation.counts["write"], 80)
 
     def test_pairs_outlast_pauses_in_an_outage(self) -> None:
-        """All members are frozen for 5 s while the store is down, and none holds the right then.
+        """All members are paused for 5 s during a store outage, so that all lose the right.
 
-        Members that guard each other recover without the store; their wards follow.
+        Members that guard each other recover without the store, and then their wards do.
         """
         simulation = FleetSimulation(1, faults=NO_FAULTS)
         simulation.run(20)
@@ -166,10 +167,10 @@
 
 
 class WeakerRulesTest(unittest.TestCase):
-    """The same faults with one rule weakened: the seeds are the first that the search found."""
+    """The simulation with one rule weakened, with the first seed for which a search found a fault."""
 
     def test_each_rule_is_needed(self) -> None:
-        """If these went unnoticed, finding nothing with the chosen rules would mean nothing."""
+        """Each weakened rule leads to two owners, which shows that the simulation detects them."""
         cases: list[tuple[RightRules, int]] = [
             (AcknowledgesWithoutRight(), 199),
             (DatedFromReceipt(), 3),
@@ -191,7 +192,7 @@
     """A fleet over seven regions."""
 
     def test_eighteen_entries_settle(self) -> None:
-        """The record must not need more rounds as the fleet grows, or starts would take minutes."""
+        """Starts must not take longer as the fleet grows: 18 entries settle within 30 s."""
         places = tuple(f"r{number % 7}/d{number % 16}" for number in range(18))
         simulation = FleetSimulation(1, places, faults=NO_FAULTS)
         simulation.run(30)
--- a/fireflyfork/decisions/tests/test_partition_machine.py
+++ b/fireflyfork/decisions/tests/test_partition_machine.py
@@ -1,4 +1,4 @@
-"""A partition under generated events: what must hold after each of them, and after any takeover."""
+"""A stateful test of a partition under generated events and takeovers."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class PartitionMachine(RuleBasedStateMachine):
-    """One owner after another over a journal and a platform that are plain lists and mappings."""
+    """Successive owners of a partition, with an in-memory journal and worker platform."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -57,27 +57,27 @@
 
     @initialize(tasks=st.integers(1, 4))
     def begin(self, tasks: int) -> None:
-        """There is some work from the start."""
+        """Submit and start a first job."""
         self.submit("a", tasks, 1000)
         self.work(delivered=True)
 
     @rule(job=JOBS, tasks=st.integers(1, 4), millicores=st.sampled_from([500, 1000, 2500, 4000]))
     def submit(self, job: str, tasks: int, millicores: int) -> None:
-        """Submit a job, perhaps one that is there already."""
+        """Submit a job, possibly one with the id of an existing job."""
         outcome = submit(self.partition, make_submission(job, tasks, millicores), self.now)
         if not isinstance(outcome, Refusal):
             self.take(outcome)
 
     @rule(delivered=st.booleans())
     def work(self, delivered: bool) -> None:
-        """What the planner does all the time, without a fault or with the starts under way."""
+        """Run a regular planner cycle; the starts are delivered or stay in flight."""
         self.place()
         self.commit()
         self.send_starts(delivered)
 
     @rule(data=st.data())
     def finish_and_go_on(self, data: st.DataObject) -> None:
-        """A run ends, the planner hears of it, and new work is submitted and started."""
+        """A run ends and is reported, and a new job is submitted and started."""
         self.end_a_run(data, data.draw(st.sampled_from([RunState.FINISHED, RunState.FAILED])))
         self.report()
         self.submit(f"job-{len(self.journal)}", 2, 1000)
@@ -85,7 +85,7 @@
 
     @rule(halfway=st.integers(0, 100), first=st.booleans())
     def die_and_go_on(self, halfway: int, first: bool) -> None:
-        """The owner dies, perhaps right after a round that was not stored; the next goes on."""
+        """The owner fails, possibly after a round that was not stored, and its successor continues."""
         if first:
             self.place()
             self.send_starts(delivered=True)
@@ -95,12 +95,12 @@
 
     @rule()
     def place(self) -> None:
-        """A round of placement."""
+        """Run a round of placement."""
         self.take(place(self.partition, self.now))
 
     @rule()
     def commit(self) -> None:
-        """What waits becomes durable."""
+        """Store all pending changes."""
         changes = tuple(self.unstored)
         self.unstored.clear()
         self.journal.extend(changes)
@@ -108,7 +108,7 @@
 
     @rule(delivered=st.booleans())
     def send_starts(self, delivered: bool) -> None:
-        """Send the starts that are due; some stay under way."""
+        """Send the starts that are due; undelivered ones stay in flight."""
         self.partition, orders = take_starts(self.partition, self.now)
         self.in_flight.extend(orders)
         if delivered:
@@ -116,14 +116,14 @@
 
     @rule()
     def deliver(self) -> None:
-        """Everything under way arrives, however old it is."""
+        """Deliver all starts in flight, including outdated ones."""
         for order in self.in_flight:
             self.start(order)
         self.in_flight.clear()
 
     @rule(data=st.data(), state=st.sampled_from([RunState.FINISHED, RunState.FAILED]))
     def end_a_run(self, data: st.DataObject, state: RunState) -> None:
-        """A run ends by itself."""
+        """A run finishes or fails."""
         running = [key for key, run in self.runs.items() if run.state is RunState.RUNNING]
         if running:
             key = data.draw(st.sampled_from(running))
@@ -131,7 +131,7 @@
 
     @rule()
     def report(self) -> None:
-        """The platform tells everything."""
+        """The platform reports on all runs, and stale ones are stopped."""
         whole = WholeReport(REGION, self.now)
         step = take_report(self.partition, tuple(self.runs.values()), self.now, whole)
         self.take(step)
@@ -140,7 +140,7 @@
 
     @rule(answered=st.booleans())
     def send_stops(self, answered: bool) -> None:
-        """Stop what is to be stopped; the answer may be lost."""
+        """Send all pending stop orders; their answers may be lost."""
         for task in tuple(to_stop(self.partition)):
             report = self.stop(task.task_id, task.attempt)
             if answered:
@@ -150,26 +150,29 @@
 
     @rule(job=JOBS, index=st.none() | st.integers(0, 3))
     def cancel(self, job: str, index: int | None) -> None:
-        """Cancel a job or a task."""
+        """Cancel a job or one of its tasks."""
         step = cancel(self.partition, JobId(job), index, self.now)
         if step is not None:
             self.take(step)
 
     @rule()
     def evict(self) -> None:
-        """Evict all that runs."""
+        """Evict all tasks with an attempt that may run."""
         tasks = tuple(task.task_id for task in self.partition.table.holding())
         self.take(evict(self.partition, tasks, "a test", self.now))
 
     @rule(seconds=st.sampled_from([0.5, 5.0, 20.0]))
     def wait(self, seconds: float) -> None:
-        """Time passes."""
+        """Time passes, and timeouts are processed."""
         self.now += seconds
         self.take(take_time(self.partition, self.now))
 
     @rule(halfway=st.integers(0, 100))
     def take_over(self, halfway: int) -> None:
-        """The owner dies with all that is not stored; the next recovers from a snapshot and more."""
+        """The owner and its unstored changes are lost; its successor recovers from the journal.
+
+        It reads a snapshot of the first ``halfway`` percent and replays the rest.
+        """
         self.unstored.clear()
         cut = len(self.journal) * halfway // 100
         before = TaskTable.empty().apply(self.journal[:cut])
@@ -178,12 +181,12 @@
         self.partition = configured(make_partition(table, self.now))
 
     def take(self, step: Step) -> None:
-        """Adopt a step."""
+        """Adopt the state of a step, and queue its changes for storing."""
         self.partition = step.partition
         self.unstored.extend(step.changes)
 
     def start(self, order: StartOrder) -> None:
-        """What the platform does with an order to start."""
+        """Handle a start order as the platform does, and check that no task runs twice."""
         key = (order.task_id, order.attempt)
         if key in self.runs or order.attempt <= self.fences.get(order.task_id, 0):
             return
@@ -205,7 +208,7 @@
         )
 
     def stop(self, task_id: TaskId, attempt: AttemptNumber) -> RunReport:
-        """What the platform does with an order to stop."""
+        """Handle a stop order as the platform does."""
         self.fences[task_id] = max(attempt, self.fences.get(task_id, 0))
         key = (task_id, attempt)
         run = self.runs.get(key)
@@ -218,7 +221,7 @@
 
     @invariant()
     def reservations_add_up_and_fit(self) -> None:
-        """No worker and no team holds more than it may, and the sums are those of the tasks."""
+        """Totals equal the sums over the tasks, and don't exceed capacity or quota."""
         table = self.partition.table
         by_worker: dict[WorkerId, Resources] = {}
         of_team = NOTHING
@@ -237,7 +240,7 @@
 
     @invariant()
     def what_runs_is_reserved(self) -> None:
-        """An attempt that runs holds its reservation where it runs."""
+        """A running attempt holds its reservation on the worker on which it runs."""
         for (task_id, attempt), run in self.runs.items():
             task = self.partition.table.tasks.get(task_id)
             if run.state is RunState.RUNNING and task is not None:
@@ -246,7 +249,7 @@
 
     @invariant()
     def no_task_vanishes(self) -> None:
-        """Each task of an accepted job is open or counted as ended, and in just one queue."""
+        """Each task of an accepted job is either counted as ended, or open and in exactly one queue."""
         table = self.partition.table
         open_tasks = Counter(task.job_id for task in table.tasks.values())
         for job in table.jobs.values():
--- a/fireflyfork/decisions/tests/test_replicas.py
+++ b/fireflyfork/decisions/tests/test_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas of services follow the contracts."""
+"""Tests that the replicas of services match the contracts."""
 
 import unittest
 from dataclasses import replace
@@ -11,22 +11,22 @@
 
 
 def with_replicas(partition: Partition, replicas: int) -> Partition:
-    """The partition with a contract for so many replicas."""
+    """Return the partition with a service contract for ``replicas`` replicas."""
     contract = ServiceContract(DESK, TEAM, 5.0, replicas=replicas, resources=Resources(1000, 1000))
     return replace(partition, services={DESK: contract})
 
 
 def open_replicas(partition: Partition) -> int:
-    """Replicas that are neither ended nor cancelled."""
+    """Return the number of replicas that have neither ended nor been cancelled."""
     jobs = partition.table.jobs.values()
     return sum(bool(job.open_count and not job.cancelled) for job in jobs)
 
 
 class ReplicasTest(unittest.TestCase):
-    """As many as the contract says, and no more."""
+    """The number of replicas equals the number in the contract."""
 
     def test_up_and_down(self) -> None:
-        """An operator changes the number of replicas; repeating the round changes nothing."""
+        """An operator changes the number of replicas; a repeated round makes no changes."""
         partition = make_partition()
         for replicas in (3, 3, 5, 1, 0, 2):
             with self.subTest(replicas=replicas):
@@ -36,7 +36,7 @@
                 self.assertEqual(keep_replicas(partition, 0, 1, 2.0).changes, ())
 
     def test_partitions_share_them(self) -> None:
-        """Three partitions together hold as many as the contract says."""
+        """The replicas of three partitions add up to the number in the contract."""
         for replicas in range(8):
             held = [
                 open_replicas(
@@ -47,7 +47,7 @@
             self.assertEqual(sum(held), replicas)
 
     def test_they_are_placed_and_count_against_no_quota(self) -> None:
-        """A team's batch quota must not keep its services from running."""
+        """A team's batch quota must not prevent its services from running."""
         partition = keep_replicas(with_replicas(make_partition(), 6), 0, 1, 1.0).partition
         placed = place(partition, 2.0).partition
         placed = place(placed, 3.0).partition
--- a/fireflyfork/decisions/tests/test_retries.py
+++ b/fireflyfork/decisions/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Whether a failed attempt is followed by another."""
+"""Tests of retry decisions and the retry budget."""
 
 import unittest
 from dataclasses import replace
@@ -14,10 +14,10 @@
 
 
 class RetryTest(unittest.TestCase):
-    """Single decisions, and the budget over any history."""
+    """Single decisions, and the budget over generated histories."""
 
     def test_decisions(self) -> None:
-        """A booking is sent again only if it surely did not run, in time and within the budget."""
+        """A non-idempotent request is retried only if it has not run, in time and within the budget."""
         poor = RetryBudget(TERMS, 0.9)
         full = RetryBudget.full(TERMS)
         may = Verdict.MAY_HAVE_RUN
@@ -40,7 +40,7 @@
     @given(st.lists(st.integers(0, 30), max_size=60))
     @settings(max_examples=100)
     def test_retries_do_not_amplify(self, failures_between_requests: list[int]) -> None:
-        """All attempts fail for a while; the targets must not be given much more for it."""
+        """When all attempts fail, the number of retries stays within the share and the burst."""
         budget, retries = RetryBudget.full(TERMS), 0
         for failures in failures_between_requests:
             budget = budget.request()
--- a/fireflyfork/decisions/tests/test_routing.py
+++ b/fireflyfork/decisions/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Where a request goes."""
+"""Tests of routing and of the exchange of leaving targets."""
 
 import unittest
 
@@ -19,7 +19,7 @@
     """Single decisions."""
 
     def test_order_of_choices(self) -> None:
-        """Own slots, then the peers of the region, then the shortest queue, then the link."""
+        """Own slots come first, then peers of the region, the shortest queue, and the link."""
         near, far = figures("near", measured_at=NOW), figures("far", measured_at=NOW, region=VANUA)
         full = figures("near", free=0, queued=3, measured_at=NOW)
         stale = figures("near", measured_at=NOW - 5)
@@ -48,9 +48,9 @@
         self.assertEqual(route(cases[0][1], LINKS, NOW).target_id, TargetId("b"))
 
     def test_the_herd_does_not_follow_one_figure(self) -> None:
-        """Ten requests come between two messages of a peer with one free slot.
+        """Ten requests arrive between two messages of a peer that has one free slot.
 
-        If each saw the free slot, all ten would go there and nine would wait.
+        If each were routed to that slot, nine would have to wait.
         """
         tempting = figures("a", free=1, measured_at=NOW, sent_since=1)
         other = figures("b", free=1, measured_at=NOW)
@@ -62,7 +62,7 @@
         self.assertEqual(chosen.member_id, MemberId("c"))
 
     def test_the_link_is_metered(self) -> None:
-        """A region without room would otherwise send all its traffic over the paid link."""
+        """Without a budget, a region without room would send all of its traffic over the metered link."""
         far = figures("far", free=99, measured_at=NOW, region=VANUA)
         links = dict(LINKS)
         kinds = []
@@ -75,14 +75,14 @@
         self.assertIs(route(question({}, (far,)), {}, NOW + 1).kind, RouteKind.REFUSE)
 
     def test_a_refusal_says_when_to_come_back(self) -> None:
-        """The queue is expected to be short enough for the same deadline by then."""
+        """After ``retry_after`` the queue should be short enough for the same deadline."""
         refused = route(question({"a": 0}, (), queued=29, time_left=1.0), {}, NOW)
         self.assertAlmostEqual(refused.retry_after, 2.0)
 
     @given(st.text(), st.integers(1, 64))
     @settings(max_examples=50)
     def test_partitions(self, key: str, partitions: int) -> None:
-        """Every key has one partition of its region."""
+        """Every key maps to a valid partition of its region."""
         region, number = partition_of(VITI, key, partitions).split("/")
         self.assertEqual(region, VITI)
         self.assertLess(int(number), partitions)
@@ -96,7 +96,7 @@
     def test_any_figures_give_a_usable_route(
         self, peers: list[tuple[int, int, float]], draw: tuple[float, float], forwarded: bool
     ) -> None:
-        """Each kind names what it needs, and a forwarded request stays."""
+        """A route names a member exactly if it needs one, and a request is forwarded at most once."""
         said = tuple(
             figures(str(number), free, queued, NOW - age, VANUA if number % 2 else VITI)
             for number, (free, queued, age) in enumerate(peers)
@@ -109,13 +109,13 @@
 
 
 class LeavingGossip(RuleBasedStateMachine):
-    """Three members tell each other which targets leave, over messages that repeat and reorder."""
+    """Three members exchange marks of leaving targets in duplicated and reordered messages."""
 
     TARGET = TargetId("t")
     LONGEST_DELAY = 5.0
 
     def __init__(self) -> None:
-        """Nobody knows anything."""
+        """Start with three members without marks."""
         super().__init__()
         self.members = [LeavingTargets() for _ in range(3)]
         self.mail: list[tuple[float, tuple[LeavingMark, ...]]] = []
@@ -124,19 +124,19 @@
 
     @rule(member=st.integers(0, 2))
     def see(self, member: int) -> None:
-        """One member reads it in the instance list: nothing new from it at once."""
+        """A member sees the target leaving in the instance list and stops using it immediately."""
         self.last_seen = self.now
         self.members[member] = self.members[member].seen([self.TARGET], self.now)
         assert self.members[member].includes(self.TARGET, self.now)
 
     @rule(member=st.integers(0, 2))
     def tell(self, member: int) -> None:
-        """A message is sent."""
+        """A member sends its marks."""
         self.mail.append((self.now, self.members[member].marks(self.now)))
 
     @rule(data=st.data(), member=st.integers(0, 2), again=st.booleans())
     def hear(self, data: st.DataObject, member: int, again: bool) -> None:
-        """Some message arrives, perhaps for the second time."""
+        """A message arrives, possibly for the second time."""
         if not self.mail:
             return
         index = data.draw(st.integers(0, len(self.mail) - 1))
@@ -149,7 +149,7 @@
 
     @rule()
     def keep_talking(self) -> None:
-        """Slow messages cross each other all the time."""
+        """All members exchange slow messages continuously."""
         for _ in range(40):
             said = [member.marks(self.now) for member in self.members]
             self.time_passes(self.LONGEST_DELAY)
@@ -158,13 +158,13 @@
 
     @rule(seconds=st.sampled_from([5.0, 50.0, LEAVING_SECONDS - 5.0]))
     def time_passes(self, seconds: float) -> None:
-        """Messages on their way grow old without knowing it."""
+        """Time passes, which the marks in messages in transit don't take into account."""
         self.now += seconds
         self.members = [member.without_expired(self.now) for member in self.members]
 
     @invariant()
     def a_target_that_is_back_is_used_again(self) -> None:
-        """Members don't keep a mark alive among themselves."""
+        """Members must not keep a mark alive by sending it back and forth."""
         hops = len(self.members) - 1
         if self.now > self.last_seen + LEAVING_SECONDS + hops * self.LONGEST_DELAY:
             assert not any(m.includes(self.TARGET, self.now) for m in self.members)
--- a/fireflyfork/decisions/tests/test_slots.py
+++ b/fireflyfork/decisions/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""The slots and connections of one target."""
+"""Tests of the accounting of a target's slots and connections."""
 
 import unittest
 from dataclasses import dataclass
@@ -14,9 +14,9 @@
 
 HOLD = slot_terms().hold_seconds
 STILL_RUNNING = (START_WITHIN_SECONDS + LONGEST_RUN) * 0.995
-"""So long after it was sent a request may still run."""
+"""Time after taking its slot at which a request may still be running."""
 FAST, SLOW = 1.0095, 0.9905
-"""Seconds that drifting clocks show for each that passes."""
+"""Rates of clocks that drift in opposite directions."""
 
 
 def _acquired(ledger: SlotLedger, attempt: str, now: float) -> SlotLedger:
@@ -29,14 +29,14 @@
     """Single decisions."""
 
     def setUp(self) -> None:
-        """A target with both of its slots taken at time 0."""
+        """Create the ledger of a target whose two slots are taken at time 0."""
         self.full = _acquired(_acquired(SlotLedger(slot_terms()), "a", 0.0), "b", 0.0)
 
     def test_a_late_answer_still_holds_its_slot(self) -> None:
-        """The caller of a slow request gives up, and the executor is still at work on it.
+        """The caller of a slow request gives up while the executor still works on it.
 
-        If the slot were given away then, the executor would have more than it can run, and all
-        its callers would wait longer.
+        If its slot were reused then, the executor would be overloaded and all of its requests would
+        take longer.
         """
         self.assertIs(self.full.acquire(RequestId("c"), HOLD - 0.01), SlotRefusal.FULL)
         self.assertEqual(self.full.next_free_at(1.0), HOLD)
@@ -44,7 +44,7 @@
         self.assertEqual(_acquired(self.full, "c", HOLD).busy(HOLD), 1)
 
     def test_an_answer_that_comes_twice_frees_one_slot(self) -> None:
-        """A message is repeated after its slot went to another request, which would lose it."""
+        """A duplicate answer after the slot was reused must not free the slot of the new request."""
         ledger = _acquired(self.full.release(RequestId("a")), "c", 1.0)
         self.assertIs(ledger.release(RequestId("a")), ledger)
         self.assertIs(
@@ -52,7 +52,7 @@
         )
 
     def test_a_leaving_target_gets_nothing_new(self) -> None:
-        """An executor stops in a few seconds; a booking sent to it now would be cut off."""
+        """An executor stops in a few seconds, so a request sent to it now would be cut off."""
         leaving = self.full.release(RequestId("a")).leave()
         self.assertIs(leaving.acquire(RequestId("c"), 1.0), SlotRefusal.LEAVING)
         self.assertEqual((leaving.busy(1.0), leaving.free(1.0)), (1, 0))
@@ -62,7 +62,7 @@
         self.assertEqual(leaving.rejoin().free(1.0), 1)
 
     def test_handover_passes_occupied_slots_on(self) -> None:
-        """An entry stops as planned while its requests run; the next owner must count them."""
+        """After a planned stop, the next owner must count the slots of requests still running."""
         stopped, handover = self.full.release(RequestId("a")).hand_over(1.0)
         self.assertIs(stopped.acquire(RequestId("c"), 1.0), SlotRefusal.HANDED_OVER)
         self.assertIs(stopped.open_connection(1.0), SlotRefusal.HANDED_OVER)
@@ -74,7 +74,7 @@
         self.assertEqual(stopped.take_back().free(1.0), 1)
 
     def test_after_a_fence_every_slot_may_be_busy(self) -> None:
-        """An owner dies with requests under way that nobody else knows of."""
+        """An owner fails with requests in flight that no other member has a record of."""
         cases = [(None, 0), (2, 0), (1, 1), (5, 0)]
         for ceiling, free in cases:
             with self.subTest(ceiling=ceiling):
@@ -83,10 +83,10 @@
                 self.assertEqual(ledger.free(100.0 + HOLD), 2)
 
     def test_connections_leave_room_for_a_successor(self) -> None:
-        """The dead owner's connections stay open at the target, which accepts eight in all.
+        """A dead owner's connections stay open at a target that accepts eight in total.
 
-        If the dead owner had opened all eight, the next one could reach the target only after
-        the longest run time, and its capacity would be lost until then.
+        If the dead owner had opened all eight, its successor could not connect to the target until
+        the longest run time has passed, and the target's capacity would be lost until then.
         """
         ledger = SlotLedger.after_fence(slot_terms(), 0.0)
         for _ in range(4):
@@ -99,7 +99,7 @@
         self.assertIs(second.open_connection(1.0), SlotRefusal.FULL)
 
     def test_a_smaller_contract_lets_running_requests_end(self) -> None:
-        """Operators lower the slots while requests run."""
+        """An operator lowers the number of slots while requests run."""
         smaller = self.full.with_terms(slot_terms(slots=1))
         self.assertEqual(smaller.free(1.0), 0)
         self.assertIs(
@@ -109,7 +109,7 @@
 
 @dataclass
 class _Sent:
-    """A request on its way to the target or running on it."""
+    """A request in transit to the target or running on it."""
 
     owner: int
     sent_at: float
@@ -117,10 +117,10 @@
 
 
 class SlotHistory(RuleBasedStateMachine):
-    """Any history of one target, its owners and their clocks."""
+    """Generated histories of a target, its successive owners and their clocks."""
 
     def __init__(self) -> None:
-        """One owner, an idle target."""
+        """Start with one owner and an idle target."""
         super().__init__()
         self.time = 1000.0
         self.rates = [FAST]
@@ -131,12 +131,12 @@
         self.count = 0
 
     def _now(self) -> float:
-        """What the present owner's clock shows: offset and rate are its own."""
+        """Return the time on the current owner's clock, which has its own offset and rate."""
         return 7.0 * len(self.rates) + self.time * self.rates[-1]
 
     @rule(burst=st.integers(1, 3))
     def dispatch(self, burst: int) -> None:
-        """The owner sends requests while the ledger lets it."""
+        """The owner sends as many of the requests as the ledger permits."""
         for _ in range(burst):
             self.count += 1
             attempt = RequestId(str(self.count))
@@ -148,7 +148,7 @@
     @precondition(lambda self: self.at_target)
     @rule(data=st.data(), repeats=st.integers(1, 2))
     def end_or_start(self, data: st.DataObject, repeats: int) -> None:
-        """A request reaches the target late, or ends; its answer may come twice."""
+        """A request starts at the target or ends; its answer may be duplicated."""
         attempt = data.draw(st.sampled_from(sorted(self.at_target)))
         sent = self.at_target[attempt]
         if sent.started_at is None:
@@ -160,7 +160,7 @@
     @precondition(lambda self: self.answers)
     @rule(data=st.data())
     def hear_an_answer(self, data: st.DataObject) -> None:
-        """Answers come in any order; those to a dead owner are lost."""
+        """An answer arrives, in any order; answers to a dead owner are lost."""
         index = data.draw(st.integers(0, len(self.answers) - 1))
         attempt, owner = self.answers.pop(index)
         if owner in self.heard_from or owner == len(self.rates):
@@ -170,7 +170,7 @@
         seconds=st.sampled_from([0.1, STILL_RUNNING / 2, STILL_RUNNING, START_WITHIN_SECONDS, HOLD])
     )
     def pause(self, seconds: float) -> None:
-        """Time passes without a word; what has to have ended by contract has ended."""
+        """Time passes without messages, and requests end within the limits of the contract."""
         self.time += seconds
         for attempt, sent in list(self.at_target.items()):
             began = sent.started_at
@@ -183,7 +183,7 @@
 
     @rule(rate=st.sampled_from([FAST, SLOW]), delay=st.sampled_from([0.0, 0.5, 5.0]))
     def hand_over(self, rate: float, delay: float) -> None:
-        """A planned change of owner."""
+        """The owner changes as planned and hands its ledger over."""
         self.ledger, handover = self.ledger.hand_over(self._now())
         assert self.ledger.acquire(RequestId("x"), self._now()) is SlotRefusal.HANDED_OVER
         self.heard_from.add(len(self.rates))
@@ -193,14 +193,14 @@
 
     @rule(rate=st.sampled_from([FAST, SLOW]))
     def fence(self, rate: float) -> None:
-        """The owner dies or is cut off, and its right to send has ended."""
+        """The owner fails or is cut off, and its right to send has expired."""
         self.heard_from.clear()
         self.rates.append(rate)
         self.ledger = SlotLedger.after_fence(slot_terms(), self._now())
 
     @invariant()
     def never_more_than_slots(self) -> None:
-        """Requests at the target or still on their way fit in its slots."""
+        """Requests in transit to the target or running on it never exceed its slots."""
         assert len(self.at_target) <= slot_terms().slots
 
 
