--- a/fireflyfork/decisions/_configuration_register.py
+++ b/fireflyfork/decisions/_configuration_register.py
@@ -118,9 +118,6 @@
     return replace(state, waiting_for=state.waiting_for - {peer})
 
 
-# Changes by operators
-
-
 class ApplyPhase(Enum):
     """Phase of an operator's change."""
 
@@ -196,9 +193,6 @@
     return change_id == current.change_id or change_id in current.history
 
 
-# The stored form
-
-
 class _StoredConfiguration(msgspec.Struct, array_like=True):
     version: int
     change_id: str
--- a/fireflyfork/decisions/_membership.py
+++ b/fireflyfork/decisions/_membership.py
@@ -90,9 +90,6 @@
     return replace(state, phase=MemberPhase.LEFT if never_joined else MemberPhase.LEAVING)
 
 
-# Time
-
-
 def _tick(state: MembershipState, now: float) -> tuple[MembershipState, Commands]:
     state = _forgive_after_pause(state, now)
     state, asked = ask_if_due(state, now)
@@ -143,9 +140,6 @@
     return replace(state, reading_since=now), (ReadRecord(),)
 
 
-# Calls to the store
-
-
 def _write(
     state: MembershipState, wanted: Wanted, occupied: changes.Occupied, now: float
 ) -> tuple[MembershipState, Commands]:
@@ -244,9 +238,6 @@
     )
 
 
-# The record
-
-
 def _adopt(
     state: MembershipState, record: FleetRecord, revision: Revision, now: float
 ) -> MembershipState:
--- a/fireflyfork/decisions/_membership_events.py
+++ b/fireflyfork/decisions/_membership_events.py
@@ -33,9 +33,6 @@
     """No answer arrived: the write may have taken effect, may do so later, or may never do so."""
 
 
-# Events
-
-
 @dataclass(frozen=True, slots=True)
 class Tick:
     """Time has passed. Expected several times a second."""
@@ -123,8 +120,6 @@
     | MemberGone
 )
 
-# Commands
-
 
 @dataclass(frozen=True, slots=True)
 class AskGuard:
--- a/fireflyfork/decisions/tests/builders_ownership.py
+++ b/fireflyfork/decisions/tests/builders_ownership.py
@@ -161,8 +161,6 @@
         for place in places:
             self.start(place, next(self._ports))
 
-    # Processes
-
     def start(self, place: str, port: int) -> Process:
         """Start a process in a zone with a port."""
         newcomer = member(f"m{next(self._numbers):03}", place, port)
@@ -233,8 +231,6 @@
             if self.successors:
                 self.restart(process, same_address=True, delay=self.random.uniform(0.5, 3))
 
-    # Events and commands
-
     def after(self, delay: float, action: Callable[[], None]) -> None:
         """Schedule an action after ``delay`` seconds."""
         heapq.heappush(self._queue, (self.now + delay, next(self._numbers), action))
@@ -286,8 +282,6 @@
             case WriteRecord():
                 self._write(process, command)
 
-    # Links
-
     def _port(self, process: Process) -> str:
         return str(process.state.me.address.port)
 
@@ -310,8 +304,6 @@
     def _find(self, name: MemberId) -> Process | None:
         return next((one for one in self.processes if one.state.me.member_id == name), None)
 
-    # Store
-
     def _read(self, process: Process) -> None:
         self.counts["read"] += 1
         process.call += 1
@@ -380,8 +372,6 @@
         for name in zone_mates(process.state):
             self._send(process, name, heard)
 
-    # Invariant
-
     def _check(self, process: Process) -> None:
         before, expired = process.usable, process.expires < self.now
         self._follow_right(process)
@@ -406,8 +396,6 @@
         lasts = state.right_dated + state.timing.right_seconds
         process.expires = (lasts - process.offset) / process.rate
 
-    # Faults
-
     def run_with_faults(self, seconds: float) -> None:
         """Advance the simulation by ``seconds`` with faults at random times."""
         faults = self.faults
@@ -501,8 +489,6 @@
     def _stop_store(self) -> None:
         self.store_down_until = self.now + self._span()
 
-    # Liveness
-
     def unserved(self) -> set[PartitionId]:
         """Return the partitions in the record that no process may dispatch for now."""
         if self.record is None:
