--- a/fireflyfork/decisions/_admission.py
+++ b/fireflyfork/decisions/_admission.py
@@ -89,7 +89,7 @@
 
     kind: AdmissionKind
     refused: tuple[RefusedRequest, ...] = ()
-    """The new request, if refused, and queued requests that were displaced or can't finish in time."""
+    """The new request, if refused, and queued requests that were displaced or are overdue."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -140,7 +140,7 @@
         return replace(self, waiting=self.waiting[overdue:]), refused
 
     def next_expiry(self) -> float | None:
-        """Time at which the next request expires, or None if the queue is empty."""
+        """Return the time at which the next request expires, or None if the queue is empty."""
         if not self.waiting:
             return None
         return self.waiting[0].deadline - self.service_time.expected
@@ -156,7 +156,7 @@
         return AdmissionQueue(self.longest, learned, self.waiting, now, self.filling_since)
 
     def drain_per_second(self, usable: int, now: float) -> float:
-        """Expected number of requests completed per second while the queue is non-empty.
+        """Return the expected number of requests completed per second while the queue is non-empty.
 
         The learned rate is valid only while answers arrive. After a stall the rate falls to one
         request per elapsed silence; otherwise a service whose executors hang would keep admitting
@@ -171,7 +171,7 @@
         return 1.0 / silence
 
     def retry_after(self, usable: int, now: float) -> float:
-        """Seconds until all requests that are queued now are expected to have been served."""
+        """Return the seconds after which all requests queued now should have been served."""
         drain = self.drain_per_second(usable, now)
         if drain <= 0:
             return self.service_time.expected
@@ -201,8 +201,9 @@
         """Return the queued request that should give way to ``request``, or None.
 
         That is the last request of the entry with the most queued requests, if that entry would
-        still have at least as many as the entry of ``request``. Without this, one entry with many
-        callers could fill the queue and cause the callers of all other entries to be refused.
+        still have at least as many as the entry of ``request`` after the swap. Without this, one
+        entry with many callers could fill the queue and cause the requests of all other entries to
+        be refused.
         """
         counts: dict[MemberId, int] = {}
         for other in self.waiting:
@@ -222,7 +223,10 @@
         return replace(self, waiting=waiting)
 
     def _has_room_for(self, request: WaitingRequest, usable: int, now: float) -> bool:
-        """Return whether the queued ``request`` can finish in time without delaying any past its deadline."""
+        """Return whether the queued ``request`` can finish in time.
+
+        This includes that it doesn't delay a request behind it past its deadline.
+        """
         drain = self.drain_per_second(usable, now)
         if len(self.waiting) > self.longest or drain <= 0:
             return False
--- a/fireflyfork/decisions/_fleet.py
+++ b/fireflyfork/decisions/_fleet.py
@@ -48,7 +48,7 @@
     guard: MemberId | None = None
     """The only member that may fence this member; None if it has no guard."""
     guarded_since: Epoch = _NEVER
-    """The epoch in which the guard was chosen. Anything sent to the guard in another epoch is stale."""
+    """Epoch in which the guard was chosen; what the guard was sent under another one is stale."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -171,7 +171,7 @@
 
 
 class _StoredRecord(msgspec.Struct, array_like=True):
-    """The stored form: arrays, with owners as indexes since names would take up most of the space."""
+    """The stored form: arrays, with owners as indexes, since names would take up most of it."""
 
     epoch: int
     change_id: str
--- a/fireflyfork/decisions/_fleet_changes.py
+++ b/fireflyfork/decisions/_fleet_changes.py
@@ -1,8 +1,8 @@
 """The permitted changes of the fleet record.
 
 Each function returns the changed record, or None if the change no longer applies to the record.
-Three rules keep the changes safe. Without any one of them, a randomized search finds two owners of
-a partition or a partition without an owner (``docs/design/ownership.md``):
+Three rules keep the changes safe; for each of them, a randomized search found faults in a fleet
+without it (``docs/design/ownership.md``):
 
 - Only the guard fences a member, and a partition is never taken from an owner that is not fenced.
 - A member's guard is changed by the member itself, by the guard when it leaves, or by the member
@@ -297,7 +297,10 @@
 def _spread(
     record: FleetRecord, partitions: Iterable[PartitionId], heir: Member | None
 ) -> dict[PartitionId, MemberId | None]:
-    """Distribute partitions evenly among the members of their region, or else of the heir's."""
+    """Distribute partitions evenly among the members of their region.
+
+    If the region has no members, those of the region of ``fallback`` are used.
+    """
     counts = Counter(ownership.owner for ownership in record.owners.values())
     receivers: dict[PartitionId, MemberId | None] = {}
     for partition in partitions:
--- a/fireflyfork/decisions/_idempotency.py
+++ b/fireflyfork/decisions/_idempotency.py
@@ -1,4 +1,6 @@
-"""The table of idempotency keys, which decides whether a request runs, joins another or is replayed.
+"""The table of idempotency keys, which decides what to do with a request that carries a key.
+
+A request runs, joins an earlier one with the same key, or gets a kept answer or a verdict.
 
 At any time each key has one home, the member that keeps its record. The home keeps the record for
 the retention time and hands its table over on a planned stop. If a home fails, its table is lost.
@@ -78,7 +80,7 @@
 
     state: KeyState
     fingerprint: int
-    """Hash of the request, which distinguishes a repeat from a different request with the same key."""
+    """Hash of the request, to distinguish a repeat from another request with the same key."""
     answer: bytes = b""
 
 
@@ -226,7 +228,7 @@
         return self._with_generations(gen.without_answers() for gen in self.generations)
 
     def with_keys_of(self, other: KeyTable, now: float) -> KeyTable:
-        """Return the table merged with the keys of ``other``, which were started before it arrived."""
+        """Return the table merged with the keys of ``earlier``, started here before it came."""
         table = self
         for generation in other.generations:
             for shard in generation.shards:
@@ -235,7 +237,7 @@
         return table
 
     def answered(self, key: IdempotencyKey, answer: bytes) -> KeyTable:
-        """Record a complete answer, possibly one that arrived after ``lost`` was called."""
+        """Record a complete answer, possibly one that arrived after ``attempt_lost``."""
         if len(answer) > self.terms.longest_answer_bytes:
             return self._settle(key, KeyState.ANSWER_DROPPED, b"")
         return self._settle(key, KeyState.ANSWERED, answer)._within_answer_bytes()
@@ -245,7 +247,7 @@
         return self._settle(key, KeyState.MAY_HAVE_RUN, b"")
 
     def not_run(self, key: IdempotencyKey) -> KeyTable:
-        """Remove a started key whose request is proved not to have run, so that it may be reused."""
+        """Remove a started key whose request is proved not to have run; it may be reused."""
         record = self.find(key, minted_at(key))
         if record is None or record.state is not KeyState.STARTED:
             return self
--- a/fireflyfork/decisions/_journal.py
+++ b/fireflyfork/decisions/_journal.py
@@ -131,8 +131,8 @@
 ) -> Settlement:
     """Determine the outcome of our write from the change id and revision that its key has now.
 
-    The write was conditional on revision ``expected``. If the key doesn't exist, ``found`` is None
-    and ``revision`` is 0.
+    The write was conditional on revision ``expected``. If the key doesn't exist,
+    ``stored_change_id`` is None and ``revision`` is 0.
     """
     if found == ours:
         return Settlement.STORED
--- a/fireflyfork/decisions/_membership_state.py
+++ b/fireflyfork/decisions/_membership_state.py
@@ -22,7 +22,7 @@
     """The member is not yet in the record."""
     ACTIVE = "active"
     LEAVING = "leaving"
-    """A planned stop was requested; dispatch continues until the hand-over is about to be written."""
+    """A planned stop was requested; dispatch continues until the hand-over is to be written."""
     LEFT = "left"
     """All partitions were handed over; the process ends after its requests in flight."""
     FENCED = "fenced"
@@ -122,7 +122,7 @@
 
 
 def prove(state: MembershipState, dated: float) -> MembershipState:
-    """Record a proof of the right to dispatch that counts from ``dated``."""
+    """Record a proof of the right to dispatch that counts from ``valid_from``."""
     return replace(state, right_dated=max(state.right_dated, dated))
 
 
--- a/fireflyfork/decisions/_partition.py
+++ b/fireflyfork/decisions/_partition.py
@@ -60,7 +60,7 @@
 
 
 def submit(partition: Partition, submission: Submission, now: float) -> Step | Refusal:
-    """Accept a job or return the reason for refusing it. Resubmitting an accepted job is a no-op."""
+    """Accept a job or return why it is refused. Resubmitting an accepted job is a no-op."""
     known = partition.table.jobs.get(submission.job_id)
     if known is not None:
         if known.shape == submission.shape and known.task_count == submission.tasks:
@@ -95,9 +95,9 @@
 ) -> Step:
     """Apply the platform's reports on attempts.
 
-    ``whole`` is set for a complete report on a region and None for the answer to a single order.
-    The latter doesn't show that a worker is alive, since the platform may answer on behalf of the
-    worker, nor that other workers are silent.
+    ``region_report`` is set for a complete report on a region, and None for the answer to a single
+    order. The latter doesn't show that a worker is alive, since the platform may answer on behalf
+    of the worker, nor that other workers are silent.
     """
     latest = tuple(latest_reports(runs))
     verdicts = [judge_report(partition.table, run, now) for run in latest]
@@ -177,7 +177,7 @@
 
 
 def take_starts(partition: Partition, now: float) -> tuple[Partition, tuple[StartOrder, ...]]:
-    """Return the starts to send now. Each is returned again later until the platform confirms it."""
+    """Return the starts to send now; each is repeated until the platform has confirmed it."""
     orders: list[StartOrder] = []
     ready: dict[AttemptKey, float] = {}
     for key, due in partition.ready.items():
--- a/fireflyfork/decisions/_routing.py
+++ b/fireflyfork/decisions/_routing.py
@@ -63,7 +63,7 @@
 
     @property
     def expected_wait(self) -> float:
-        """Seconds that one more request would wait at the member; infinite if its queue doesn't drain."""
+        """Seconds that one more request would wait; infinite if the queue doesn't drain."""
         if self.room > 0:
             return 0.0
         if self.drain_per_second <= 0:
@@ -71,7 +71,7 @@
         return (1 - self.room) / self.drain_per_second
 
     def is_fresh(self, now: float) -> bool:
-        """Return whether the figures are recent enough to be compared with those of other members."""
+        """Return whether the figures are recent enough to be compared with other members'."""
         return now - self.measured_at <= FRESH_SECONDS
 
 
--- a/fireflyfork/decisions/_slots.py
+++ b/fireflyfork/decisions/_slots.py
@@ -198,7 +198,7 @@
         return max(0, self.terms.slots - self.busy(now))
 
     def next_free_at(self, now: float) -> float:
-        """Return the latest time at which a slot becomes free; ``now`` if a slot is free already."""
+        """Return the latest time at which a slot becomes free; ``now`` if one is free."""
         if self.busy(now) < self.terms.slots:
             return now
         return min(slot.until for slot in self.occupied if slot.until > now)
--- a/fireflyfork/decisions/tests/test_configuration_register.py
+++ b/fireflyfork/decisions/tests/test_configuration_register.py
@@ -61,7 +61,7 @@
                 self.assertEqual(state.held.change_id, change)
 
     def test_restarted_entry_waits_for_all_it_asked(self) -> None:
-        """The store is down, and the first peer to answer has a version older than the one in force.
+        """The store is down, and the first peer to answer offers an outdated version.
 
         An entry that became ready with it would serve a configuration that had been replaced.
         """
@@ -91,7 +91,7 @@
     """The protocol for an operator's change."""
 
     def test_second_operator_is_refused(self) -> None:
-        """Two operators edit version 3; the second must not silently overwrite the first's change."""
+        """Two operators edit version 3; the second must not overwrite the first's change."""
         second = apply_read(_apply("second", 3), _offer(3), Revision(7))
         second = apply_written(second, WriteOutcome.LOST)
         second = apply_read(second, replace(_offer(4, "first")), Revision(8))
--- a/fireflyfork/decisions/tests/test_connections.py
+++ b/fireflyfork/decisions/tests/test_connections.py
@@ -87,8 +87,8 @@
 class SilentPath(RuleBasedStateMachine):
     """Generated histories of a path on which all traffic may be dropped silently at any time.
 
-    The number of requests lost to one silence is bounded: the requests already in flight, as many on
-    new connections, and then one per quarantine.
+    The number of requests lost to one silence is bounded: those already in flight, as many on new
+    connections, and then one per quarantine.
     """
 
     SLOTS = 3
--- a/fireflyfork/decisions/tests/test_fleet.py
+++ b/fireflyfork/decisions/tests/test_fleet.py
@@ -214,7 +214,7 @@
     """The hashing of targets to partitions."""
 
     def test_spread_and_stability(self) -> None:
-        """The hash is deterministic, since processes that disagree would both dispatch to a target."""
+        """Processes that disagree on a target's partition would both dispatch to it."""
         self.assertEqual(partition_of(VITI, "executor-1", 32), partition_of(VITI, "executor-1", 32))
         found = {partition_of(RegionName("a/b"), f"executor-{n}", 32) for n in range(1000)}
         self.assertEqual(len(found), 32)
--- a/fireflyfork/decisions/tests/test_idempotency.py
+++ b/fireflyfork/decisions/tests/test_idempotency.py
@@ -102,7 +102,7 @@
         self.assertEqual(kinds, [KeyDecisionKind.ANSWER_DROPPED] + [KeyDecisionKind.REPLAY] * 3)
 
     def test_keys_are_bounded(self) -> None:
-        """When the table is full, old keys are forgotten, but a forgotten key must not run again."""
+        """A full table forgets its oldest keys, but a forgotten key must not run again."""
         table = KeyTable(TERMS)
         early = [timed_key(START - 120, serial) for serial in range(3)]
         present = [timed_key(START, serial) for serial in range(7)]
--- a/fireflyfork/decisions/tests/test_membership.py
+++ b/fireflyfork/decisions/tests/test_membership.py
@@ -54,7 +54,7 @@
         return self.commands
 
     def pass_time(self, seconds: float, heard: tuple[MemberId, ...], guard: bool = True) -> None:
-        """Tick for ``seconds`` while the wards in ``heard`` ask; the guard acknowledges if ``guard``."""
+        """Tick for ``seconds``; the wards in ``heard`` ask, and the guard answers if ``guard``."""
         end = self.now + seconds
         while self.now < end:
             for ward in heard:
@@ -72,7 +72,7 @@
 
 
 def _active(name_index: int = 0, record: FleetRecord | None = None) -> _Driver:
-    """Return a driver of member ``a`` (or another), which has just read the record at revision 5."""
+    """Return a driver of a member (``a``) that has just read the record at revision 5."""
     driver = _Driver(begin_membership(NAIDU[name_index], TIMING))
     driver.feed(Tick())
     driver.feed(RecordRead(record or evened_out(fleet(NAIDU, 4)), Revision(5)))
--- a/fireflyfork/decisions/tests/test_ownership.py
+++ b/fireflyfork/decisions/tests/test_ownership.py
@@ -167,7 +167,7 @@
 
 
 class WeakerRulesTest(unittest.TestCase):
-    """The simulation with one rule weakened, with the first seed for which a search found a fault."""
+    """The simulation with one rule weakened, with the first seed that showed a violation."""
 
     def test_each_rule_is_needed(self) -> None:
         """Each weakened rule leads to two owners, which shows that the simulation detects them."""
--- a/fireflyfork/decisions/tests/test_partition_machine.py
+++ b/fireflyfork/decisions/tests/test_partition_machine.py
@@ -85,7 +85,7 @@
 
     @rule(halfway=st.integers(0, 100), first=st.booleans())
     def die_and_go_on(self, halfway: int, first: bool) -> None:
-        """The owner fails, possibly after a round that was not stored, and its successor continues."""
+        """The owner fails, possibly after a round that was not stored; its successor continues."""
         if first:
             self.place()
             self.send_starts(delivered=True)
@@ -249,7 +249,7 @@
 
     @invariant()
     def no_task_vanishes(self) -> None:
-        """Each task of an accepted job is either counted as ended, or open and in exactly one queue."""
+        """Each task of an accepted job is counted as ended, or open and in exactly one queue."""
         table = self.partition.table
         open_tasks = Counter(task.job_id for task in table.tasks.values())
         for job in table.jobs.values():
--- a/fireflyfork/decisions/tests/test_retries.py
+++ b/fireflyfork/decisions/tests/test_retries.py
@@ -17,7 +17,7 @@
     """Single decisions, and the budget over generated histories."""
 
     def test_decisions(self) -> None:
-        """A non-idempotent request is retried only if it has not run, in time and within the budget."""
+        """A non-idempotent request is retried only if not run, in time and within the budget."""
         poor = RetryBudget(TERMS, 0.9)
         full = RetryBudget.full(TERMS)
         may = Verdict.MAY_HAVE_RUN
--- a/fireflyfork/decisions/tests/test_routing.py
+++ b/fireflyfork/decisions/tests/test_routing.py
@@ -62,7 +62,7 @@
         self.assertEqual(chosen.member_id, MemberId("c"))
 
     def test_the_link_is_metered(self) -> None:
-        """Without a budget, a region without room would send all of its traffic over the metered link."""
+        """Without a budget, a full region would send all of its traffic over the metered link."""
         far = figures("far", free=99, measured_at=NOW, region=VANUA)
         links = dict(LINKS)
         kinds = []
@@ -96,7 +96,7 @@
     def test_any_figures_give_a_usable_route(
         self, peers: list[tuple[int, int, float]], draw: tuple[float, float], forwarded: bool
     ) -> None:
-        """A route names a member exactly if it needs one, and a request is forwarded at most once."""
+        """A route names a member only if it needs one; a request is forwarded at most once."""
         said = tuple(
             figures(str(number), free, queued, NOW - age, VANUA if number % 2 else VITI)
             for number, (free, queued, age) in enumerate(peers)
--- a/fireflyfork/decisions/tests/test_slots.py
+++ b/fireflyfork/decisions/tests/test_slots.py
@@ -44,7 +44,7 @@
         self.assertEqual(_acquired(self.full, "c", HOLD).busy(HOLD), 1)
 
     def test_an_answer_that_comes_twice_frees_one_slot(self) -> None:
-        """A duplicate answer after the slot was reused must not free the slot of the new request."""
+        """A duplicate answer after the slot was reused must not free the new request's slot."""
         ledger = _acquired(self.full.release(RequestId("a")), "c", 1.0)
         self.assertIs(ledger.release(RequestId("a")), ledger)
         self.assertIs(
