--- a/bench/journal.py
+++ b/bench/journal.py
@@ -26,7 +26,7 @@
     WorkerId,
 )
 from fireflyfork.decisions import (
-    SLOTS,
+    RING_SLOTS,
     AttemptOutcome,
     CancelRequested,
     DurableChange,
@@ -178,7 +178,7 @@
         f"{(apply_seconds + encode_seconds + snapshot_seconds) / seconds:.2%} of a core"
     )
     print(
-        f"  recovery: 1 + {len(recent)} reads (at most {SLOTS + 1}), "
+        f"  recovery: 1 + {len(recent)} reads (at most {RING_SLOTS + 1}), "
         f"{1000 * recovery:.0f} ms of processor time"
     )
 
--- a/bench/overload_model.py
+++ b/bench/overload_model.py
@@ -27,13 +27,13 @@
     AdmissionKind,
     AdmissionQueue,
     FailedAttempt,
-    MemberFigures,
+    MemberLoad,
     OwnTarget,
     RetryBudget,
     RetryDecision,
     RetryTerms,
+    RouteInput,
     RouteKind,
-    RouteQuestion,
     ServiceTime,
     SlotLedger,
     SlotTerms,
@@ -127,7 +127,7 @@
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._owners = self._build_owners()
         self._budgets = [RetryBudget.full(RetryTerms()) for _ in range(ENTRIES)]
-        self._figures: list[dict[int, MemberFigures]] = [{} for _ in range(ENTRIES)]
+        self._figures: list[dict[int, MemberLoad]] = [{} for _ in range(ENTRIES)]
         self._turns = [0] * ENTRIES
 
     def run(self) -> Outcomes:
@@ -198,10 +198,10 @@
         member = chosen.member_id
         return (request.entry if member is None else int(member)), 0.0
 
-    def _question(self, request: ModelRequest) -> RouteQuestion:
+    def _question(self, request: ModelRequest) -> RouteInput:
         own = self._owners[request.entry]
         time_left = request.deadline - self._now - own.admission.service_time.expected
-        return RouteQuestion(
+        return RouteInput(
             region=REGION,
             own=[OwnTarget(name, ledger.free(self._now)) for name, ledger in own.ledgers.items()],
             queued=self._queued(own),
@@ -233,7 +233,7 @@
         state = self._owners[owner]
         free = sum(ledger.free(self._now) for ledger in state.ledgers.values())
         drain = state.admission.drain_per_second(_slots(state), self._now)
-        self._figures[entry][owner] = MemberFigures(
+        self._figures[entry][owner] = MemberLoad(
             MemberId(str(owner)), REGION, free, self._queued(state), drain, self._now
         )
 
--- a/bench/ownership_costs.py
+++ b/bench/ownership_costs.py
@@ -18,13 +18,13 @@
 from fireflyfork import ConfigurationVersion, MemberId, Revision
 from fireflyfork.adapters import encode_content
 from fireflyfork.decisions import FleetRecord, GuardAnswer, Member, encode_fleet
-from fireflyfork.decisions.tests.builders_fleet import evened_out, fleet, member
+from fireflyfork.decisions.tests.builders_fleet import balanced, fleet, member
 from fireflyfork.decisions.tests.builders_ownership import (
-    NAIDU_PLACES,
     NO_FAULTS,
+    SIX_PLACES,
     FleetSimulation,
     Process,
-    letter_places,
+    large_fleet_places,
 )
 from fireflyfork.programs._guard_channel import GuardQuestion, GuardReply
 
@@ -39,9 +39,9 @@
 
 
 _FLEETS = {
-    "6 entries, 2 regions": NAIDU_PLACES,
-    "9 entries, 2 regions": (*NAIDU_PLACES, "viti/suva", "viti/nadi", "vanua/labasa"),
-    "18 entries, 7 regions": letter_places(18),
+    "6 entries, 2 regions": SIX_PLACES,
+    "9 entries, 2 regions": (*SIX_PLACES, "viti/suva", "viti/nadi", "vanua/labasa"),
+    "18 entries, 7 regions": large_fleet_places(18),
 }
 
 
@@ -113,13 +113,13 @@
 
     def sized(members: int, partitions: int) -> int:
         newcomers = [_named(number) for number in range(members)]
-        return len(encode_fleet(evened_out(fleet(newcomers, partitions))))
+        return len(encode_fleet(balanced(fleet(newcomers, partitions))))
 
     empty = len(encode_fleet(FleetRecord()))
     per_member = (sized(18, 32) - sized(9, 32)) / 9
     per_partition = (sized(9, 128) - sized(9, 32)) / 96
-    newcomers = [_named(number, place) for number, place in enumerate(letter_places(18))]
-    letter = len(encode_fleet(evened_out(fleet(newcomers, 32))))
+    newcomers = [_named(number, place) for number, place in enumerate(large_fleet_places(18))]
+    letter = len(encode_fleet(balanced(fleet(newcomers, 32))))
     return empty, per_member, per_partition, letter
 
 
--- a/bench/ownership_search.py
+++ b/bench/ownership_search.py
@@ -31,9 +31,9 @@
 from fireflyfork.decisions import _fleet_changes as changes
 from fireflyfork.decisions import _membership_guards as guards
 from fireflyfork.decisions.tests.builders_ownership import (
-    NAIDU_PLACES,
+    SIX_PLACES,
     FleetSimulation,
-    letter_places,
+    large_fleet_places,
 )
 from fireflyfork.decisions.tests.builders_rights import (
     AcknowledgesWithoutRight,
@@ -180,11 +180,11 @@
         for number, variant in enumerate(VARIANTS):
             seeds = range(chosen_runs if number == 0 else runs)
             began = time.perf_counter()
-            run = partial(run_one, number, NAIDU_PLACES)
+            run = partial(run_one, number, SIX_PLACES)
             outcomes = list(pool.map(run, seeds, chunksize=10))
             _print(variant, outcomes, time.perf_counter() - began)
         began = time.perf_counter()
-        run = partial(run_one, 0, letter_places(18))
+        run = partial(run_one, 0, large_fleet_places(18))
         outcomes = list(pool.map(run, range(letter_runs), chunksize=5))
         letter = replace(VARIANTS[0], name="chosen, 18 members over 7 regions")
         _print(letter, outcomes, time.perf_counter() - began)
--- a/bench/request_decisions.py
+++ b/bench/request_decisions.py
@@ -17,11 +17,11 @@
     KeyTable,
     KeyTerms,
     LinkBudget,
-    MemberFigures,
+    MemberLoad,
     OwnTarget,
     RetryBudget,
     RetryTerms,
-    RouteQuestion,
+    RouteInput,
     ServiceTime,
     SlotLedger,
     SlotTerms,
@@ -79,13 +79,13 @@
 
 def _routes(own_free: int) -> Callable[[int], object]:
     peers = tuple(
-        MemberFigures(MemberId(f"e{number}"), REGION, number, 0, 100.0, NOW) for number in range(8)
+        MemberLoad(MemberId(f"e{number}"), REGION, number, 0, 100.0, NOW) for number in range(8)
     )
     links: dict[RegionName, LinkBudget] = {}
 
     def decide(number: int) -> object:
         own = [OwnTarget(TargetId(f"t{target}"), own_free) for target in range(3)]
-        question = RouteQuestion(REGION, own, 2, 100.0, peers, 1.0, 900, False, (0.3, 0.6))
+        question = RouteInput(REGION, own, 2, 100.0, peers, 1.0, 900, False, (0.3, 0.6))
         return route(question, links, NOW)
 
     return decide
--- a/fireflyfork/decisions/_admission.py
+++ b/fireflyfork/decisions/_admission.py
@@ -13,19 +13,19 @@
 
 from .._ids import MemberId, RequestId
 
-LEARNING_SHARE = 1 / 16
+SMOOTHING_FACTOR = 1 / 16
 """Weight of the latest sample in the moving averages of the service time."""
 
-DEVIATIONS = 2.0
+MARGIN_DEVIATIONS = 2.0
 """Number of mean deviations added to the mean to get the expected service time."""
 
 STALL_FACTOR = 4.0
 """A service counts as stalled after this many expected intervals without an answer."""
 
-PERSISTENT_SECONDS = 0.5
+OVERLOAD_SECONDS = 0.5
 """A queue that has been non-empty for longer than this many seconds indicates overload."""
 
-OVERLOAD_WAIT = 0.5
+MAX_OVERLOAD_WAIT_FACTOR = 0.5
 """Maximum wait under overload, as a multiple of the mean service time.
 
 Under overload the queue always holds a next request, so a longer queue doesn't raise throughput; it
@@ -44,14 +44,14 @@
     @property
     def expected(self) -> float:
         """Service time to assume for one request: the mean plus a safety margin."""
-        return self.mean + DEVIATIONS * self.deviation
+        return self.mean + MARGIN_DEVIATIONS * self.deviation
 
-    def learn(self, seconds: float) -> ServiceTime:
+    def with_sample(self, seconds: float) -> ServiceTime:
         """Return the averages updated with a request that took ``seconds``."""
         error = seconds - self.mean
         return ServiceTime(
-            self.mean + LEARNING_SHARE * error,
-            self.deviation + LEARNING_SHARE * (abs(error) - self.deviation),
+            self.mean + SMOOTHING_FACTOR * error,
+            self.deviation + SMOOTHING_FACTOR * (abs(error) - self.deviation),
         )
 
 
@@ -96,13 +96,13 @@
 class AdmissionQueue:
     """The queued requests in order of deadline, and the state that predicts their throughput."""
 
-    longest: int
+    max_waiting: int
     """Maximum number of queued requests."""
     service_time: ServiceTime
     waiting: tuple[WaitingRequest, ...] = ()
     last_answer_at: float = 0.0
     """Time of the latest answer of an executor, or when the queue became non-empty, if later."""
-    filling_since: float = 0.0
+    nonempty_since: float = 0.0
     """Time at which the queue last became non-empty."""
 
     def offer(
@@ -117,10 +117,10 @@
         if not self.waiting:
             if free > 0 and now + self.service_time.expected <= request.deadline:
                 return self, AdmissionDecision(AdmissionKind.RUN)
-            queue = self._started_filling(now)
+            queue = self._marked_nonempty(now)
         else:
             queue, overdue = self.expire(now)
-        return queue._place(request, overdue, usable, now)
+        return queue._enqueue_or_refuse(request, overdue, usable, now)
 
     def take(self, now: float) -> tuple[AdmissionQueue, WaitingRequest | None]:
         """Dequeue the request with the earliest deadline. Call ``expire`` first."""
@@ -147,13 +147,13 @@
 
     def withdraw(self, request_id: RequestId) -> AdmissionQueue:
         """Remove a request whose caller has disconnected or given up."""
-        waiting = tuple(other for other in self.waiting if other.request_id != request_id)
+        waiting = tuple(request for request in self.waiting if request.request_id != request_id)
         return replace(self, waiting=waiting)
 
     def answered(self, seconds: float, now: float) -> AdmissionQueue:
         """Record an answer that arrived ``seconds`` after its request was sent."""
-        learned = self.service_time.learn(seconds)
-        return AdmissionQueue(self.longest, learned, self.waiting, now, self.filling_since)
+        learned = self.service_time.with_sample(seconds)
+        return AdmissionQueue(self.max_waiting, learned, self.waiting, now, self.nonempty_since)
 
     def drain_per_second(self, usable: int, now: float) -> float:
         """Return the expected number of requests completed per second while the queue is non-empty.
@@ -177,7 +177,7 @@
             return self.service_time.expected
         return (len(self.waiting) + 1) / drain
 
-    def _place(
+    def _enqueue_or_refuse(
         self,
         request: WaitingRequest,
         overdue: tuple[RefusedRequest, ...],
@@ -185,13 +185,13 @@
         now: float,
     ) -> tuple[AdmissionQueue, AdmissionDecision]:
         placed = self._inserted(request)
-        if placed._has_room_for(request, usable, now):
+        if placed._can_meet_deadlines(request, usable, now):
             return placed, AdmissionDecision(AdmissionKind.QUEUE, overdue)
         retry_after = self.retry_after(usable, now)
         displaced = self._displaced_by(request)
         if displaced is not None:
             swapped = placed.withdraw(displaced.request_id)
-            if swapped._has_room_for(request, usable, now):
+            if swapped._can_meet_deadlines(request, usable, now):
                 refused = (*overdue, RefusedRequest(displaced, retry_after))
                 return swapped, AdmissionDecision(AdmissionKind.QUEUE, refused)
         refused = (*overdue, RefusedRequest(request, retry_after))
@@ -206,14 +206,14 @@
         be refused.
         """
         counts: dict[MemberId, int] = {}
-        for other in self.waiting:
-            counts[other.entry] = counts.get(other.entry, 0) + 1
+        for queued in self.waiting:
+            counts[queued.entry] = counts.get(queued.entry, 0) + 1
         if not counts:
             return None
-        greediest = max(counts, key=lambda entry: counts[entry])
-        if counts[greediest] <= counts.get(request.entry, 0) + 1:
+        largest_entry = max(counts, key=lambda entry: counts[entry])
+        if counts[largest_entry] <= counts.get(request.entry, 0) + 1:
             return None
-        return next(other for other in reversed(self.waiting) if other.entry == greediest)
+        return next(queued for queued in reversed(self.waiting) if queued.entry == largest_entry)
 
     def _inserted(self, request: WaitingRequest) -> AdmissionQueue:
         place = len(self.waiting)
@@ -222,32 +222,32 @@
         waiting = (*self.waiting[:place], request, *self.waiting[place:])
         return replace(self, waiting=waiting)
 
-    def _has_room_for(self, request: WaitingRequest, usable: int, now: float) -> bool:
+    def _can_meet_deadlines(self, request: WaitingRequest, usable: int, now: float) -> bool:
         """Return whether the queued ``request`` can finish in time.
 
         This includes that it doesn't delay a request behind it past its deadline.
         """
         drain = self.drain_per_second(usable, now)
-        if len(self.waiting) > self.longest or drain <= 0:
+        if len(self.waiting) > self.max_waiting or drain <= 0:
             return False
         gap = 1.0 / drain
         place = self.waiting.index(request)
-        if gap * (place + 1) > self._longest_wait(now):
+        if gap * (place + 1) > self._max_wait(now):
             return False
         ends = now + self.service_time.expected + gap * (place + 1)
         if ends > request.deadline:
             return False
-        for other in self.waiting[place + 1 :]:
-            in_time_without = ends <= other.deadline
+        for follower in self.waiting[place + 1 :]:
+            in_time_without = ends <= follower.deadline
             ends += gap
-            if in_time_without and ends > other.deadline:
+            if in_time_without and ends > follower.deadline:
                 return False
         return True
 
-    def _longest_wait(self, now: float) -> float:
-        if now - self.filling_since < PERSISTENT_SECONDS:
+    def _max_wait(self, now: float) -> float:
+        if now - self.nonempty_since < OVERLOAD_SECONDS:
             return float("inf")
-        return OVERLOAD_WAIT * self.service_time.mean
+        return MAX_OVERLOAD_WAIT_FACTOR * self.service_time.mean
 
-    def _started_filling(self, now: float) -> AdmissionQueue:
-        return AdmissionQueue(self.longest, self.service_time, (), now, now)
+    def _marked_nonempty(self, now: float) -> AdmissionQueue:
+        return AdmissionQueue(self.max_waiting, self.service_time, (), now, now)
--- a/fireflyfork/decisions/_attempts.py
+++ b/fireflyfork/decisions/_attempts.py
@@ -43,11 +43,11 @@
 class LeaseState:
     """State of the leases of a partition's attempts. Times are on the planner's clock."""
 
-    takeover: float
+    taken_over_at: float
     """Time at which this owner took over the partition."""
-    reported: Mapping[RegionName, float]
+    region_reported_at: Mapping[RegionName, float]
     """Request time of the latest report received for each region."""
-    heard: Mapping[WorkerId, float]
+    worker_reported_at: Mapping[WorkerId, float]
     """Time of the latest report on each worker; the takeover counts for a worker not listed."""
     fenced: Mapping[AttemptKey, float]
     """Time at which the platform confirmed the order to stop each fenced attempt."""
@@ -76,19 +76,19 @@
     return iter(latest.values())
 
 
-def judge_report(table: TaskTable, run: RunReport, now: float) -> TableChange | StaleRun | None:
+def evaluate_report(table: TaskTable, run: RunReport, now: float) -> TableChange | StaleRun | None:
     """Return the change implied by a report; None if outdated or for another partition."""
     task = table.tasks.get(run.task_id)
     if task is not None and task.holds_reservation and task.attempt == run.attempt:
-        return _change_of(task, run, now)
-    if task is not None and _finished_after_all(task, run):
-        return end_of(task, AttemptOutcome.FINISHED, now, 1.0, run.reason)
+        return _change_from_report(task, run, now)
+    if task is not None and _finished_while_silent(task, run):
+        return attempt_end(task, AttemptOutcome.FINISHED, now, 1.0, run.reason)
     if run.state is RunState.RUNNING and _is_fenced(table, task, run):
         return StaleRun(run.task_id, run.attempt)
     return None
 
 
-def _finished_after_all(task: Task, run: RunReport) -> bool:
+def _finished_while_silent(task: Task, run: RunReport) -> bool:
     # A worker that stopped reporting may have finished the task before its lease lapsed, and may
     # report this when it reconnects. If no further attempt has started, the result is accepted,
     # since another attempt would only repeat the work.
@@ -96,14 +96,14 @@
     return waiting and run.state is RunState.FINISHED
 
 
-def _change_of(task: Task, run: RunReport, now: float) -> TableChange:
+def _change_from_report(task: Task, run: RunReport, now: float) -> TableChange:
     if run.state is RunState.RUNNING:
         return StateObserved(run.task_id, run.attempt, TaskState.RUNNING, now, run.progress)
     outcome = _OUTCOMES[run.state]
-    return end_of(task, outcome, now, run.progress, run.reason)
+    return attempt_end(task, outcome, now, run.progress, run.reason)
 
 
-def end_of(
+def attempt_end(
     task: Task, outcome: AttemptOutcome, now: float, progress: float, reason: str
 ) -> EndRecorded:
     """Return the record that ends the task's current attempt."""
@@ -120,16 +120,16 @@
     return job_of_task(run.task_id) in table.jobs
 
 
-def hear(leases: LeaseState, runs: Iterable[RunReport], now: float) -> LeaseState:
+def record_worker_reports(leases: LeaseState, runs: Iterable[RunReport], now: float) -> LeaseState:
     """Record that the workers in ``runs`` were reported on at ``now``."""
-    heard = dict(leases.heard)
+    heard = dict(leases.worker_reported_at)
     heard.update((run.worker_id, now) for run in runs)
-    return replace(leases, heard=heard)
+    return replace(leases, worker_reported_at=heard)
 
 
-def hear_region(leases: LeaseState, region: RegionName, asked: float) -> LeaseState:
+def record_region_report(leases: LeaseState, region: RegionName, asked: float) -> LeaseState:
     """Record a complete report on a region that was requested at ``asked``."""
-    return replace(leases, reported={**leases.reported, region: asked})
+    return replace(leases, region_reported_at={**leases.region_reported_at, region: asked})
 
 
 def is_silent(
@@ -142,7 +142,7 @@
     """
     if task.worker_id is None:
         return False
-    heard = leases.heard.get(task.worker_id, leases.takeover)
+    heard = leases.worker_reported_at.get(task.worker_id, leases.taken_over_at)
     return reported_until(task, leases, workers) - max(heard, task.since) > rules.silence
 
 
@@ -150,27 +150,29 @@
     """Return the time up to which an end of the attempt would have been reported."""
     worker = None if task.worker_id is None else workers.get(task.worker_id)
     if worker is None:
-        return min(leases.reported.values(), default=leases.takeover)
-    return leases.reported.get(worker.region, leases.takeover)
+        return min(leases.region_reported_at.values(), default=leases.taken_over_at)
+    return leases.region_reported_at.get(worker.region, leases.taken_over_at)
 
 
-def to_renew(table: TaskTable, leases: LeaseState) -> tuple[tuple[TaskId, AttemptNumber], ...]:
+def attempts_to_renew(
+    table: TaskTable, leases: LeaseState
+) -> tuple[tuple[TaskId, AttemptNumber], ...]:
     """Return the attempts whose leases must be renewed now: all that are not fenced."""
     return tuple(
         (task.task_id, task.attempt)
-        for task in table.holding()
+        for task in table.tasks_holding_reservation()
         if (task.task_id, task.attempt) not in leases.fenced
     )
 
 
-def fence(leases: LeaseState, key: AttemptKey, now: float) -> LeaseState:
+def fence_attempt(leases: LeaseState, key: AttemptKey, now: float) -> LeaseState:
     """Record that the platform confirmed the order to stop an attempt."""
     if key in leases.fenced:
         return leases
     return replace(leases, fenced={**leases.fenced, key: now})
 
 
-def forget_ended(table: TaskTable, leases: LeaseState) -> LeaseState:
+def remove_ended_fences(table: TaskTable, leases: LeaseState) -> LeaseState:
     """Remove the fences of attempts that have ended."""
     kept = {
         (task_id, attempt): since
@@ -180,7 +182,7 @@
     return leases if len(kept) == len(leases.fenced) else replace(leases, fenced=kept)
 
 
-def lapsed(
+def lapsed_attempts(
     table: TaskTable,
     leases: LeaseState,
     workers: Mapping[WorkerId, Worker],
@@ -203,7 +205,7 @@
         task = table.tasks[task_id]
         if reported_until(task, leases, workers) >= since + rules.lease + rules.margin:
             reason = f"worker {task.worker_id} fell silent and the lease has lapsed"
-            yield end_of(task, AttemptOutcome.LAPSED, now, task.progress, reason)
+            yield attempt_end(task, AttemptOutcome.LAPSED, now, task.progress, reason)
 
 
 def _is_open(table: TaskTable, task_id: TaskId, attempt: AttemptNumber) -> bool:
--- a/fireflyfork/decisions/_command_checks.py
+++ b/fireflyfork/decisions/_command_checks.py
@@ -39,7 +39,7 @@
         self._now = now
         self._reserved: dict[WorkerId, Resources] = {}
         self._team_reserved: dict[TeamName, Resources] = {}
-        self._touched: set[TaskId] = set()
+        self._changed_tasks: set[TaskId] = set()
         self._starts = 0
         self._dropped = 0
 
@@ -55,12 +55,12 @@
             if change is None:
                 self._dropped += 1
             else:
-                self._touched.add(command.task_id)
+                self._changed_tasks.add(command.task_id)
                 yield change
 
     def _change(self, command: PlacementCommand) -> TableChange | None:
         task = self._partition.table.tasks.get(command.task_id)
-        if task is None or command.task_id in self._touched:
+        if task is None or command.task_id in self._changed_tasks:
             return None
         if isinstance(command, Start):
             return self._start(command, task)
--- a/fireflyfork/decisions/_concurrency.py
+++ b/fireflyfork/decisions/_concurrency.py
@@ -12,13 +12,13 @@
 
 from dataclasses import dataclass
 
-WINDOW = 32
+WINDOW_ANSWERS = 32
 """Number of answers averaged before each adjustment of the limit by one."""
 
 SLOW_FACTOR = 2.0
 """The limit is lowered if the average latency exceeds the baseline by this factor."""
 
-QUICK_FACTOR = 1.5
+FAST_FACTOR = 1.5
 """The limit is raised if the average latency is below the baseline times this factor.
 
 The gap to ``SLOW_FACTOR`` is the hysteresis that prevents oscillation.
@@ -27,7 +27,7 @@
 BASELINE_DRIFT = 1.02
 """The baseline grows by this factor with each window, so that it adapts to a lasting change."""
 
-SMALLEST_SHARE = 4
+MIN_LIMIT_DIVISOR = 4
 """The limit never falls below the number of slots divided by this."""
 
 
@@ -51,7 +51,7 @@
     def answered(self, seconds: float) -> ConcurrencyLimit:
         """Record an answer that took ``seconds``."""
         total, answers = self.sum_seconds + seconds, self.answers + 1
-        if answers < WINDOW:
+        if answers < WINDOW_ANSWERS:
             return ConcurrencyLimit(self.slots, self.limit, self.baseline_seconds, total, answers)
         return self._after_window(total / answers)
 
@@ -60,7 +60,7 @@
         baseline = min(average, aged) if aged > 0 else average
         limit = self.limit
         if average > SLOW_FACTOR * baseline:
-            limit = max(limit - 1, 1, self.slots // SMALLEST_SHARE)
-        elif average < QUICK_FACTOR * baseline:
+            limit = max(limit - 1, 1, self.slots // MIN_LIMIT_DIVISOR)
+        elif average < FAST_FACTOR * baseline:
             limit = min(limit + 1, self.slots)
         return ConcurrencyLimit(self.slots, limit, baseline)
--- a/fireflyfork/decisions/_configuration_register.py
+++ b/fireflyfork/decisions/_configuration_register.py
@@ -20,7 +20,7 @@
 CONFIGURATION_KEY = "configuration"
 """The store key of the configuration."""
 
-_LONGEST_HISTORY = 64
+_MAX_HISTORY = 64
 """Number of change ids stored with the value; at 2,000 changes a day, at least half an hour's."""
 
 NO_VERSION = ConfigurationVersion(0)
@@ -62,7 +62,7 @@
     """The configuration that one entry holds, and the progress of its start."""
 
     held: ConfigurationOffer | None = None
-    waiting_for: frozenset[MemberId] = frozenset()
+    pending_peers: frozenset[MemberId] = frozenset()
     """Peers that were queried at the start and have neither answered nor failed yet."""
     store_answered: bool = False
 
@@ -78,15 +78,15 @@
         After a restart, an entry doesn't rely on one peer while the store or another peer may have
         a higher version: it might serve an older configuration than before the restart.
         """
-        return self.held is not None and (self.store_answered or not self.waiting_for)
+        return self.held is not None and (self.store_answered or not self.pending_peers)
 
 
 def begin_register(peers: Collection[MemberId]) -> RegisterState:
     """Return the state of an entry that has just started and queries the store and ``peers``."""
-    return RegisterState(waiting_for=frozenset(peers))
+    return RegisterState(pending_peers=frozenset(peers))
 
 
-def consider(
+def merge_offer(
     state: RegisterState, offer: ConfigurationOffer, source: OfferSource
 ) -> tuple[RegisterState, OfferOutcome]:
     """Adopt an offer if its version is higher than the one held.
@@ -108,14 +108,14 @@
     return state, OfferOutcome.CONFLICT
 
 
-def store_is_empty(state: RegisterState) -> RegisterState:
+def record_empty_store(state: RegisterState) -> RegisterState:
     """Record that the store answered and holds no configuration yet."""
     return replace(state, store_answered=True)
 
 
-def peer_done(state: RegisterState, peer: MemberId) -> RegisterState:
+def record_peer_finished(state: RegisterState, peer: MemberId) -> RegisterState:
     """Record that a peer queried at the start has answered or can't be reached."""
-    return replace(state, waiting_for=state.waiting_for - {peer})
+    return replace(state, pending_peers=state.pending_peers - {peer})
 
 
 class ApplyPhase(Enum):
@@ -184,7 +184,7 @@
         version=ConfigurationVersion(max(state.base, state.highest_seen) + 1),
         change_id=state.change_id,
         value=state.value,
-        history=history[:_LONGEST_HISTORY],
+        history=history[:_MAX_HISTORY],
     )
 
 
--- a/fireflyfork/decisions/_connections.py
+++ b/fireflyfork/decisions/_connections.py
@@ -22,16 +22,16 @@
 class ConnectionTerms:
     """Limits on idle connections and quarantines. All times are in seconds."""
 
-    proof_lasts: float = 2.0
+    trusted_seconds: float = 2.0
     """Time since its verification for which a connection may carry a non-idempotent request."""
-    longest_idle: float = 20.0
+    max_idle_seconds: float = 20.0
     """Time since its verification after which an idle connection is closed."""
     silence_seconds: float = 5.0
     """Time without progress of a request after which its connection counts as silent."""
-    shortest_quarantine: float = 0.25
+    min_quarantine_seconds: float = 0.25
     """First quarantine of a path whose new connections fail too; doubled with each failure."""
-    longest_quarantine: float = 8.0
-    most_idle: int = 8
+    max_quarantine_seconds: float = 8.0
+    max_idle_connections: int = 8
     """Maximum number of idle connections; the least recently verified are closed first."""
 
 
@@ -40,7 +40,7 @@
     """A connection in the pool that no request uses."""
 
     connection_id: ConnectionId
-    proved_at: float
+    verified_at: float
     """Time of the latest received data: an answer, the answer to a probe, or the handshake."""
 
 
@@ -93,10 +93,10 @@
 
     def choose(self, idempotent: bool, now: float) -> tuple[ConnectionPool, ConnectionDecision]:
         """Choose a connection for one request."""
-        expired = tuple(self._unproved_for(self.terms.longest_idle, now))
+        expired = tuple(self._unverified_for(self.terms.max_idle_seconds, now))
         kept = self.idle[len(expired) :]
-        trusted_for = self.terms.longest_idle if idempotent else self.terms.proof_lasts
-        if kept and now - kept[-1].proved_at <= trusted_for:
+        trusted_for = self.terms.max_idle_seconds if idempotent else self.terms.trusted_seconds
+        if kept and now - kept[-1].verified_at <= trusted_for:
             latest = kept[-1].connection_id
             reuse = ConnectionDecision(ConnectionChoice.REUSE, latest, expired)
             return self._with_idle(kept[:-1]), reuse
@@ -109,7 +109,7 @@
         # requests would be refused for lack of a connection while slots are free.
         replaced = tuple(connection.connection_id for connection in kept[:1])
         opened = ConnectionDecision(ConnectionChoice.OPEN, None, expired + replaced)
-        return self._after_trial(now)._with_idle(kept[1:]), opened
+        return self._with_probe_started(now)._with_idle(kept[1:]), opened
 
     def opened(self) -> ConnectionPool:
         """Record that a new connection was set up.
@@ -134,9 +134,9 @@
         """
         if connection_id <= self.suspected_up_to:
             return self, (connection_id,)
-        others = (c for c in self.idle if c.connection_id != connection_id)
-        idle = (*others, IdleConnection(connection_id, now))
-        surplus = max(0, len(idle) - self.terms.most_idle)
+        remaining = (c for c in self.idle if c.connection_id != connection_id)
+        idle = (*remaining, IdleConnection(connection_id, now))
+        surplus = max(0, len(idle) - self.terms.max_idle_connections)
         close = tuple(c.connection_id for c in idle[:surplus])
         return self._working()._with_idle(idle[surplus:]), close
 
@@ -162,10 +162,10 @@
             return pool._quarantined(PathState.SILENT, now), close
         return replace(pool, state=PathState.RENEWING), close
 
-    def _unproved_for(self, seconds: float, now: float) -> Iterator[ConnectionId]:
-        return (c.connection_id for c in self.idle if now - c.proved_at > seconds)
+    def _unverified_for(self, seconds: float, now: float) -> Iterator[ConnectionId]:
+        return (c.connection_id for c in self.idle if now - c.verified_at > seconds)
 
-    def _after_trial(self, now: float) -> ConnectionPool:
+    def _with_probe_started(self, now: float) -> ConnectionPool:
         """Extend the quarantine while one request probes a path whose new connections failed.
 
         The quarantine is extended before the outcome is known. Otherwise all requests that arrive
@@ -181,8 +181,8 @@
         return replace(failed, quarantined_until=now + failed._quarantine_seconds())
 
     def _quarantine_seconds(self) -> float:
-        doubled = self.terms.shortest_quarantine * 2.0 ** min(self.failures - 1, 16)
-        return min(doubled, self.terms.longest_quarantine)
+        doubled = self.terms.min_quarantine_seconds * 2.0 ** min(self.failures - 1, 16)
+        return min(doubled, self.terms.max_quarantine_seconds)
 
     def _working(self) -> ConnectionPool:
         if self.state is PathState.WORKING:
--- a/fireflyfork/decisions/_fleet.py
+++ b/fireflyfork/decisions/_fleet.py
@@ -156,7 +156,7 @@
     return RegionName(partition.rpartition("/")[0])
 
 
-_NOBODY = -1
+_NO_OWNER = -1
 _ACQUISITIONS = tuple(Acquisition)
 
 
@@ -189,7 +189,7 @@
     """Encode a record in the stored form."""
     names = [*record.members, *record.fenced]
     indexes: dict[MemberId | None, int] = {name: index for index, name in enumerate(names)}
-    indexes[None] = _NOBODY
+    indexes[None] = _NO_OWNER
     owners: dict[str, list[tuple[int, int, int, list[tuple[str, int, float]]]]] = {}
     for region in dict.fromkeys(map(region_of, record.owners)):
         for number in range(record.partitions_per_region):
@@ -228,7 +228,7 @@
     names += [entry.member.member_id for entry in fenced]
     owners = {
         partition_id(RegionName(region), number): Ownership(
-            owner=None if index == _NOBODY else names[index],
+            owner=None if index == _NO_OWNER else names[index],
             since=Epoch(since),
             acquired=_ACQUISITIONS[acquired],
             occupied=tuple(
--- a/fireflyfork/decisions/_fleet_changes.py
+++ b/fireflyfork/decisions/_fleet_changes.py
@@ -29,7 +29,7 @@
     region_of,
 )
 
-Occupied = Mapping[PartitionId, tuple[OccupiedSlots, ...]]
+OccupiedByPartition = Mapping[PartitionId, tuple[OccupiedSlots, ...]]
 """The slots that may still be occupied in each partition that is handed over."""
 
 _SAME_REGION, _SAME_FAILURE_DOMAIN, _OTHER_REGION = range(3)
@@ -53,7 +53,7 @@
     guard each other can renew each other's right after a pause during a store outage, which longer
     cycles of guards can't always do.
     """
-    wards = Counter(other.guard for other in members.values())
+    wards = Counter(peer.guard for peer in members.values())
 
     def preference(candidate: Member) -> tuple[int, bool, int, MemberId]:
         return (
@@ -64,13 +64,13 @@
         )
 
     candidates = (
-        other for name, other in members.items() if name != member.member_id and name not in avoid
+        peer for name, peer in members.items() if name != member.member_id and name not in avoid
     )
     best = min(candidates, key=preference, default=None)
     return best.member_id if best is not None else None
 
 
-def choose_partner(members: Mapping[MemberId, Member], member: Member) -> MemberId | None:
+def choose_mutual_guard(members: Mapping[MemberId, Member], member: Member) -> MemberId | None:
     """Return a ward that should replace the member's guard, or None if there is none.
 
     The ward ranks at least as well as the current guard, which is not itself a ward. After the
@@ -82,9 +82,8 @@
         return None
     wards = (
         name
-        for name, other in members.items()
-        if other.guard == member.member_id
-        and guard_rank(member, other) <= guard_rank(member, guard)
+        for name, ward in members.items()
+        if ward.guard == member.member_id and guard_rank(member, ward) <= guard_rank(member, guard)
     )
     return min(wards, default=None)
 
@@ -102,13 +101,13 @@
         return None
     members = {**record.members, name: newcomer}
     changed = replace(record, members=members)
-    for predecessor in _at_address_of(record, newcomer):
-        changed = _without(changed, predecessor, newcomer)
+    for predecessor in _members_at_address(record, newcomer):
+        changed = _with_removed(changed, predecessor, newcomer)
     members = dict(changed.members)
-    for other in list(members.values()):
-        if other.guard is None and other.member_id != name:
-            members[other.member_id] = _guarded(record, other, name)
-    members[name] = _guarded(record, newcomer, choose_guard(members, newcomer))
+    for member in list(members.values()):
+        if member.guard is None and member.member_id != name:
+            members[member.member_id] = _with_guard(record, member, name)
+    members[name] = _with_guard(record, newcomer, choose_guard(members, newcomer))
     fenced = {
         member_id: replace(entry, taker=name) if entry.taker is None else entry
         for member_id, entry in changed.fenced.items()
@@ -121,7 +120,7 @@
     for partition, ownership in owners.items():
         if ownership.owner is None:
             owners[partition] = replace(ownership, owner=name, since=epoch)
-    return _next(replace(changed, members=members, fenced=fenced, owners=owners), change_id)
+    return _next_epoch(replace(changed, members=members, fenced=fenced, owners=owners), change_id)
 
 
 def fence(
@@ -130,20 +129,20 @@
     """Mark a member as fenced. Only its guard may do this."""
     if by not in record.members or record.guard_of(ward) != by:
         return None
-    return _next(_fenced(record, ward, by), change_id)
+    return _next_epoch(_with_fenced(record, ward, by), change_id)
 
 
-def fence_gone(
-    record: FleetRecord, gone: MemberId, by: MemberId, change_id: ChangeId
+def fence_terminated(
+    record: FleetRecord, terminated: MemberId, by: MemberId, change_id: ChangeId
 ) -> FleetRecord | None:
     """Mark a terminated member as fenced, even if ``by`` is not its guard.
 
     This is safe only if the instance has really been terminated and its member id is never reused.
     The source must be an operator, or an instance list that never omits a live instance.
     """
-    if by not in record.members or gone not in record.members or gone == by:
+    if by not in record.members or terminated not in record.members or terminated == by:
         return None
-    return _next(_fenced(record, gone, by), change_id)
+    return _next_epoch(_with_fenced(record, terminated, by), change_id)
 
 
 def take_over(
@@ -154,7 +153,7 @@
     taker = record.members.get(by)
     if entry is None or taker is None or entry.taker != by:
         return None
-    return _next(_without(record, fenced, taker), change_id)
+    return _next_epoch(_with_removed(record, fenced, taker), change_id)
 
 
 def change_guard(
@@ -164,15 +163,15 @@
     member = record.members.get(member_id)
     if member is None or member.guard == guard:
         return None
-    members = {**record.members, member_id: _guarded(record, member, guard)}
-    return _next(replace(record, members=members), change_id)
+    members = {**record.members, member_id: _with_guard(record, member, guard)}
+    return _next_epoch(replace(record, members=members), change_id)
 
 
 def move(
     record: FleetRecord,
     giver: MemberId,
     receivers: Mapping[PartitionId, MemberId],
-    occupied: Occupied,
+    occupied: OccupiedByPartition,
     change_id: ChangeId,
 ) -> FleetRecord | None:
     """Transfer partitions from their owner, with the slots that its requests still occupy."""
@@ -185,26 +184,26 @@
         owners[partition] = Ownership(receiver, epoch, Acquisition.MOVED, busy)
     if giver not in record.members or not receivers:
         return None
-    return _next(replace(record, owners=owners), change_id)
+    return _next_epoch(replace(record, owners=owners), change_id)
 
 
 def leave(
-    record: FleetRecord, leaver: MemberId, occupied: Occupied, change_id: ChangeId
+    record: FleetRecord, leaver: MemberId, occupied: OccupiedByPartition, change_id: ChangeId
 ) -> FleetRecord | None:
     """Remove a member that hands over all of its partitions."""
     member = record.members.get(leaver)
     if member is None:
         return None
-    members = {name: other for name, other in record.members.items() if name != leaver}
+    members = {name: remaining for name, remaining in record.members.items() if name != leaver}
     guard = members.get(member.guard) if member.guard is not None else None
-    heir = guard or next(iter(members.values()), None)
-    changed = _reassigned(replace(record, members=members), leaver, heir)
+    fallback = guard or next(iter(members.values()), None)
+    changed = _with_duties_reassigned(replace(record, members=members), leaver, fallback)
     owners = dict(changed.owners)
     epoch = Epoch(record.epoch + 1)
-    for partition, receiver in _spread(changed, record.owned_by(leaver), heir).items():
+    for partition, receiver in _assign_evenly(changed, record.owned_by(leaver), fallback).items():
         busy = occupied.get(partition, ())
         owners[partition] = Ownership(receiver, epoch, Acquisition.MOVED, busy)
-    return _next(replace(changed, owners=owners), change_id)
+    return _next_epoch(replace(changed, owners=owners), change_id)
 
 
 def planned_moves(record: FleetRecord, giver: MemberId) -> dict[PartitionId, MemberId]:
@@ -225,19 +224,19 @@
 def _surplus_moves(
     record: FleetRecord, giver: MemberId, region: RegionName, owned: list[PartitionId]
 ) -> Iterable[tuple[PartitionId, MemberId]]:
-    home = _home_members(record, region)
-    if not home:
+    region_members = _members_in_region(record, region)
+    if not region_members:
         return
     counts = Counter(
         ownership.owner
         for partition, ownership in record.owners.items()
         if region_of(partition) == region
     )
-    base, extra = divmod(counts.total(), len(home))
-    largest_first = sorted(home, key=lambda name: (-counts[name], name))
+    base, extra = divmod(counts.total(), len(region_members))
+    largest_first = sorted(region_members, key=lambda name: (-counts[name], name))
     shares = {name: base + (rank < extra) for rank, name in enumerate(largest_first)}
     surplus = max(0, len(owned) - shares.get(giver, 0))
-    room = {name: shares[name] - counts[name] for name in home if name != giver}
+    room = {name: shares[name] - counts[name] for name in region_members if name != giver}
     for partition in owned[len(owned) - surplus :]:
         receiver = max(room, key=lambda name: (room[name], name), default=None)
         if receiver is None or room[receiver] <= 0:
@@ -246,42 +245,46 @@
         yield partition, receiver
 
 
-def _home_members(record: FleetRecord, region: RegionName) -> list[MemberId]:
+def _members_in_region(record: FleetRecord, region: RegionName) -> list[MemberId]:
     return sorted(name for name, member in record.members.items() if member.zone.region == region)
 
 
-def _at_address_of(record: FleetRecord, newcomer: Member) -> list[MemberId]:
+def _members_at_address(record: FleetRecord, newcomer: Member) -> list[MemberId]:
     present = [*record.members.values(), *(entry.member for entry in record.fenced.values())]
     return [member.member_id for member in present if member.address == newcomer.address]
 
 
-def _fenced(record: FleetRecord, ward: MemberId, by: MemberId) -> FleetRecord:
+def _with_fenced(record: FleetRecord, ward: MemberId, by: MemberId) -> FleetRecord:
     members = dict(record.members)
     member = members.pop(ward)
     fenced = {**record.fenced, ward: FencedMember(member, by)}
     return replace(record, members=members, fenced=fenced)
 
 
-def _without(record: FleetRecord, removed: MemberId, heir: Member) -> FleetRecord:
+def _with_removed(record: FleetRecord, removed: MemberId, fallback: Member) -> FleetRecord:
     """Remove a member whose right has expired, and reassign its partitions, wards and takeovers."""
     members = {name: member for name, member in record.members.items() if name != removed}
     fenced = {name: entry for name, entry in record.fenced.items() if name != removed}
-    changed = _reassigned(replace(record, members=members, fenced=fenced), removed, heir)
+    changed = _with_duties_reassigned(
+        replace(record, members=members, fenced=fenced), removed, fallback
+    )
     owners = dict(changed.owners)
     epoch = Epoch(record.epoch + 1)
-    for partition, receiver in _spread(changed, record.owned_by(removed), heir).items():
+    for partition, receiver in _assign_evenly(changed, record.owned_by(removed), fallback).items():
         owners[partition] = Ownership(receiver, epoch, Acquisition.TAKEN_OVER)
     return replace(changed, owners=owners)
 
 
-def _reassigned(record: FleetRecord, removed: MemberId, heir: Member | None) -> FleetRecord:
+def _with_duties_reassigned(
+    record: FleetRecord, removed: MemberId, fallback: Member | None
+) -> FleetRecord:
     """Choose new guards for a removed member's wards, and a new taker for members it fenced."""
     members = dict(record.members)
     for name, member in record.members.items():
         if member.guard == removed:
             guard = choose_guard(members, member, (removed,))
-            members[name] = _guarded(record, member, guard)
-    taker = heir.member_id if heir is not None else None
+            members[name] = _with_guard(record, member, guard)
+    taker = fallback.member_id if fallback is not None else None
     fenced = {
         name: replace(entry, taker=taker) if entry.taker == removed else entry
         for name, entry in record.fenced.items()
@@ -289,13 +292,13 @@
     return replace(record, members=members, fenced=fenced)
 
 
-def _guarded(record: FleetRecord, member: Member, guard: MemberId | None) -> Member:
+def _with_guard(record: FleetRecord, member: Member, guard: MemberId | None) -> Member:
     """Return the member with a guard chosen in the next epoch."""
     return replace(member, guard=guard, guarded_since=Epoch(record.epoch + 1))
 
 
-def _spread(
-    record: FleetRecord, partitions: Iterable[PartitionId], heir: Member | None
+def _assign_evenly(
+    record: FleetRecord, partitions: Iterable[PartitionId], fallback: Member | None
 ) -> dict[PartitionId, MemberId | None]:
     """Distribute partitions evenly among the members of their region.
 
@@ -304,14 +307,14 @@
     counts = Counter(ownership.owner for ownership in record.owners.values())
     receivers: dict[PartitionId, MemberId | None] = {}
     for partition in partitions:
-        home = _home_members(record, region_of(partition))
-        if not home and heir is not None:
-            home = _home_members(record, heir.zone.region)
-        receiver = min(home, key=lambda name: (counts[name], name), default=None)
+        region_members = _members_in_region(record, region_of(partition))
+        if not region_members and fallback is not None:
+            region_members = _members_in_region(record, fallback.zone.region)
+        receiver = min(region_members, key=lambda name: (counts[name], name), default=None)
         counts[receiver] += 1
         receivers[partition] = receiver
     return receivers
 
 
-def _next(record: FleetRecord, change_id: ChangeId) -> FleetRecord:
+def _next_epoch(record: FleetRecord, change_id: ChangeId) -> FleetRecord:
     return replace(record, epoch=Epoch(record.epoch + 1), change_id=change_id)
--- a/fireflyfork/decisions/_idempotency.py
+++ b/fireflyfork/decisions/_idempotency.py
@@ -153,7 +153,8 @@
     def handed_over(self) -> Generation:
         """Mark all started keys as MAY_HAVE_RUN."""
         shards = tuple(
-            {key: _out_of_sight(record) for key, record in shard.items()} for shard in self.shards
+            {key: _as_may_have_run(record) for key, record in shard.items()}
+            for shard in self.shards
         )
         return replace(self, shards=shards)
 
@@ -201,24 +202,26 @@
         minted = minted_at(key)
         record = table.find(key, minted)
         if record is not None:
-            return table, _decision_on(record, fingerprint)
+            return table, _decide_on_record(record, fingerprint)
         if minted is not None and minted > now + self.terms.accepted_lead:
             return table, KeyDecision(KeyDecisionKind.FROM_THE_FUTURE)
-        if not minted_here and table._may_be_forgotten(minted, now):
+        if not minted_here and table._may_have_been_forgotten(minted, now):
             return table, KeyDecision(KeyDecisionKind.MAY_HAVE_RUN)
-        table = table._with_room(now)
+        table = table._with_space(now)
         if table.keys >= self.terms.most_keys:
             return table, KeyDecision(KeyDecisionKind.TABLE_FULL)
         started = KeyRecord(KeyState.STARTED, fingerprint)
         return table._put(key, minted, now, started), KeyDecision(KeyDecisionKind.RUN)
 
-    def copied(self, key: IdempotencyKey, fingerprint: int, now: float) -> KeyTable | None:
+    def with_started_key(
+        self, key: IdempotencyKey, fingerprint: int, now: float
+    ) -> KeyTable | None:
         """Return a replica's table after the home has started a request; None if it is full."""
         table = self.expire(now)
         minted = minted_at(key)
         if table.find(key, minted) is not None:
             return table
-        table = table._with_room(now)
+        table = table._with_space(now)
         if table.keys >= self.terms.most_keys:
             return None
         return table._put(key, minted, now, KeyRecord(KeyState.STARTED, fingerprint))
@@ -227,10 +230,10 @@
         """Return the table without answers, as it is sent to a replica."""
         return self._with_generations(gen.without_answers() for gen in self.generations)
 
-    def with_keys_of(self, other: KeyTable, now: float) -> KeyTable:
+    def merged_with(self, earlier: KeyTable, now: float) -> KeyTable:
         """Return the table merged with the keys of ``earlier``, started here before it came."""
         table = self
-        for generation in other.generations:
+        for generation in earlier.generations:
             for shard in generation.shards:
                 for key, record in shard.items():
                     table = table._put(key, minted_at(key), now, record)
@@ -240,9 +243,9 @@
         """Record a complete answer, possibly one that arrived after ``attempt_lost``."""
         if len(answer) > self.terms.longest_answer_bytes:
             return self._settle(key, KeyState.ANSWER_DROPPED, b"")
-        return self._settle(key, KeyState.ANSWERED, answer)._within_answer_bytes()
+        return self._settle(key, KeyState.ANSWERED, answer)._limited_answer_bytes()
 
-    def lost(self, key: IdempotencyKey) -> KeyTable:
+    def attempt_lost(self, key: IdempotencyKey) -> KeyTable:
         """Record that an attempt ended without an answer after part of the request was sent."""
         return self._settle(key, KeyState.MAY_HAVE_RUN, b"")
 
@@ -261,9 +264,13 @@
         """Forget generations older than the retention time, and raise the floor accordingly."""
         oldest = int((now - self.terms.retention) // self.terms.generation)
         if not self.generations or self.generations[0].number >= oldest:
-            return self._raised(oldest) if self.floor < oldest * self.terms.generation else self
+            return (
+                self._with_floor_raised(oldest)
+                if self.floor < oldest * self.terms.generation
+                else self
+            )
         kept = tuple(gen for gen in self.generations if gen.number >= oldest)
-        return replace(self, generations=kept)._raised(oldest)
+        return replace(self, generations=kept)._with_floor_raised(oldest)
 
     @property
     def keys(self) -> int:
@@ -277,19 +284,19 @@
 
     def find(self, key: IdempotencyKey, minted: float | None) -> KeyRecord | None:
         """Return the record of a key created at ``minted``, or None if there is none."""
-        found = self._generation_of(key, minted)
-        return found.find(key) if found else None
+        generation = self._generation_of(key, minted)
+        return generation.find(key) if generation else None
 
     def _generation_of(self, key: IdempotencyKey, minted: float | None) -> Generation | None:
-        return next(self._holders(key, minted), None)
+        return next(self._generations_with(key, minted), None)
 
-    def _holders(self, key: IdempotencyKey, minted: float | None) -> Iterator[Generation]:
+    def _generations_with(self, key: IdempotencyKey, minted: float | None) -> Iterator[Generation]:
         if minted is None:
             return (gen for gen in self.generations if not gen.timed and gen.find(key))
         number = int(minted // self.terms.generation)
         return (gen for gen in self.generations if gen.timed and gen.number == number)
 
-    def _may_be_forgotten(self, minted: float | None, now: float) -> bool:
+    def _may_have_been_forgotten(self, minted: float | None, now: float) -> bool:
         if minted is None:
             return now < self.untimed_floor
         return minted <= self.floor
@@ -299,8 +306,8 @@
     ) -> KeyTable:
         timed = minted is not None
         number = int((now if minted is None else minted) // self.terms.generation)
-        present = [g for g in self.generations if (g.number, g.timed) == (number, timed)]
-        generation = present[0] if present else Generation(number, timed)
+        matching = [g for g in self.generations if (g.number, g.timed) == (number, timed)]
+        generation = matching[0] if matching else Generation(number, timed)
         others = (g for g in self.generations if g is not generation)
         merged = sorted((*others, generation.put(key, record)), key=lambda g: g.number)
         return replace(self, generations=tuple(merged))
@@ -318,23 +325,23 @@
         changed = holder.put(key, record)
         return self._with_generations(changed if g is holder else g for g in self.generations)
 
-    def _with_room(self, now: float) -> KeyTable:
+    def _with_space(self, now: float) -> KeyTable:
         """Forget the oldest timed generations while the table is full, but never the current one.
 
         Forgetting the current generation would raise the floor above the keys being created now,
         and every new request would get the verdict that it may have run.
         """
         table = self
-        present = int(now // self.terms.generation)
+        current = int(now // self.terms.generation)
         while table.keys >= self.terms.most_keys:
-            oldest = next((g for g in table.generations if g.timed and g.number < present), None)
+            oldest = next((g for g in table.generations if g.timed and g.number < current), None)
             if oldest is None:
                 return table
-            rest = table._with_generations(g for g in table.generations if g is not oldest)
-            table = rest._raised(oldest.number + 1)
+            remaining = table._with_generations(g for g in table.generations if g is not oldest)
+            table = remaining._with_floor_raised(oldest.number + 1)
         return table
 
-    def _within_answer_bytes(self) -> KeyTable:
+    def _limited_answer_bytes(self) -> KeyTable:
         table = self
         while table.answer_bytes > self.terms.most_answer_bytes:
             oldest = next(g for g in table.generations if g.answer_bytes)
@@ -344,7 +351,7 @@
             )
         return table
 
-    def _raised(self, generation: int) -> KeyTable:
+    def _with_floor_raised(self, generation: int) -> KeyTable:
         floor = max(self.floor, generation * self.terms.generation)
         return replace(self, floor=floor)
 
@@ -362,13 +369,13 @@
     return KeyRecord(KeyState.ANSWER_DROPPED, record.fingerprint)
 
 
-def _out_of_sight(record: KeyRecord) -> KeyRecord:
+def _as_may_have_run(record: KeyRecord) -> KeyRecord:
     if record.state is not KeyState.STARTED:
         return record
     return KeyRecord(KeyState.MAY_HAVE_RUN, record.fingerprint)
 
 
-def _decision_on(record: KeyRecord, fingerprint: int) -> KeyDecision:
+def _decide_on_record(record: KeyRecord, fingerprint: int) -> KeyDecision:
     if record.fingerprint != fingerprint:
         return KeyDecision(KeyDecisionKind.MISMATCH)
     return KeyDecision(_DECISIONS[record.state], record.answer)
--- a/fireflyfork/decisions/_journal.py
+++ b/fireflyfork/decisions/_journal.py
@@ -19,15 +19,15 @@
 from ._stored_bytes import StoredBytesError, pack, unpack
 from ._task_changes import DurableChange
 
-SLOTS = 256
+RING_SLOTS = 256
 """Number of segments in the ring. A larger ring means fewer snapshots and a longer recovery."""
 
-LONGEST_VALUE_BYTES = 1_000_000
+MAX_VALUE_BYTES = 1_000_000
 """Maximum size of a value; the store accepts one megabyte including the framing of the call."""
 
-_LEAST_BYTES_BETWEEN_SNAPSHOTS = 65_536
+_MIN_BYTES_BETWEEN_SNAPSHOTS = 65_536
 _SNAPSHOT_SIZES_BETWEEN_SNAPSHOTS = 2
-_SLOTS_IN_RESERVE = 32
+_RESERVED_SLOTS = 32
 """Number of free slots at which a snapshot is due, so that commits continue if writing it fails."""
 
 
@@ -70,28 +70,28 @@
         return segment_key(self.partition, self.sequence + 1)
 
     @property
-    def next_expected(self) -> Revision:
+    def next_expected_revision(self) -> Revision:
         """The revision that the key for the next segment must have for the write to succeed."""
         return self.slot_revisions.get(self.slot, Revision(0))
 
     @property
     def ring_is_full(self) -> bool:
         """Whether the next segment would overwrite a segment that the snapshot doesn't cover."""
-        return self.sequence + 1 - self.snapshot_sequence > SLOTS
+        return self.sequence + 1 - self.snapshot_sequence > RING_SLOTS
 
     @property
     def ring_nearly_full(self) -> bool:
         """Whether only the reserved slots are free."""
-        return self.sequence - self.snapshot_sequence >= SLOTS - _SLOTS_IN_RESERVE
+        return self.sequence - self.snapshot_sequence >= RING_SLOTS - _RESERVED_SLOTS
 
     @property
     def snapshot_due(self) -> bool:
         """Whether enough bytes were written to justify a snapshot, or the ring is nearly full."""
-        least = max(
-            _LEAST_BYTES_BETWEEN_SNAPSHOTS,
+        threshold = max(
+            _MIN_BYTES_BETWEEN_SNAPSHOTS,
             _SNAPSHOT_SIZES_BETWEEN_SNAPSHOTS * self.snapshot_bytes,
         )
-        return self.bytes_since_snapshot >= least or self.ring_nearly_full
+        return self.bytes_since_snapshot >= threshold or self.ring_nearly_full
 
     def after_segment(self, revision: Revision, length: int) -> JournalPosition:
         """Return the position after storing a segment of ``length`` bytes at ``revision``."""
@@ -126,22 +126,22 @@
     """Another writer has written the key."""
 
 
-def settle(
-    ours: ChangeId, expected: Revision, found: ChangeId | None, revision: Revision
+def settle_write(
+    change_id: ChangeId, expected: Revision, stored_change_id: ChangeId | None, revision: Revision
 ) -> Settlement:
     """Determine the outcome of our write from the change id and revision that its key has now.
 
     The write was conditional on revision ``expected``. If the key doesn't exist,
     ``stored_change_id`` is None and ``revision`` is 0.
     """
-    if found == ours:
+    if stored_change_id == change_id:
         return Settlement.STORED
     return Settlement.NOT_YET if revision == expected else Settlement.LOST
 
 
 def slot_of(sequence: int) -> int:
     """Return the slot of the ring for a segment."""
-    return sequence % SLOTS
+    return sequence % RING_SLOTS
 
 
 def segment_key(partition: PartitionId, sequence: int) -> str:
--- a/fireflyfork/decisions/_membership.py
+++ b/fireflyfork/decisions/_membership.py
@@ -22,35 +22,40 @@
     GuardAnswered,
     GuardAsked,
     LeaveRequested,
-    MemberGone,
+    MemberTerminated,
     OccupiedCollected,
     ReadFailed,
     ReadRecord,
-    RecordHeard,
     RecordRead,
+    RecordReceived,
     Tick,
     WriteEnded,
     WriteOutcome,
     WriteRecord,
 )
-from ._membership_guards import ask_if_due, compare_if_due, guard_answered, guard_asked
+from ._membership_guards import (
+    ask_guard_if_due,
+    compare_revisions_if_due,
+    handle_answer,
+    handle_question,
+)
 from ._membership_offers import offer_if_behind, offer_to_region
+from ._membership_planning import apply_change, plan_change
 from ._membership_state import (
     NEVER,
-    OUTSIDE,
+    NON_MEMBER_PHASES,
     MemberPhase,
     MembershipState,
     PendingWrite,
-    Wanted,
-    prove,
+    PlannedChange,
+    record_proof,
 )
-from ._membership_wants import changed_record, wanted_change
 from ._rights import GuardAnswer
 
 
 def step(state: MembershipState, event: Event, now: float) -> tuple[MembershipState, Commands]:
     """Return the state after an event, and the commands to execute."""
-    if state.phase in OUTSIDE:
+    if state.phase in NON_MEMBER_PHASES:
         return _step_outside(state, event)
     match event:
         case Tick():
@@ -59,20 +64,20 @@
             return _record_read(state, event, now)
         case ReadFailed():
             return _store_failed(replace(state, reading_since=None), now), ()
-        case RecordHeard():
+        case RecordReceived():
             return _adopt(state, event.record, event.revision, now), ()
         case GuardAsked():
-            return guard_asked(state, event, now)
+            return handle_question(state, event, now)
         case GuardAnswered():
-            return guard_answered(state, event, now)
+            return handle_answer(state, event, now)
         case WriteEnded():
             return _write_ended(state, event, now)
         case OccupiedCollected():
             return _occupied_collected(state, event, now)
         case LeaveRequested():
             return _leave_requested(state), ()
-        case MemberGone():
-            return replace(state, gone=state.gone | {event.member_id}), ()
+        case MemberTerminated():
+            return replace(state, terminated=state.terminated | {event.member_id}), ()
 
 
 def _step_outside(state: MembershipState, event: Event) -> tuple[MembershipState, Commands]:
@@ -80,7 +85,7 @@
     if isinstance(event, GuardAsked):
         answer = AnswerAsker(event.asker, event.nonce, GuardAnswer(False), state.revision)
         return state, (answer, *offer_if_behind(state, event.asker, event.revision))
-    if isinstance(event, RecordHeard) and event.revision > state.revision:
+    if isinstance(event, RecordReceived) and event.revision > state.revision:
         return replace(state, record=event.record, revision=event.revision), ()
     return state, ()
 
@@ -91,14 +96,14 @@
 
 
 def _tick(state: MembershipState, now: float) -> tuple[MembershipState, Commands]:
-    state = _forgive_after_pause(state, now)
-    state, asked = ask_if_due(state, now)
-    state, compared = compare_if_due(state, now)
-    state, planned = _plan(state, now)
+    state = _restart_timers_after_pause(state, now)
+    state, asked = ask_guard_if_due(state, now)
+    state, compared = compare_revisions_if_due(state, now)
+    state, planned = _start_next_call(state, now)
     return state, asked + compared + planned
 
 
-def _forgive_after_pause(state: MembershipState, now: float) -> MembershipState:
+def _restart_timers_after_pause(state: MembershipState, now: float) -> MembershipState:
     """Restart the guard timers if this process was paused.
 
     A guard that was paused has not yet processed what its wards sent during the pause. Without
@@ -108,32 +113,34 @@
     state = replace(state, ticked_at=now)
     if last is None or now - last <= state.timing.pause_seconds:
         return state
-    return replace(state, heard=dict.fromkeys(state.heard, now), guard_good_at=now)
+    return replace(
+        state, ward_asked_at=dict.fromkeys(state.ward_asked_at, now), guard_acknowledged_at=now
+    )
 
 
-def _plan(state: MembershipState, now: float) -> tuple[MembershipState, Commands]:
+def _start_next_call(state: MembershipState, now: float) -> tuple[MembershipState, Commands]:
     """Start the next call to the store, at most one at a time.
 
     No call is made while no change is needed and the guard's answers prove the right.
     """
     waiting = state.reading_since is not None or now < state.store_retry_at
-    if waiting or state.collecting is not None or state.phase in OUTSIDE:
+    if waiting or state.pending_handover is not None or state.phase in NON_MEMBER_PHASES:
         return state, ()
     if state.write is not None:
         return (state, ()) if state.write.in_flight else _read(state, now)
-    wanted = wanted_change(state, now)
-    if wanted is None:
-        stale = now - state.right_dated > state.timing.right_seconds / 2
+    planned = plan_change(state, now)
+    if planned is None:
+        stale = now - state.right_proved_at > state.timing.right_seconds / 2
         return _read(state, now) if stale else (state, ())
-    if now - state.read_sent_at > state.timing.fresh_seconds:
+    if now - state.read_sent_at > state.timing.max_read_age_seconds:
         # A write sent to a store that is down may take effect when the store recovers. Until then
         # it blocks the partitions being handed over or the ward, so a recent read must have shown
         # that the store is up.
         return _read(state, now)
-    if wanted.kind in (ChangeKind.MOVE, ChangeKind.LEAVE):
-        collecting = replace(state, collecting=wanted)
-        return collecting, (CollectOccupied(tuple(wanted.receivers)),)
-    return _write(state, wanted, {}, now)
+    if planned.kind in (ChangeKind.MOVE, ChangeKind.LEAVE):
+        collecting = replace(state, pending_handover=planned)
+        return collecting, (CollectOccupied(tuple(planned.receivers)),)
+    return _write(state, planned, {}, now)
 
 
 def _read(state: MembershipState, now: float) -> tuple[MembershipState, Commands]:
@@ -141,18 +148,21 @@
 
 
 def _write(
-    state: MembershipState, wanted: Wanted, occupied: changes.Occupied, now: float
+    state: MembershipState,
+    planned: PlannedChange,
+    occupied: changes.OccupiedByPartition,
+    now: float,
 ) -> tuple[MembershipState, Commands]:
-    changed = changed_record(state, wanted, occupied)
-    state = replace(state, collecting=None, next_change=state.next_change + 1)
+    changed = apply_change(state, planned, occupied)
+    state = replace(state, pending_handover=None, next_change=state.next_change + 1)
     if changed is None:
         return replace(state, read_sent_at=NEVER), ()
     pending = PendingWrite(
         record=changed,
         expected=state.revision,
-        kind=wanted.kind,
-        subject=wanted.subject,
-        partitions=frozenset(wanted.receivers),
+        kind=planned.kind,
+        subject=planned.subject,
+        partitions=frozenset(planned.receivers),
         sent_at=now,
     )
     written = replace(state, write=pending)
@@ -162,10 +172,10 @@
 def _occupied_collected(
     state: MembershipState, event: OccupiedCollected, now: float
 ) -> tuple[MembershipState, Commands]:
-    wanted = state.collecting
-    if wanted is None:
+    planned = state.pending_handover
+    if planned is None:
         return state, ()
-    return _write(state, wanted, event.occupied, now)
+    return _write(state, planned, event.occupied, now)
 
 
 def _write_ended(
@@ -177,19 +187,19 @@
     if event.outcome is WriteOutcome.WON:
         state = replace(state, write=None, store_failures=0, store_retry_at=NEVER)
         state = _adopt(state, write.record, event.revision, now)
-        state = prove(state, state.rules.dated(write.sent_at, now))
+        state = record_proof(state, state.rules.valid_from(write.sent_at, now))
         return state, offer_to_region(state)
     # A retried write may have lost against its own first attempt, so the record always decides.
     unknown = write.was_unknown or event.outcome is WriteOutcome.UNKNOWN
     state = replace(state, write=replace(write, in_flight=False, was_unknown=unknown))
     if event.outcome is WriteOutcome.UNKNOWN:
         state = _store_failed(state, now)
-    if state.rules.settled(write.expected, state.revision):
-        return _settle(state, now), ()
+    if state.rules.is_settled(write.expected, state.revision):
+        return _resolve_write(state, now), ()
     return state, ()
 
 
-def _settle(state: MembershipState, now: float) -> MembershipState:
+def _resolve_write(state: MembershipState, now: float) -> MembershipState:
     """Resolve the pending write, whose outcome the record shows."""
     write = state.write
     state = replace(state, write=None, read_sent_at=NEVER)
@@ -212,12 +222,12 @@
     if event.record is not None:
         state = _adopt(state, event.record, event.revision, now)
     if event.revision >= state.revision and state.me.member_id in state.record.members:
-        state = prove(state, state.rules.dated(sent_at, now))
+        state = record_proof(state, state.rules.valid_from(sent_at, now))
     write = state.write
     if write is None or write.in_flight:
-        return _plan(state, now)
-    if state.rules.settled(write.expected, event.revision):
-        return _plan(_settle(state, now), now)
+        return _start_next_call(state, now)
+    if state.rules.is_settled(write.expected, event.revision):
+        return _start_next_call(_resolve_write(state, now), now)
     again = replace(state, write=replace(write, in_flight=True, sent_at=now))
     return again, (WriteRecord(write.record, write.expected, write.kind),)
 
@@ -229,7 +239,7 @@
     """
     timing = state.timing
     delay = timing.store_retry_seconds * 2 ** min(state.store_failures, 16)
-    delay = min(delay, timing.longest_store_retry_seconds)
+    delay = min(delay, timing.max_store_retry_seconds)
     spread = xxhash.xxh32_intdigest(f"{state.me.member_id}/{state.store_failures}".encode()) / 2**32
     return replace(
         state,
@@ -248,8 +258,8 @@
     write = state.write
     if write is None or write.in_flight:
         return _follow_record(state, now)
-    if state.rules.settled(write.expected, revision):
-        return _settle(state, now)
+    if state.rules.is_settled(write.expected, revision):
+        return _resolve_write(state, now)
     return _follow_record(state, now)
 
 
@@ -259,8 +269,8 @@
     if name not in record.members:
         if state.phase is MemberPhase.JOINING and name not in record.fenced:
             return state
-        left = state.phase is MemberPhase.LEAVING and name not in record.fenced
-        return _lose_membership(state, MemberPhase.LEFT if left else MemberPhase.FENCED)
+        has_left = state.phase is MemberPhase.LEAVING and name not in record.fenced
+        return _lose_membership(state, MemberPhase.LEFT if has_left else MemberPhase.FENCED)
     me = record.members[name]
     phase = MemberPhase.ACTIVE if state.phase is MemberPhase.JOINING else state.phase
     new_guard = me.guard != state.me.guard
@@ -269,13 +279,13 @@
         state,
         me=me,
         phase=phase,
-        guard_good_at=now if new_guard else state.guard_good_at,
-        guard_since=now if new_guard else state.guard_since,
+        guard_acknowledged_at=now if new_guard else state.guard_acknowledged_at,
+        guard_changed_at=now if new_guard else state.guard_changed_at,
         guard_changes=state.guard_changes + replaced,
         next_ask_at=NEVER if new_guard else state.next_ask_at,
-        heard={ward: state.heard.get(ward, now) for ward in record.wards_of(name)},
-        fence_known={
-            fenced: state.fence_known.get(fenced, now)
+        ward_asked_at={ward: state.ward_asked_at.get(ward, now) for ward in record.wards_of(name)},
+        fence_learned_at={
+            fenced: state.fence_learned_at.get(fenced, now)
             for fenced, entry in record.fenced.items()
             if entry.taker == name
         },
@@ -286,10 +296,10 @@
     return replace(
         state,
         phase=phase,
-        right_dated=NEVER,
-        questions=(),
-        heard={},
-        fence_known={},
+        right_proved_at=NEVER,
+        open_questions=(),
+        ward_asked_at={},
+        fence_learned_at={},
         write=None,
-        collecting=None,
+        pending_handover=None,
     )
--- a/fireflyfork/decisions/_membership_events.py
+++ b/fireflyfork/decisions/_membership_events.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RecordHeard:
+class RecordReceived:
     """A watch or a peer delivered a record. It doesn't prove the right to dispatch."""
 
     record: FleetRecord
@@ -101,7 +101,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MemberGone:
+class MemberTerminated:
     """A member's instance is known to be terminated for good; see ``fence_terminated``."""
 
     member_id: MemberId
@@ -111,13 +111,13 @@
     Tick
     | RecordRead
     | ReadFailed
-    | RecordHeard
+    | RecordReceived
     | GuardAsked
     | GuardAnswered
     | WriteEnded
     | OccupiedCollected
     | LeaveRequested
-    | MemberGone
+    | MemberTerminated
 )
 
 
--- a/fireflyfork/decisions/_membership_state.py
+++ b/fireflyfork/decisions/_membership_state.py
@@ -29,7 +29,7 @@
     """The membership was lost; the process rejoins with a new member id."""
 
 
-OUTSIDE = (MemberPhase.LEFT, MemberPhase.FENCED)
+NON_MEMBER_PHASES = (MemberPhase.LEFT, MemberPhase.FENCED)
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class PlannedChange:
     """A change of the record that this member should make."""
 
     kind: ChangeKind
@@ -78,25 +78,25 @@
     phase: MemberPhase = MemberPhase.JOINING
     record: FleetRecord = field(default_factory=FleetRecord)
     revision: Revision = _NO_REVISION
-    right_dated: float = NEVER
+    right_proved_at: float = NEVER
     """Time from which the latest proof of the right counts, normally when its question was sent."""
-    questions: tuple[OpenQuestion, ...] = ()
+    open_questions: tuple[OpenQuestion, ...] = ()
     next_nonce: int = 1
     next_ask_at: float = NEVER
     next_compare_at: float = NEVER
-    guard_good_at: float = NEVER
+    guard_acknowledged_at: float = NEVER
     """Time of the current guard's last acknowledgement, or when it became the guard."""
-    guard_since: float = NEVER
+    guard_changed_at: float = NEVER
     guard_changes: int = 0
     """Number of times the guard was replaced since the last acknowledgement."""
-    heard: Mapping[MemberId, float] = field(default_factory=dict)
+    ward_asked_at: Mapping[MemberId, float] = field(default_factory=dict)
     """Time of the last question from each ward."""
-    fence_known: Mapping[MemberId, float] = field(default_factory=dict)
+    fence_learned_at: Mapping[MemberId, float] = field(default_factory=dict)
     """Time at which this member learned of each fence whose taker it is."""
-    gone: frozenset[MemberId] = frozenset()
+    terminated: frozenset[MemberId] = frozenset()
     """Members whose instances are known to be terminated."""
     write: PendingWrite | None = None
-    collecting: Wanted | None = None
+    pending_handover: PlannedChange | None = None
     """The hand-over that waits for the list of occupied slots."""
     next_change: int = 1
     reading_since: float | None = None
@@ -121,16 +121,16 @@
     return MembershipState(me, timing, rules or RightRules(), record=empty)
 
 
-def prove(state: MembershipState, dated: float) -> MembershipState:
+def record_proof(state: MembershipState, valid_from: float) -> MembershipState:
     """Record a proof of the right to dispatch that counts from ``valid_from``."""
-    return replace(state, right_dated=max(state.right_dated, dated))
+    return replace(state, right_proved_at=max(state.right_proved_at, valid_from))
 
 
 def holds_right(state: MembershipState, now: float) -> bool:
     """Return whether the member currently holds the right to dispatch for its partitions."""
     if state.phase not in (MemberPhase.ACTIVE, MemberPhase.LEAVING):
         return False
-    return now - state.right_dated < state.timing.right_seconds
+    return now - state.right_proved_at < state.timing.right_seconds
 
 
 def may_dispatch(state: MembershipState, partition: PartitionId, now: float) -> bool:
@@ -140,13 +140,13 @@
     """
     if state.record.owner_of(partition) != state.me.member_id:
         return False
-    return holds_right(state, now) and partition not in handing_over(state)
+    return holds_right(state, now) and partition not in partitions_in_handover(state)
 
 
-def handing_over(state: MembershipState) -> frozenset[PartitionId]:
+def partitions_in_handover(state: MembershipState) -> frozenset[PartitionId]:
     """Return the partitions in a pending hand-over, whose next owner may already dispatch."""
-    if state.collecting is not None:
-        return frozenset(state.collecting.receivers)
+    if state.pending_handover is not None:
+        return frozenset(state.pending_handover.receivers)
     if state.write is not None:
         return state.write.partitions
     return frozenset()
@@ -158,15 +158,15 @@
     The member with the lowest id does, and forwards the records that it receives.
     """
     zone = state.me.zone
-    names = [name for name, other in state.record.members.items() if other.zone == zone]
+    names = [name for name, member in state.record.members.items() if member.zone == zone]
     return state.me.member_id == min(names, default=None)
 
 
-def zone_mates(state: MembershipState) -> tuple[MemberId, ...]:
+def zone_peers(state: MembershipState) -> tuple[MemberId, ...]:
     """Return the other members of this member's failure domain."""
     zone = state.me.zone
     return tuple(
         name
-        for name, other in state.record.members.items()
-        if other.zone == zone and name != state.me.member_id
+        for name, member in state.record.members.items()
+        if member.zone == zone and name != state.me.member_id
     )
--- a/fireflyfork/decisions/_partition.py
+++ b/fireflyfork/decisions/_partition.py
@@ -14,17 +14,17 @@
 from ._attempts import (
     AttemptKey,
     StaleRun,
-    fence,
-    forget_ended,
-    hear,
-    hear_region,
+    evaluate_report,
+    fence_attempt,
     is_silent,
-    judge_report,
-    lapsed,
+    lapsed_attempts,
     latest_reports,
+    record_region_report,
+    record_worker_reports,
+    remove_ended_fences,
 )
 from ._command_checks import CommandChecker
-from ._partition_state import Partition, Refusal, Step, Submission, WholeReport
+from ._partition_state import Partition, Refusal, RegionReport, Step, Submission
 from ._placement_policy import (
     AttemptEnded,
     AttemptStarted,
@@ -52,7 +52,7 @@
 from ._task_table import TaskTable
 from ._tasks import Job, Task, TaskState
 
-MOST_TASKS_OF_A_JOB = 50_000
+MAX_TASKS_PER_JOB = 50_000
 DISTINCT_WORKERS_TO_GIVE_UP = 3
 """A task that failed on this many different workers is at fault itself and is given up."""
 FAILURES_TO_GIVE_UP = 8
@@ -71,7 +71,7 @@
         return refusal
     number = partition.table.next_number
     accepted = JobAccepted(number, submission.job_id, submission.shape, submission.tasks, now)
-    return _applied(partition, [accepted])
+    return _apply_changes(partition, [accepted])
 
 
 def cancel(partition: Partition, job_id: JobId, index: int | None, now: float) -> Step | None:
@@ -81,17 +81,20 @@
         return None
     if job.cancelled or not job.open_count:
         return Step(partition)
-    return _applied(partition, [CancelRequested(job.number, index, now)])
+    return _apply_changes(partition, [CancelRequested(job.number, index, now)])
 
 
 def evict(partition: Partition, task_ids: Iterable[TaskId], reason: str, now: float) -> Step:
     """Checkpoint and evict running tasks at an operator's request; other tasks are ignored."""
     commands = tuple(CheckpointAndEvict(task_id, reason) for task_id in task_ids)
-    return _applied(partition, CommandChecker(partition, now).changes(commands))
+    return _apply_changes(partition, CommandChecker(partition, now).changes(commands))
 
 
-def take_report(
-    partition: Partition, runs: Iterable[RunReport], now: float, whole: WholeReport | None = None
+def apply_report(
+    partition: Partition,
+    runs: Iterable[RunReport],
+    now: float,
+    region_report: RegionReport | None = None,
 ) -> Step:
     """Apply the platform's reports on attempts.
 
@@ -100,29 +103,33 @@
     of the worker, nor that other workers are silent.
     """
     latest = tuple(latest_reports(runs))
-    verdicts = [judge_report(partition.table, run, now) for run in latest]
+    verdicts = [evaluate_report(partition.table, run, now) for run in latest]
     stale = tuple(verdict for verdict in verdicts if isinstance(verdict, StaleRun))
     changes = [
         verdict for verdict in verdicts if verdict is not None and not isinstance(verdict, StaleRun)
     ]
     leases = partition.leases
-    if whole is not None:
-        leases = hear_region(hear(leases, latest, now), whole.region, whole.asked)
+    if region_report is not None:
+        leases = record_region_report(
+            record_worker_reports(leases, latest, now),
+            region_report.region,
+            region_report.requested_at,
+        )
     samples = tuple(_samples(partition, latest, now))
     policy = partition.policy
     if samples:
         policy = policy.observe(SamplesTaken(now, samples))
-    step = _applied(replace(partition, leases=leases, policy=policy), changes)
+    step = _apply_changes(replace(partition, leases=leases, policy=policy), changes)
     return replace(step, stale=stale)
 
 
-def take_time(partition: Partition, now: float) -> Step:
+def apply_timeouts(partition: Partition, now: float) -> Step:
     """End attempts whose leases have expired, and forget jobs that ended long ago."""
-    leases = forget_ended(partition.table, partition.leases)
+    leases = remove_ended_fences(partition.table, partition.leases)
     partition = replace(partition, leases=leases)
-    over = lapsed(partition.table, leases, partition.workers, now, partition.rules.leases)
-    first = _applied(partition, over)
-    second = _applied(first.partition, tuple(_old_jobs(first.partition, now)))
+    over = lapsed_attempts(partition.table, leases, partition.workers, now, partition.rules.leases)
+    first = _apply_changes(partition, over)
+    second = _apply_changes(first.partition, tuple(_old_jobs(first.partition, now)))
     return Step(second.partition, first.changes + second.changes)
 
 
@@ -131,7 +138,7 @@
     view = placement_view(partition, now)
     checker = CommandChecker(partition, now)
     changes = list(checker.changes(partition.policy.decide(view)))
-    step = _applied(partition, changes)
+    step = _apply_changes(partition, changes)
     dropped = partition.dropped_commands + checker.dropped
     throttles = tuple(change for change in changes if isinstance(change, ThrottleOrdered))
     after = replace(step.partition, dropped_commands=dropped)
@@ -155,42 +162,44 @@
     )
 
 
-def keep_replicas(partition: Partition, number: int, count: int, now: float) -> Step:
+def reconcile_replicas(partition: Partition, number: int, count: int, now: float) -> Step:
     """Accept and cancel replicas of services to match the numbers in the contracts.
 
     ``number`` is the index of this partition among ``count`` partitions, which share the replicas
     of each service.
     """
     services = partition.services
-    return _applied(partition, replica_changes(partition.table, services, number, count, now))
+    return _apply_changes(partition, replica_changes(partition.table, services, number, count, now))
 
 
-def stored(partition: Partition, changes: Iterable[DurableChange], now: float) -> Partition:
+def mark_stored(partition: Partition, changes: Iterable[DurableChange], now: float) -> Partition:
     """Record that ``changes`` are durable, so that the starts among them may be sent."""
-    ready = {key: due for key, due in partition.ready.items() if _awaits_start(partition, key)}
+    ready = {
+        key: due for key, due in partition.ready_starts.items() if _awaits_start(partition, key)
+    }
     for change in changes:
         if isinstance(change, StartIntended):
             task = partition.table.task_at(change.number, change.index)
             if task is not None and task.attempt == change.attempt:
                 ready[task.task_id, change.attempt] = now
-    return replace(partition, ready=ready)
+    return replace(partition, ready_starts=ready)
 
 
-def take_starts(partition: Partition, now: float) -> tuple[Partition, tuple[StartOrder, ...]]:
+def take_due_starts(partition: Partition, now: float) -> tuple[Partition, tuple[StartOrder, ...]]:
     """Return the starts to send now; each is repeated until the platform has confirmed it."""
     orders: list[StartOrder] = []
     ready: dict[AttemptKey, float] = {}
-    for key, due in partition.ready.items():
+    for key, due in partition.ready_starts.items():
         if not _awaits_start(partition, key):
             continue
         ready[key] = due
         if due <= now and key not in partition.leases.fenced:
             ready[key] = now + partition.rules.start_retry_seconds
             orders.append(_start_order(partition, partition.table.tasks[key[0]]))
-    return replace(partition, ready=ready), tuple(orders)
+    return replace(partition, ready_starts=ready), tuple(orders)
 
 
-def to_stop(partition: Partition) -> Iterator[Task]:
+def tasks_to_stop(partition: Partition) -> Iterator[Task]:
     """Yield the tasks whose attempts must be stopped.
 
     These are attempts being evicted or cancelled, attempts on silent workers, and fenced attempts.
@@ -198,21 +207,21 @@
     worker reconnects, repeating the order ends the attempt before the lease does.
     """
     leases = partition.leases
-    for task in partition.table.holding():
+    for task in partition.table.tasks_holding_reservation():
         stopping = task.state in (TaskState.EVICTING, TaskState.CANCELLING)
         fenced = (task.task_id, task.attempt) in leases.fenced
         if stopping or fenced or is_silent(task, leases, partition.workers, partition.rules.leases):
             yield task
 
 
-def stop_answered(partition: Partition, key: AttemptKey, now: float) -> Partition:
+def record_stop_answer(partition: Partition, key: AttemptKey, now: float) -> Partition:
     """Record that the platform confirmed the order to stop an attempt."""
-    return replace(partition, leases=fence(partition.leases, key, now))
+    return replace(partition, leases=fence_attempt(partition.leases, key, now))
 
 
 def _refusal(partition: Partition, submission: Submission) -> Refusal | None:
-    if not 0 < submission.tasks <= MOST_TASKS_OF_A_JOB:
-        return Refusal(f"a job has 1 to {MOST_TASKS_OF_A_JOB} tasks", permanent=True)
+    if not 0 < submission.tasks <= MAX_TASKS_PER_JOB:
+        return Refusal(f"a job has 1 to {MAX_TASKS_PER_JOB} tasks", permanent=True)
     reason = partition.policy.infeasible(submission.shape, partition.workers, partition.teams)
     if reason:
         return Refusal(reason, permanent=True)
@@ -221,13 +230,13 @@
     return None
 
 
-def _applied(partition: Partition, changes: Iterable[TableChange]) -> Step:
+def _apply_changes(partition: Partition, changes: Iterable[TableChange]) -> Step:
     changes = tuple(changes)
     if not changes:
         return Step(partition)
     table = partition.table.apply(changes)
-    policy = _learned(partition, table, changes)
-    given_up = tuple(_given_up(table, changes, len(partition.workers)))
+    policy = _observe_changes(partition, table, changes)
+    given_up = tuple(_give_up_failed_tasks(table, changes, len(partition.workers)))
     if given_up:
         table = table.apply(given_up)
     durable = tuple(
@@ -236,14 +245,14 @@
     return Step(replace(partition, table=table, policy=policy), durable + given_up)
 
 
-def _given_up(
+def _give_up_failed_tasks(
     table: TaskTable, changes: Iterable[TableChange], worker_count: int
 ) -> Iterator[TaskGivenUp]:
     for change in changes:
         if not isinstance(change, EndRecorded) or change.outcome is not AttemptOutcome.FAILED:
             continue
         task = table.task_at(change.number, change.index)
-        if task is not None and _is_hopeless(task, worker_count):
+        if task is not None and _exceeds_failure_limit(task, worker_count):
             workers = len(set(task.failed_on))
             reason = (
                 f"failed {len(task.failed_on)} times on {workers} workers, last: {change.reason}"
@@ -251,7 +260,7 @@
             yield TaskGivenUp(change.number, change.index, change.time, reason)
 
 
-def _is_hopeless(task: Task, worker_count: int) -> bool:
+def _exceeds_failure_limit(task: Task, worker_count: int) -> bool:
     distinct = min(DISTINCT_WORKERS_TO_GIVE_UP, max(worker_count, 1))
     return len(set(task.failed_on)) >= distinct or len(task.failed_on) >= FAILURES_TO_GIVE_UP
 
@@ -293,7 +302,7 @@
         yield RunSample(task, measured_at, run.used, run.progress, run.tail_milliseconds)
 
 
-def _learned(
+def _observe_changes(
     before: Partition, table: TaskTable, changes: Iterable[TableChange]
 ) -> PlacementPolicy:
     policy = before.policy
--- a/fireflyfork/decisions/_partition_state.py
+++ b/fireflyfork/decisions/_partition_state.py
@@ -60,7 +60,7 @@
     services: Mapping[ServiceName, ServiceContract] = field(default_factory=dict)
     weights: Weights = field(default_factory=Weights)
     rules: PlanningRules = field(default_factory=PlanningRules)
-    ready: Mapping[AttemptKey, float] = field(default_factory=dict)
+    ready_starts: Mapping[AttemptKey, float] = field(default_factory=dict)
     """Time at which to send each start whose intent is stored and that is not yet confirmed."""
     dropped_commands: int = 0
     """Number of policy commands that were dropped by the checks."""
@@ -70,22 +70,22 @@
         cls, table: TaskTable, policy: PlacementPolicy, now: float, rules: PlanningRules
     ) -> Partition:
         """Return the state right after recovery, in which every stored attempt may be running."""
-        for task in table.holding():
+        for task in table.tasks_holding_reservation():
             policy = policy.observe(AttemptStarted(now, task))
         ready = {
             (task.task_id, task.attempt): now
-            for task in table.holding()
+            for task in table.tasks_holding_reservation()
             if task.state is TaskState.STARTING
         }
-        return cls(table, LeaseState.at_takeover(now), policy, rules=rules, ready=ready)
+        return cls(table, LeaseState.at_takeover(now), policy, rules=rules, ready_starts=ready)
 
 
 @dataclass(frozen=True, slots=True)
-class WholeReport:
+class RegionReport:
     """States that a report covers all changes in a region."""
 
     region: RegionName
-    asked: float
+    requested_at: float
     """Time at which the report was requested, in seconds since 1970."""
 
 
--- a/fireflyfork/decisions/_placement_policy.py
+++ b/fireflyfork/decisions/_placement_policy.py
@@ -37,7 +37,7 @@
     teams: Mapping[TeamName, TeamContract]
     services: Mapping[ServiceName, ServiceContract] = field(default_factory=dict)
     weights: Weights = field(default_factory=Weights)
-    most_starts: int = 500
+    max_starts: int = 500
     """Maximum number of starts in this round; further starts are dropped."""
 
 
@@ -186,7 +186,7 @@
         return tuple(_first_fit(view))
 
 
-_MOST_MISFITS = 64
+_MAX_UNPLACED_TASKS = 64
 """A round ends after this many tasks that don't fit, to limit its cost when workers are full."""
 
 
@@ -201,23 +201,23 @@
     }
     misfits = 0
     starts = 0
-    for task in _in_turn(view):
-        if misfits >= _MOST_MISFITS or starts >= view.most_starts:
+    for task in _tasks_in_order(view):
+        if misfits >= _MAX_UNPLACED_TASKS or starts >= view.max_starts:
             return
         size = task.shape.resources
-        left = quota_left.get(task.shape.team, NO_RESOURCES)
+        available = quota_left.get(task.shape.team, NO_RESOURCES)
         worker_id = _first_worker(task, room)
-        if worker_id is None or not (task.shape.service or size.fits_in(left)):
+        if worker_id is None or not (task.shape.service or size.fits_in(available)):
             misfits += 1
             continue
         room[worker_id] = room[worker_id] - size
         if task.shape.service is None:
-            quota_left[task.shape.team] = left - size
+            quota_left[task.shape.team] = available - size
         starts += 1
         yield Start(task.task_id, worker_id, size, "first worker with room")
 
 
-def _in_turn(view: PlacementView) -> Iterable[Task]:
+def _tasks_in_order(view: PlacementView) -> Iterable[Task]:
     for tasks in chain(view.urgent.values(), view.waiting.values()):
         yield from tasks.values()
 
--- a/fireflyfork/decisions/_replicas.py
+++ b/fireflyfork/decisions/_replicas.py
@@ -26,30 +26,30 @@
     Each replica is a job with one task, so that a replica that is given up is replaced by a new
     job. If there are too many replicas, the newest are cancelled first.
     """
-    present = _open_replicas(table)
+    open_jobs = _open_replicas(table)
     next_number = table.next_number
     for name, service in services.items():
         wanted = (service.replicas + count - 1 - number) // count
-        jobs = present.pop(name, [])
+        jobs = open_jobs.pop(name, [])
         for job in jobs[wanted:]:
             yield CancelRequested(job.number, None, now)
         for _ in range(wanted - len(jobs)):
-            yield _accepted(service, next_number, now)
+            yield _accept_replica(service, next_number, now)
             next_number = JobNumber(next_number + 1)
-    for jobs in present.values():
+    for jobs in open_jobs.values():
         for job in jobs:
             yield CancelRequested(job.number, None, now)
 
 
 def _open_replicas(table: TaskTable) -> dict[ServiceName, list[Job]]:
-    present: dict[ServiceName, list[Job]] = {}
+    open_jobs: dict[ServiceName, list[Job]] = {}
     for job in table.jobs.values():
         if job.shape.service is not None and job.open_count and not job.cancelled:
-            present.setdefault(job.shape.service, []).append(job)
-    return present
+            open_jobs.setdefault(job.shape.service, []).append(job)
+    return open_jobs
 
 
-def _accepted(service: ServiceContract, number: JobNumber, now: float) -> JobAccepted:
+def _accept_replica(service: ServiceContract, number: JobNumber, now: float) -> JobAccepted:
     shape = TaskShape(
         service.team,
         service.name,
--- a/fireflyfork/decisions/_retries.py
+++ b/fireflyfork/decisions/_retries.py
@@ -20,7 +20,7 @@
     """Maximum average number of retries per request."""
     burst: float = 10.0
     """Maximum number of saved retries; they cover the requests of a target that fails."""
-    most_attempts: int = 3
+    max_attempts: int = 3
     """Maximum number of attempts for one request, including the first."""
 
 
@@ -84,7 +84,7 @@
             return RetryDecision.UNSAFE
         if now + failed.expected_seconds > failed.deadline:
             return RetryDecision.TOO_LATE
-        if failed.attempts >= self.terms.most_attempts:
+        if failed.attempts >= self.terms.max_attempts:
             return RetryDecision.TOO_MANY_ATTEMPTS
         if self.saved < 1.0:
             return RetryDecision.OVER_BUDGET
--- a/fireflyfork/decisions/_rights.py
+++ b/fireflyfork/decisions/_rights.py
@@ -19,9 +19,9 @@
 
     right_seconds: float = 2.0
     """Duration of the right to dispatch after a proof that the member is not fenced."""
-    ask_seconds: float = 0.5
+    ask_interval_seconds: float = 0.5
     """Interval between questions to the guard."""
-    compare_seconds: float = 2.0
+    compare_interval_seconds: float = 2.0
     """Interval between questions to any other member, which only compare record revisions."""
     suspect_seconds: float = 2.0
     """A guard fences a ward that has not sent a question for this long."""
@@ -29,7 +29,7 @@
     """A member replaces a guard that has not acknowledged for this long."""
     improve_guard_seconds: float = 10.0
     """Minimum time before a guard that acknowledges is replaced by a better-ranked one."""
-    fresh_seconds: float = 1.0
+    max_read_age_seconds: float = 1.0
     """Changes are written only if the last answered read was sent at most this long ago."""
     pause_seconds: float = 0.8
     """A gap between two ticks above this counts as a pause of the process."""
@@ -39,7 +39,7 @@
     """Added to the takeover wait to allow for the granularity of clocks."""
     store_retry_seconds: float = 0.5
     """Backoff after the first failed store call; doubled with each further failure."""
-    longest_store_retry_seconds: float = 5.0
+    max_store_retry_seconds: float = 5.0
     """Maximum backoff between store calls."""
     watch_seconds: float = 300.0
     """Timeout of one watch call in the store."""
@@ -73,7 +73,7 @@
         """
         return GuardAnswer(holds_right, if_you_guard_me=own_guard == asker)
 
-    def dated(self, sent_at: float, received_at: float) -> float:
+    def valid_from(self, sent_at: float, received_at: float) -> float:
         """Return the time from which a proof counts.
 
         What was true when the question was answered may have changed before the answer arrived.
@@ -89,7 +89,7 @@
         drift = (1 + timing.drift) / (1 - timing.drift)
         return timing.right_seconds * drift + timing.margin_seconds
 
-    def settled(self, expected: Revision, seen: Revision) -> bool:
+    def is_settled(self, expected: Revision, seen: Revision) -> bool:
         """Return whether a write without an answer can no longer take effect.
 
         A read of the old value doesn't settle the outcome: the write may still be in flight, and
--- a/fireflyfork/decisions/_routing.py
+++ b/fireflyfork/decisions/_routing.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MemberFigures:
+class MemberLoad:
     """The load that a member reported for one service, and the requests sent to it since then."""
 
     member_id: MemberId
@@ -100,7 +100,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RouteQuestion:
+class RouteInput:
     """The input of a routing decision."""
 
     region: RegionName
@@ -110,7 +110,7 @@
     """Number of requests queued at this member for the service."""
     drain_per_second: float
     """Number of requests that the own targets complete per second when busy."""
-    peers: Sequence[MemberFigures]
+    peers: Sequence[MemberLoad]
     """The other members of all regions that own targets of the service."""
     time_left: float
     """Seconds until the deadline minus the expected service time."""
@@ -128,24 +128,24 @@
 
     bytes_per_second: float
     burst_seconds: float = 1.0
-    spent: float = 0.0
+    debt_bytes: float = 0.0
     """Bytes sent that the rate had not yet paid back at ``spent_at``."""
-    spent_at: float = 0.0
+    debt_at: float = 0.0
 
     def allows(self, size: int, now: float) -> bool:
         """Return whether ``size`` bytes may be sent now."""
-        return self._owed(now) + size <= self.bytes_per_second * self.burst_seconds
+        return self._debt(now) + size <= self.bytes_per_second * self.burst_seconds
 
     def spend(self, size: int, now: float) -> LinkBudget:
         """Deduct ``size`` bytes that were sent or received, whether or not they were expected."""
-        owed = self._owed(now) + size
+        owed = self._debt(now) + size
         return LinkBudget(self.bytes_per_second, self.burst_seconds, owed, now)
 
-    def _owed(self, now: float) -> float:
-        return max(0.0, self.spent - (now - self.spent_at) * self.bytes_per_second)
+    def _debt(self, now: float) -> float:
+        return max(0.0, self.debt_bytes - (now - self.debt_at) * self.bytes_per_second)
 
 
-def route(question: RouteQuestion, links: Mapping[RegionName, LinkBudget], now: float) -> Route:
+def route(question: RouteInput, links: Mapping[RegionName, LinkBudget], now: float) -> Route:
     """Choose the route of a request.
 
     The options are, in order of preference:
@@ -166,7 +166,7 @@
     near = [peer for peer in question.peers if peer.region == question.region]
     peer = less_loaded_of_two(near, question.draw, now)
     if peer is None:
-        return _queue_here(question) or _elsewhere(question, links, now)
+        return _queue_here(question) or _spill_or_refuse(question, links, now)
     forward = Route(RouteKind.FORWARD, member_id=peer.member_id)
     if not peer.is_fresh(now):
         # A member that stopped sending figures may be dead or partitioned, so the local queue is
@@ -174,13 +174,13 @@
         return _queue_here(question) or forward
     if peer.expected_wait < expected_wait_here(question):
         in_time = peer.expected_wait <= question.time_left
-        return forward if in_time else _elsewhere(question, links, now)
-    return _queue_here(question) or _elsewhere(question, links, now)
+        return forward if in_time else _spill_or_refuse(question, links, now)
+    return _queue_here(question) or _spill_or_refuse(question, links, now)
 
 
 def less_loaded_of_two(
-    peers: Sequence[MemberFigures], draw: tuple[float, float], now: float
-) -> MemberFigures | None:
+    peers: Sequence[MemberLoad], draw: tuple[float, float], now: float
+) -> MemberLoad | None:
     """Return the less loaded of two members drawn at random, or None if there are none.
 
     Expected waits are compared first, then room. Only members with fresh figures are drawn. If
@@ -197,21 +197,21 @@
     return min(fresh[first], fresh[second], key=lambda peer: (peer.expected_wait, -peer.room))
 
 
-def expected_wait_here(question: RouteQuestion) -> float:
+def expected_wait_here(question: RouteInput) -> float:
     """Return the expected wait in seconds for a slot of an own target; infinite without targets."""
     if not question.own or question.drain_per_second <= 0:
         return float("inf")
     return (question.queued + 1) / question.drain_per_second
 
 
-def _queue_here(question: RouteQuestion) -> Route | None:
+def _queue_here(question: RouteInput) -> Route | None:
     if expected_wait_here(question) > question.time_left:
         return None
     return Route(RouteKind.QUEUE)
 
 
-def _elsewhere(
-    question: RouteQuestion, links: Mapping[RegionName, LinkBudget], now: float
+def _spill_or_refuse(
+    question: RouteInput, links: Mapping[RegionName, LinkBudget], now: float
 ) -> Route:
     """Return a route to another region if the link budget allows it, or else a refusal."""
     far = [
@@ -251,11 +251,11 @@
 
     _seen_at: Mapping[TargetId, float] = field(default_factory=dict)
 
-    def seen(self, targets: Iterable[TargetId], now: float) -> LeavingTargets:
+    def mark_seen(self, targets: Iterable[TargetId], now: float) -> LeavingTargets:
         """Record that the instance list or the configuration lists targets as leaving or absent."""
         return LeavingTargets({**self._seen_at, **dict.fromkeys(targets, now)})
 
-    def heard(self, marks: Iterable[LeavingMark], now: float) -> LeavingTargets:
+    def merge_marks(self, marks: Iterable[LeavingMark], now: float) -> LeavingTargets:
         """Merge the marks of a peer, ignoring marks that are not much newer than the known ones.
 
         A mark appears younger by the time that its message was in transit. If any younger mark
@@ -266,13 +266,13 @@
         newer = {
             mark.target_id: now - mark.age_seconds
             for mark in marks
-            if now - mark.age_seconds > self._known(mark.target_id) + RENEWAL_SECONDS
+            if now - mark.age_seconds > self._last_seen(mark.target_id) + RENEWAL_SECONDS
         }
         return LeavingTargets({**self._seen_at, **newer}) if newer else self
 
     def includes(self, target_id: TargetId, now: float) -> bool:
         """Return whether the target is leaving, so that it gets no new requests."""
-        return now - self._known(target_id) < LEAVING_SECONDS
+        return now - self._last_seen(target_id) < LEAVING_SECONDS
 
     def marks(self, now: float) -> tuple[LeavingMark, ...]:
         """Return the marks to send to peers."""
@@ -287,5 +287,5 @@
         oldest = now - 2 * LEAVING_SECONDS
         return LeavingTargets({t: at for t, at in self._seen_at.items() if at > oldest})
 
-    def _known(self, target_id: TargetId) -> float:
+    def _last_seen(self, target_id: TargetId) -> float:
         return self._seen_at.get(target_id, float("-inf"))
--- a/fireflyfork/decisions/_slots.py
+++ b/fireflyfork/decisions/_slots.py
@@ -80,7 +80,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HandedSlot:
+class HandedOverSlot:
     """An occupied slot in a handover to the next owner, which has a different clock."""
 
     attempt: RequestId | None
@@ -91,7 +91,7 @@
 class SlotHandover:
     """The state of one target that an owner passes to its successor."""
 
-    occupied: tuple[HandedSlot, ...]
+    occupied: tuple[HandedOverSlot, ...]
     connections: int
     """Number of connections that may be open to the target."""
     leaving: bool
@@ -220,24 +220,24 @@
 
     def leave(self) -> SlotLedger:
         """Mark the target as leaving: it gets no new requests, and running requests continue."""
-        return self._marked(leaving=True, handed_over=self.handed_over)
+        return self._with_flags(leaving=True, handed_over=self.handed_over)
 
     def rejoin(self) -> SlotLedger:
         """Mark the target as no longer leaving, so that it may get requests again."""
-        return self._marked(leaving=False, handed_over=self.handed_over)
+        return self._with_flags(leaving=False, handed_over=self.handed_over)
 
     def hand_over(self, now: float) -> tuple[SlotLedger, SlotHandover]:
         """Stop sending, and return the occupied slots and connections for the next owner."""
         occupied = tuple(
-            HandedSlot(slot.attempt, slot.until - now) for slot in self._still_occupied(now)
+            HandedOverSlot(slot.attempt, slot.until - now) for slot in self._still_occupied(now)
         )
         connections = self.own_connections + self._inherited(now)
         handover = SlotHandover(occupied, connections, self.leaving)
-        return self._marked(leaving=self.leaving, handed_over=True), handover
+        return self._with_flags(leaving=self.leaving, handed_over=True), handover
 
     def take_back(self) -> SlotLedger:
         """Resume sending. Call only if the handover is known not to have taken effect."""
-        return self._marked(leaving=self.leaving, handed_over=False)
+        return self._with_flags(leaving=self.leaving, handed_over=False)
 
     def with_terms(self, terms: SlotTerms) -> SlotLedger:
         """Apply a changed contract; running requests are not affected."""
@@ -279,7 +279,7 @@
             self.handed_over,
         )
 
-    def _marked(self, leaving: bool, handed_over: bool) -> SlotLedger:
+    def _with_flags(self, leaving: bool, handed_over: bool) -> SlotLedger:
         return SlotLedger(
             self.terms,
             self.occupied,
--- a/fireflyfork/decisions/_snapshot.py
+++ b/fireflyfork/decisions/_snapshot.py
@@ -77,7 +77,7 @@
         owner,
         table.next_number,
         tuple(_store_job(job) for job in table.jobs.values()),
-        tuple(_store_task(task) for task in table.holding()),
+        tuple(_store_task(task) for task in table.tasks_holding_reservation()),
         (
             *_store_queue(table.waiting.values()),
             *_store_queue(table.urgent.values()),
--- a/fireflyfork/decisions/_task_table.py
+++ b/fireflyfork/decisions/_task_table.py
@@ -61,9 +61,9 @@
 
     def apply(self, changes: Iterable[TableChange]) -> TaskTable:
         """Return the table after ``changes``. Raises ImpossibleChangeError if one is invalid."""
-        draft = _Draft(self)
+        draft = _MutableTable(self)
         for change in changes:
-            draft.take(change)
+            draft.apply(change)
         return draft.freeze()
 
     def task_at(self, number: JobNumber, index: int) -> Task | None:
@@ -71,7 +71,7 @@
         job_id = self.job_ids.get(number)
         return None if job_id is None else self.tasks.get(task_id_of(job_id, index))
 
-    def holding(self) -> Iterable[Task]:
+    def tasks_holding_reservation(self) -> Iterable[Task]:
         """Yield every task with an attempt that may run."""
         for tasks in self.on_worker.values():
             yield from tasks.values()
@@ -79,7 +79,7 @@
 
 def build_table(jobs: Iterable[Job], tasks: Iterable[Task], next_number: JobNumber) -> TaskTable:
     """Build a table from the parts of a snapshot; ``tasks`` are in the order of the queue."""
-    draft = _Draft(TaskTable.empty())
+    draft = _MutableTable(TaskTable.empty())
     for job in jobs:
         draft.put_job(job)
     for task in tasks:
@@ -91,7 +91,7 @@
 GroupKey = TypeVar("GroupKey", JobId, WorkerId)
 
 
-class _Groups(Generic[GroupKey]):
+class _TaskGroups(Generic[GroupKey]):
     """Tasks grouped by a key, with copy-on-write groups."""
 
     def __init__(self, groups: Mapping[GroupKey, Mapping[TaskId, Task]]) -> None:
@@ -102,10 +102,10 @@
         return key in self._groups
 
     def put(self, key: GroupKey, task: Task) -> None:
-        self._own(key)[task.task_id] = task
+        self._writable_group(key)[task.task_id] = task
 
     def drop(self, key: GroupKey, task: Task) -> None:
-        group = self._own(key)
+        group = self._writable_group(key)
         del group[task.task_id]
         if not group:
             del self._groups[key]
@@ -115,7 +115,7 @@
         self._copied = {}
         return self._groups
 
-    def _own(self, key: GroupKey) -> dict[TaskId, Task]:
+    def _writable_group(self, key: GroupKey) -> dict[TaskId, Task]:
         group = self._copied.get(key)
         if group is None:
             group = dict(self._groups.get(key, {}))
@@ -124,7 +124,7 @@
         return group
 
 
-class _Draft:
+class _MutableTable:
     """A mutable copy of a table for the duration of one ``apply``.
 
     Copying once per batch of changes makes a single change O(1). Otherwise ten thousand
@@ -135,9 +135,9 @@
         self._jobs = dict(table.jobs)
         self._job_ids = dict(table.job_ids)
         self._tasks = dict(table.tasks)
-        self._waiting = _Groups(table.waiting)
-        self._urgent = _Groups(table.urgent)
-        self._on_worker = _Groups(table.on_worker)
+        self._waiting = _TaskGroups(table.waiting)
+        self._urgent = _TaskGroups(table.urgent)
+        self._on_worker = _TaskGroups(table.on_worker)
         self._reserved = dict(table.reserved)
         self._team_reserved = dict(table.team_reserved)
         self.next_number = table.next_number
@@ -155,7 +155,7 @@
             self.next_number,
         )
 
-    def take(self, change: TableChange) -> None:
+    def apply(self, change: TableChange) -> None:
         match change:
             case StartIntended():
                 self._start(change)
@@ -259,7 +259,7 @@
             cancelling = replace(
                 task, state=TaskState.CANCELLING, since=time, reason="cancelled by an operator"
             )
-            self._replace_holding(cancelling)
+            self._replace_placed(cancelling)
             return
         self._drop(task)
         self._end_task(task, TaskState.CANCELLED, time, "cancelled by an operator")
@@ -272,11 +272,11 @@
         if task.state is TaskState.CANCELLING or (
             task.state is TaskState.EVICTING and change.state is TaskState.RUNNING
         ):
-            self._replace_holding(replace(task, progress=progress))
+            self._replace_placed(replace(task, progress=progress))
             return
         since = task.since if task.state is change.state else change.time
         reason = change.reason or task.reason
-        self._replace_holding(
+        self._replace_placed(
             replace(task, state=change.state, progress=progress, since=since, reason=reason)
         )
 
@@ -284,7 +284,7 @@
         task = self._tasks.get(change.task_id)
         if task is not None and task.holds_reservation and task.attempt == change.attempt:
             limit = change.millicores
-            self._replace_holding(replace(task, millicores_limit=limit, reason=change.reason))
+            self._replace_placed(replace(task, millicores_limit=limit, reason=change.reason))
 
     def _forget(self, change: JobForgotten) -> None:
         job = self._job(change.number)
@@ -305,7 +305,7 @@
             raise ImpossibleChangeError(f"task {index} of job number {number} is not open")
         return task
 
-    def _replace_holding(self, task: Task) -> None:
+    def _replace_placed(self, task: Task) -> None:
         self._tasks[task.task_id] = task
         if task.worker_id is not None:
             self._on_worker.put(task.worker_id, task)
--- a/fireflyfork/decisions/placement/_policy.py
+++ b/fireflyfork/decisions/placement/_policy.py
@@ -227,7 +227,7 @@
         for command in self._placements(view, quotas):
             yield command
             starts += isinstance(command, Start)
-            if starts >= view.most_starts:
+            if starts >= view.max_starts:
                 return
 
     def _placements(self, view: PlacementView, quotas: QuotaLedger) -> Iterator[PlacementCommand]:
--- a/fireflyfork/decisions/tests/builders_fleet.py
+++ b/fireflyfork/decisions/tests/builders_fleet.py
@@ -34,7 +34,7 @@
     return record
 
 
-NAIDU = (
+FOUR_MEMBERS = (
     member("a", "viti/suva"),
     member("b", "viti/nadi"),
     member("c", "vanua/labasa"),
@@ -42,7 +42,7 @@
 )
 
 
-def evened_out(record: FleetRecord) -> FleetRecord:
+def balanced(record: FleetRecord) -> FleetRecord:
     """Return the record after every owner has made its planned moves, three times over."""
     for _ in range(3):
         for name in sorted(record.members):
--- a/fireflyfork/decisions/tests/builders_ownership.py
+++ b/fireflyfork/decisions/tests/builders_ownership.py
@@ -31,8 +31,8 @@
     OfferRecord,
     ReadFailed,
     ReadRecord,
-    RecordHeard,
     RecordRead,
+    RecordReceived,
     Tick,
     WriteEnded,
     WriteOutcome,
@@ -42,9 +42,9 @@
     MemberPhase,
     MembershipState,
     begin_membership,
-    handing_over,
     is_watcher,
-    zone_mates,
+    partitions_in_handover,
+    zone_peers,
 )
 from .._rights import MembershipTiming, RightRules
 from .builders_fleet import member
@@ -53,10 +53,10 @@
 STORE_TIMEOUT_SECONDS = 1.0
 PARTITIONS = 4
 
-NAIDU_PLACES = ("viti/suva", "viti/nadi", "viti/suva", "viti/nadi", "vanua/labasa", "vanua/labasa")
+SIX_PLACES = ("viti/suva", "viti/nadi", "viti/suva", "viti/nadi", "vanua/labasa", "vanua/labasa")
 
 
-def letter_places(entries: int) -> tuple[str, ...]:
+def large_fleet_places(entries: int) -> tuple[str, ...]:
     """Return the zones of entries spread evenly over 7 regions with 16 failure domains."""
     domains = [f"r{number % 7}/d{number}" for number in range(16)]
     by_region = sorted(domains, key=lambda place: int(place.partition("/d")[2]))
@@ -129,7 +129,7 @@
     def __init__(
         self,
         seed: int,
-        places: tuple[str, ...] = NAIDU_PLACES,
+        places: tuple[str, ...] = SIX_PLACES,
         rules: RightRules | None = None,
         timing: MembershipTiming | None = None,
         faults: Faults | None = None,
@@ -199,9 +199,9 @@
         """Freeze a process; events sent to it during the pause arrive when it resumes."""
         process.paused_until = max(process.paused_until, self.now + seconds)
         self.counts["pause"] += 1
-        self.after(process.paused_until - self.now, lambda: self._wake(process))
+        self.after(process.paused_until - self.now, lambda: self._resume(process))
 
-    def _wake(self, process: Process) -> None:
+    def _resume(self, process: Process) -> None:
         if process.paused_until > self.now or not process.alive:
             return
         pending, process.inbox = process.inbox, []
@@ -213,16 +213,16 @@
             return
         if process.paused_until <= self.now:
             self.feed(process, Tick())
-            self._follow_phase(process)
+            self._handle_phase_change(process)
         self.after(TICK_SECONDS / process.rate, lambda: self._tick(process))
 
-    def _follow_phase(self, process: Process) -> None:
+    def _handle_phase_change(self, process: Process) -> None:
         state = process.state
         if state.phase is MemberPhase.FENCED:
             self.counts["fenced"] += 1
             me = replace(state.me, member_id=MemberId(f"m{next(self._numbers):03}"), guard=None)
-            anew = begin_membership(me, self.timing, PARTITIONS, self.rules)
-            process.state = replace(anew, record=state.record, revision=state.revision)
+            rejoined = begin_membership(me, self.timing, PARTITIONS, self.rules)
+            process.state = replace(rejoined, record=state.record, revision=state.revision)
             process.call += 1
         elif state.phase is MemberPhase.LEFT:
             self.counts["left"] += 1
@@ -258,11 +258,11 @@
         process.state, commands = step(process.state, event, now)
         self._check(process)
         for command in commands:
-            self._carry_out(process, command)
+            self._execute(process, command)
         if process.alive and is_watcher(process.state):
             self.watching[process.state.me.member_id] = process
 
-    def _carry_out(self, process: Process, command: Command) -> None:
+    def _execute(self, process: Process, command: Command) -> None:
         match command:
             case AskGuard():
                 self.counts["ask"] += 1
@@ -274,7 +274,7 @@
             case OfferRecord():
                 for name in command.members:
                     self.counts["offer"] += 1
-                    self._send(process, name, RecordHeard(command.record, command.revision))
+                    self._send(process, name, RecordReceived(command.record, command.revision))
             case CollectOccupied():
                 self.feed(process, OccupiedCollected({}))
             case ReadRecord():
@@ -302,7 +302,9 @@
         self.after(self._delay(), lambda: self.deliver(process, event))
 
     def _find(self, name: MemberId) -> Process | None:
-        return next((one for one in self.processes if one.state.me.member_id == name), None)
+        return next(
+            (process for process in self.processes if process.state.me.member_id == name), None
+        )
 
     def _read(self, process: Process) -> None:
         self.counts["read"] += 1
@@ -336,7 +338,7 @@
         self.revision = Revision(self.revision + 1)
         self.counts[command.kind.value] += 1
         self._answer(process, call, WriteEnded(WriteOutcome.WON, self.revision))
-        self._tell_watchers()
+        self._notify_watchers()
 
     def _store_reached_by(self, process: Process) -> bool:
         return self.store_down_until <= self.now and not self._is_cut(self._port(process), "s")
@@ -357,43 +359,43 @@
         process.call += 1
         self.deliver(process, event)
 
-    def _tell_watchers(self) -> None:
+    def _notify_watchers(self) -> None:
         if self.record is None or self.watches_silent:
             return
-        heard = RecordHeard(self.record, self.revision)
+        event = RecordReceived(self.record, self.revision)
         for name, process in list(self.watching.items()):
             if not process.alive or not is_watcher(process.state):
                 del self.watching[name]
             elif not self._is_cut("s", self._port(process)):
-                self.after(self._delay(), lambda one=process: self._hear(one, heard))  # type: ignore[misc]
+                self.after(self._delay(), lambda watcher=process: self._relay(watcher, event))  # type: ignore[misc]
 
-    def _hear(self, process: Process, heard: RecordHeard) -> None:
-        self.deliver(process, heard)
-        for name in zone_mates(process.state):
-            self._send(process, name, heard)
+    def _relay(self, process: Process, event: RecordReceived) -> None:
+        self.deliver(process, event)
+        for name in zone_peers(process.state):
+            self._send(process, name, event)
 
     def _check(self, process: Process) -> None:
         before, expired = process.usable, process.expires < self.now
-        self._follow_right(process)
+        self._update_right(process)
         if process.usable <= before and not expired:
             return
-        for other in self.processes:
-            if other is process or other.expires <= self.now:
+        for peer in self.processes:
+            if peer is process or peer.expires <= self.now:
                 continue
-            shared = process.usable & other.usable
+            shared = process.usable & peer.usable
             if shared and process.expires > self.now:
-                members = (process.state.me.member_id, other.state.me.member_id)
+                members = (process.state.me.member_id, peer.state.me.member_id)
                 self.violations.append(DoubleOwnership(self.now, min(shared), members))
 
-    def _follow_right(self, process: Process) -> None:
+    def _update_right(self, process: Process) -> None:
         state = process.state
         if process.owned_from is not state.record:
             process.owned_from = state.record
             process.owned = frozenset(state.record.owned_by(state.me.member_id))
         process.usable = frozenset()
         if state.phase in (MemberPhase.ACTIVE, MemberPhase.LEAVING):
-            process.usable = process.owned - handing_over(state)
-        lasts = state.right_dated + state.timing.right_seconds
+            process.usable = process.owned - partitions_in_handover(state)
+        lasts = state.right_proved_at + state.timing.right_seconds
         process.expires = (lasts - process.offset) / process.rate
 
     def run_with_faults(self, seconds: float) -> None:
@@ -424,12 +426,12 @@
         self.faults = NO_FAULTS
         for process in self.processes:
             process.paused_until = min(process.paused_until, self.now)
-            self._wake(process)
+            self._resume(process)
 
     def _pick(self) -> Process | None:
         return self.random.choice(self.processes) if self.processes else None
 
-    def _span(self) -> float:
+    def _cut_seconds(self) -> float:
         return self.random.uniform(0.5, self.faults.longest_cut)
 
     def _pause_one(self) -> None:
@@ -446,19 +448,19 @@
             self.stop(process)
 
     def _cut_link(self) -> None:
-        one, other = self._pick(), self._pick()
-        if one is None or other is None or one is other:
+        sender, receiver = self._pick(), self._pick()
+        if sender is None or receiver is None or sender is receiver:
             return
-        seconds = self._span()
-        self.cut_one_way(one, other, seconds)
+        seconds = self._cut_seconds()
+        self.cut_one_way(sender, receiver, seconds)
         if self.random.random() < 0.5:
-            self.cut_one_way(other, one, seconds)
+            self.cut_one_way(receiver, sender, seconds)
 
     def cut_from_rest(self, inside: list[Process], seconds: float) -> None:
         """Cut the processes in ``inside`` from all others and the store."""
         end = self.now + seconds
-        near_ports = {self._port(one) for one in inside}
-        far_ports = {self._port(one) for one in self.processes} - near_ports
+        near_ports = {self._port(process) for process in inside}
+        far_ports = {self._port(process) for process in self.processes} - near_ports
         for near in near_ports:
             for far in (*far_ports, "s"):
                 self.cuts[near, far] = self.cuts[far, near] = end
@@ -474,7 +476,11 @@
         if (first := self._pick()) is None:
             return []
         if self.random.random() < 0.4:
-            return [one for one in self.processes if _zone(one).region == _zone(first).region]
+            return [
+                process
+                for process in self.processes
+                if _zone(process).region == _zone(first).region
+            ]
         size = min(len(self.processes), self.random.randint(1, 3))
         return self.random.sample(self.processes, size)
 
@@ -484,10 +490,10 @@
         port = self._port(process)
         ways = ((port, "s"), ("s", port))
         for way in self.random.choice((ways, ways[:1], ways[1:])):
-            self.cuts[way] = self.now + self._span()
+            self.cuts[way] = self.now + self._cut_seconds()
 
     def _stop_store(self) -> None:
-        self.store_down_until = self.now + self._span()
+        self.store_down_until = self.now + self._cut_seconds()
 
     def unserved(self) -> set[PartitionId]:
         """Return the partitions in the record that no process may dispatch for now."""
@@ -503,20 +509,20 @@
         """Return whether dead members guard only each other, so that no process may fence them."""
         if self.record is None:
             return False
-        living = {one.state.me.member_id for one in self.processes}
+        living = {process.state.me.member_id for process in self.processes}
         return any(not self._is_guarded(name, living) for name in self.record.members)
 
     def _is_guarded(self, name: MemberId, living: set[MemberId]) -> bool:
         """Return whether the chain of guards from a member reaches a live process."""
         assert self.record is not None
         seen: set[MemberId] = set()
-        present: MemberId | None = name
-        while present is not None and present not in seen:
-            if present in living:
+        current: MemberId | None = name
+        while current is not None and current not in seen:
+            if current in living:
                 return True
-            seen.add(present)
-            fenced = self.record.fenced.get(present)
-            present = fenced.taker if fenced is not None else self.record.guard_of(present)
+            seen.add(current)
+            fenced = self.record.fenced.get(current)
+            current = fenced.taker if fenced is not None else self.record.guard_of(current)
         return False
 
 
--- a/fireflyfork/decisions/tests/builders_requests.py
+++ b/fireflyfork/decisions/tests/builders_requests.py
@@ -15,9 +15,9 @@
 )
 from .. import (
     AdmissionQueue,
-    MemberFigures,
+    MemberLoad,
     OwnTarget,
-    RouteQuestion,
+    RouteInput,
     ServiceTime,
     SlotTerms,
     WaitingRequest,
@@ -51,35 +51,35 @@
     return SlotTerms.from_contracts(target(slots, connections), service())
 
 
-def figures(
+def member_load(
     name: str,
     free: int = 1,
     queued: int = 0,
     measured_at: float = 0.0,
     region: RegionName = VITI,
     sent_since: int = 0,
-) -> MemberFigures:
+) -> MemberLoad:
     """Return the load of a peer whose targets complete ten requests per second."""
-    return MemberFigures(
+    return MemberLoad(
         MemberId(name), region, free, queued, 10.0, measured_at, sent_since=sent_since
     )
 
 
-def question(
+def route_input(
     own: dict[str, int] | None = None,
-    peers: tuple[MemberFigures, ...] = (),
+    peers: tuple[MemberLoad, ...] = (),
     queued: int = 0,
     time_left: float = 1.0,
     forwarded: bool = False,
     draw: tuple[float, float] = (0.0, 0.0),
-) -> RouteQuestion:
+) -> RouteInput:
     """Return the routing input for a request of 1,000 bytes in viti.
 
     ``own`` maps own targets to their free slots.
     """
     targets = [OwnTarget(TargetId(name), free) for name, free in (own or {}).items()]
     drain = 10.0 * len(targets)
-    return RouteQuestion(
+    return RouteInput(
         VITI, targets, queued, drain, peers, time_left, 1000, forwarded=forwarded, draw=draw
     )
 
@@ -89,9 +89,9 @@
     return WaitingRequest(RequestId(name), MemberId(entry), deadline)
 
 
-def queue(mean: float = 0.1, longest: int = 10) -> AdmissionQueue:
+def queue(mean: float = 0.1, max_waiting: int = 10) -> AdmissionQueue:
     """Return an empty queue of a service whose requests all take ``mean`` seconds."""
-    return AdmissionQueue(longest, ServiceTime(mean, 0.0))
+    return AdmissionQueue(max_waiting, ServiceTime(mean, 0.0))
 
 
 def timed_key(minted: float, serial: int = 0) -> IdempotencyKey:
--- a/fireflyfork/decisions/tests/builders_rights.py
+++ b/fireflyfork/decisions/tests/builders_rights.py
@@ -17,7 +17,7 @@
 class DatedFromReceipt(RightRules):
     """A proof counts from the arrival of the answer."""
 
-    def dated(self, sent_at: float, received_at: float) -> float:
+    def valid_from(self, sent_at: float, received_at: float) -> float:
         """See ``RightRules``."""
         return received_at
 
@@ -41,6 +41,6 @@
 class OldValueSettles(RightRules):
     """A read of the old value is taken as proof that a write failed."""
 
-    def settled(self, expected: Revision, seen: Revision) -> bool:
+    def is_settled(self, expected: Revision, seen: Revision) -> bool:
         """See ``RightRules``."""
         return seen >= expected
--- a/fireflyfork/decisions/tests/test_admission.py
+++ b/fireflyfork/decisions/tests/test_admission.py
@@ -8,13 +8,13 @@
 
 from ..._ids import RequestId
 from .. import AdmissionDecision, AdmissionKind, AdmissionQueue, ConcurrencyLimit, WaitingRequest
-from .._concurrency import WINDOW
+from .._concurrency import WINDOW_ANSWERS
 from .builders_requests import queue, waiting
 
 
-def _filled(count: int, entry: str = "e1", longest: int = 10) -> AdmissionQueue:
+def _filled(count: int, entry: str = "e1", max_waiting: int = 10) -> AdmissionQueue:
     """Return a queue with ``count`` requests whose deadlines are a minute away."""
-    filled = queue(longest=longest)
+    filled = queue(max_waiting=max_waiting)
     for number in range(count):
         request = waiting(f"{entry}-{number}", 60.0, entry)
         filled, _ = filled.offer(request, free=0, usable=2, now=0.0)
@@ -48,9 +48,9 @@
                 request = waiting("new", deadline)
                 _, decision = _filled(count).offer(request, free, usable, 0.0)
                 self.assertIs(decision.kind, kind)
-                said = [refused.retry_after for refused in decision.refused]
-                self.assertEqual(bool(said), kind is AdmissionKind.REFUSE)
-                for seconds in said:
+                retry_times = [refused.retry_after for refused in decision.refused]
+                self.assertEqual(bool(retry_times), kind is AdmissionKind.REFUSE)
+                for seconds in retry_times:
                     self.assertAlmostEqual(seconds, retry_after)
 
     def test_an_urgent_request_makes_nobody_late(self) -> None:
@@ -103,12 +103,12 @@
         _, decision = lasting.offer(waiting("surplus", 60.0), 0, 2, now=0.6)
         self.assertIs(decision.kind, AdmissionKind.REFUSE)
 
-    def test_nobody_waits_past_hope(self) -> None:
+    def test_requests_expire_before_their_deadline(self) -> None:
         """A request is refused once it can no longer finish in time, not only at its deadline."""
-        one, _ = queue().offer(waiting("w", 1.0), 0, 2, 0.0)
-        self.assertEqual(one.next_expiry(), 0.9)
-        self.assertEqual(one.expire(0.89)[1], ())
-        rest, refused = one.expire(0.91)
+        filled, _ = queue().offer(waiting("w", 1.0), 0, 2, 0.0)
+        self.assertEqual(filled.next_expiry(), 0.9)
+        self.assertEqual(filled.expire(0.89)[1], ())
+        rest, refused = filled.expire(0.91)
         self.assertEqual([r.request.request_id for r in refused], ["w"])
         self.assertEqual(rest.next_expiry(), None)
 
@@ -117,7 +117,7 @@
     """The adaptive limit on the slots in use."""
 
     def _after(self, limit: ConcurrencyLimit, seconds: float, windows: int) -> ConcurrencyLimit:
-        for _ in range(WINDOW * windows):
+        for _ in range(WINDOW_ANSWERS * windows):
             limit = limit.answered(seconds)
         return limit
 
@@ -153,11 +153,11 @@
         before = set(self.queue.waiting)
         free = self.SLOTS - len(self.running)
         self.queue, decision = self.queue.offer(request, free, self.SLOTS, self.now)
-        refused = {other.request for other in decision.refused}
+        refused = {item.request for item in decision.refused}
         assert refused <= before | {request}
-        assert all(other.retry_after > 0 for other in decision.refused)
+        assert all(item.retry_after > 0 for item in decision.refused)
         assert (request in refused) == (decision.kind is AdmissionKind.REFUSE)
-        self.open -= {other.request_id for other in refused}
+        self.open -= {item.request_id for item in refused}
         if decision.kind is AdmissionKind.RUN:
             assert free > 0
             assert not before
@@ -183,9 +183,9 @@
     @rule(data=st.data())
     def caller_leaves(self, data: st.DataObject) -> None:
         """The caller of a queued request gives up."""
-        gone = data.draw(st.sampled_from(sorted(self.open)))
-        self.open.remove(gone)
-        self.queue = self.queue.withdraw(gone)
+        withdrawn = data.draw(st.sampled_from(sorted(self.open)))
+        self.open.remove(withdrawn)
+        self.queue = self.queue.withdraw(withdrawn)
 
     @rule(seconds=st.sampled_from([0.01, 0.3, 2.0]))
     def pause(self, seconds: float) -> None:
@@ -196,18 +196,18 @@
     def expire(self) -> None:
         """Expire the requests that can no longer finish in time."""
         self.queue, refused = self.queue.expire(self.now)
-        self.open -= {other.request.request_id for other in refused}
+        self.open -= {refusal.request.request_id for refusal in refused}
         expiry = self.queue.next_expiry()
         assert expiry is None or expiry >= self.now
 
     @invariant()
-    def everyone_is_accounted_for(self) -> None:
+    def requests_are_accounted_for(self) -> None:
         """No request is lost or duplicated, the queue is bounded, and deadlines are in order."""
         ids = [request.request_id for request in self.queue.waiting]
         assert sorted(ids) == sorted(self.open)
         deadlines = [request.deadline for request in self.queue.waiting]
         assert deadlines == sorted(deadlines)
-        assert len(ids) <= self.queue.longest
+        assert len(ids) <= self.queue.max_waiting
 
 
 AdmissionHistory.TestCase.settings = settings(max_examples=60, stateful_step_count=40)
--- a/fireflyfork/decisions/tests/test_configuration_register.py
+++ b/fireflyfork/decisions/tests/test_configuration_register.py
@@ -19,11 +19,11 @@
     apply_read,
     apply_written,
     begin_register,
-    consider,
     decode_configuration,
     encode_configuration,
-    peer_done,
-    store_is_empty,
+    merge_offer,
+    record_empty_store,
+    record_peer_finished,
 )
 from .._membership_events import WriteOutcome
 
@@ -55,28 +55,28 @@
         ]
         for held, offer, source, outcome, change in cases:
             with self.subTest(held=held, offer=offer, source=source):
-                state, found = consider(RegisterState(held), offer, source)
-                self.assertIs(found, outcome)
+                state, actual = merge_offer(RegisterState(held), offer, source)
+                self.assertIs(actual, outcome)
                 assert state.held is not None
                 self.assertEqual(state.held.change_id, change)
 
-    def test_restarted_entry_waits_for_all_it_asked(self) -> None:
+    def test_restarted_entry_waits_for_all_peers(self) -> None:
         """The store is down, and the first peer to answer offers an outdated version.
 
         An entry that became ready with it would serve a configuration that had been replaced.
         """
         state = begin_register((PEER, MemberId("slow")))
-        state, _ = consider(state, _offer(4), OfferSource.PEER)
-        state = peer_done(state, PEER)
+        state, _ = merge_offer(state, _offer(4), OfferSource.PEER)
+        state = record_peer_finished(state, PEER)
         self.assertFalse(state.ready)
-        state, _ = consider(state, _offer(5), OfferSource.PEER)
-        self.assertTrue(peer_done(state, MemberId("slow")).ready)
+        state, _ = merge_offer(state, _offer(5), OfferSource.PEER)
+        self.assertTrue(record_peer_finished(state, MemberId("slow")).ready)
 
     def test_store_answer_is_enough(self) -> None:
         """Unreachable peers must not delay the start of an entry while the store answers."""
-        state, _ = consider(begin_register((PEER,)), _offer(5), OfferSource.STORE)
+        state, _ = merge_offer(begin_register((PEER,)), _offer(5), OfferSource.STORE)
         self.assertTrue(state.ready)
-        self.assertFalse(store_is_empty(begin_register((PEER,))).ready)
+        self.assertFalse(record_empty_store(begin_register((PEER,))).ready)
 
     def test_unreadable_value(self) -> None:
         """A malformed value raises SettingsError."""
@@ -111,7 +111,7 @@
         later = apply_read(_apply("later", 4), state.proposal, Revision(8)).proposal
         self.assertIs(apply_read(state, later, Revision(9)).phase, ApplyPhase.ACCEPTED)
 
-    def test_old_value_settles_nothing(self) -> None:
+    def test_old_value_does_not_settle_a_write(self) -> None:
         """The old value doesn't prove a failure, since the write may still be in flight."""
         state = apply_read(_apply("mine", 3), _offer(3), Revision(7))
         state = apply_written(state, WriteOutcome.UNKNOWN)
@@ -119,7 +119,7 @@
         self.assertIs(again.phase, ApplyPhase.WRITING)
         self.assertEqual(again.proposal, state.proposal)
 
-    def test_store_that_was_set_back(self) -> None:
+    def test_store_that_was_rolled_back(self) -> None:
         """The store was restored from a backup, so its next version number is already in use.
 
         Entries that hold a higher version would ignore the change forever.
@@ -137,10 +137,10 @@
         A change reported as accepted was in force at some time, a change reported as refused never
         is, and no entry goes back to an older version.
         """
-        _Race(random.Random(seed)).run(self)
+        _OperatorRace(random.Random(seed)).run(self)
 
 
-class _Race:
+class _OperatorRace:
     """Three operators, a store, and an entry that receives accepted changes in any order."""
 
     def __init__(self, chance: random.Random) -> None:
@@ -160,7 +160,7 @@
                 self._take_effect(*self.late.pop())
             if self.accepted:
                 before = entry.version
-                entry, _ = consider(entry, self.chance.choice(self.accepted), OfferSource.PEER)
+                entry, _ = merge_offer(entry, self.chance.choice(self.accepted), OfferSource.PEER)
                 test.assertGreaterEqual(entry.version, before)
         while self.late:
             self._take_effect(*self.late.pop())
@@ -178,7 +178,7 @@
             return apply_read(tool, self.stored, self.revision)
         if tool.phase is not ApplyPhase.WRITING or tool.proposal is None:
             if tool.phase is ApplyPhase.REFUSED and self.chance.random() < 0.3:
-                return self._try_anew(tool)
+                return self._retry_on_current(tool)
             return tool
         fate = self.chance.random()
         if fate < 0.25:
@@ -189,7 +189,7 @@
             return apply_written(tool, WriteOutcome.UNKNOWN)
         return apply_written(tool, WriteOutcome.WON if won else WriteOutcome.LOST)
 
-    def _try_anew(self, tool: ApplyState) -> ApplyState:
+    def _retry_on_current(self, tool: ApplyState) -> ApplyState:
         base = self.stored.version if self.stored is not None else 0
         return _apply(f"{tool.change_id}+", base)
 
--- a/fireflyfork/decisions/tests/test_connections.py
+++ b/fireflyfork/decisions/tests/test_connections.py
@@ -20,18 +20,18 @@
         pool, _ = ConnectionPool(TERMS).answered(FIRST, 0.0)
         self.pool, _ = pool.answered(SECOND, 1.0)
 
-    def test_only_a_lately_proved_connection_is_trusted(self) -> None:
+    def test_only_a_recently_verified_connection_is_trusted(self) -> None:
         """An idle pooled connection has silently stopped working.
 
         A request sent on it would neither arrive nor fail. Its caller would wait until the deadline
         for the verdict that the request may have run, and could not safely retry it.
         """
         cases = [
-            (False, 1.0 + TERMS.proof_lasts, ConnectionChoice.REUSE, SECOND, ()),
-            (False, 1.1 + TERMS.proof_lasts, ConnectionChoice.OPEN, None, (FIRST,)),
-            (True, 1.1 + TERMS.proof_lasts, ConnectionChoice.REUSE, SECOND, ()),
-            (True, 0.5 + TERMS.longest_idle, ConnectionChoice.REUSE, SECOND, (FIRST,)),
-            (True, 1.1 + TERMS.longest_idle, ConnectionChoice.OPEN, None, (FIRST, SECOND)),
+            (False, 1.0 + TERMS.trusted_seconds, ConnectionChoice.REUSE, SECOND, ()),
+            (False, 1.1 + TERMS.trusted_seconds, ConnectionChoice.OPEN, None, (FIRST,)),
+            (True, 1.1 + TERMS.trusted_seconds, ConnectionChoice.REUSE, SECOND, ()),
+            (True, 0.5 + TERMS.max_idle_seconds, ConnectionChoice.REUSE, SECOND, (FIRST,)),
+            (True, 1.1 + TERMS.max_idle_seconds, ConnectionChoice.OPEN, None, (FIRST, SECOND)),
         ]
         for idempotent, now, choice, connection, close in cases:
             with self.subTest(idempotent=idempotent, now=now):
@@ -39,7 +39,7 @@
                 self.assertIs(decision.choice, choice)
                 self.assertEqual((decision.connection_id, decision.close), (connection, close))
 
-    def test_a_silence_accuses_its_neighbours(self) -> None:
+    def test_a_silent_connection_makes_others_suspect(self) -> None:
         """One silent connection makes all others suspect, so the next request uses a new one."""
         pool, close = self.pool.silent(THIRD, newest=THIRD, now=1.5)
         self.assertEqual(close, (FIRST, SECOND))
@@ -48,14 +48,14 @@
         self.assertEqual((same, close), (pool, ()))
         self.assertEqual(pool.answered(FIRST, 1.7), (pool, (FIRST,)))
 
-    def test_a_path_whose_new_connections_are_silent_is_left_alone(self) -> None:
+    def test_a_path_whose_new_connections_are_silent_is_quarantined(self) -> None:
         """Handshakes succeed but requests get no answer; only a few requests may be lost to it."""
         pool, _ = self.pool.silent(SECOND, newest=SECOND, now=10.0)
         pool, _ = pool.opened().silent(THIRD, newest=THIRD, now=15.0)
         self.assertIs(pool.state, PathState.SILENT)
         _, refused = pool.choose(False, 15.1)
         self.assertIs(refused.choice, ConnectionChoice.QUARANTINED)
-        self.assertAlmostEqual(refused.retry_after, TERMS.shortest_quarantine - 0.1)
+        self.assertAlmostEqual(refused.retry_after, TERMS.min_quarantine_seconds - 0.1)
         trial, decision = pool.choose(False, 15.5)
         self.assertIs(decision.choice, ConnectionChoice.OPEN)
         during, refused = trial.opened().choose(False, 15.6)
@@ -63,7 +63,7 @@
         healed, _ = during.answered(ConnectionId(4), 15.7)
         self.assertIs(healed.choose(False, 15.8)[1].choice, ConnectionChoice.REUSE)
 
-    def test_a_path_that_can_not_be_opened_is_tried_less_and_less(self) -> None:
+    def test_a_path_that_can_not_be_opened_backs_off(self) -> None:
         """A target is unreachable: no request was sent, and new attempts back off exponentially."""
         pool = ConnectionPool(TERMS)
         waits = []
@@ -76,12 +76,12 @@
     def test_the_pool_is_bounded(self) -> None:
         """The number of idle connections is limited, since they count against the contract."""
         pool = ConnectionPool(TERMS)
-        for number in range(1, TERMS.most_idle + 1):
+        for number in range(1, TERMS.max_idle_connections + 1):
             pool, close = pool.answered(ConnectionId(number), 0.0)
             self.assertEqual(close, ())
         pool, close = pool.answered(ConnectionId(99), 0.0)
-        self.assertEqual((len(pool.idle), close), (TERMS.most_idle, (FIRST,)))
-        self.assertEqual(len(pool.closed(SECOND).idle), TERMS.most_idle - 1)
+        self.assertEqual((len(pool.idle), close), (TERMS.max_idle_connections, (FIRST,)))
+        self.assertEqual(len(pool.closed(SECOND).idle), TERMS.max_idle_connections - 1)
 
 
 class SilentPath(RuleBasedStateMachine):
@@ -101,7 +101,7 @@
         self.newest = 0
         self.waiting: dict[ConnectionId, float] = {}
         self.silent_ids: set[ConnectionId] = set()
-        self.swallows = False
+        self.drops_traffic = False
         self.lost = 0
         self.allowed_to_lose = 0.0
 
@@ -111,7 +111,9 @@
         """Choose a connection for a request and send it."""
         self.pool, decision = self.pool.choose(idempotent, self.now)
         if decision.choice is ConnectionChoice.QUARANTINED:
-            assert 0 < decision.retry_after <= max(TERMS.longest_quarantine, TERMS.silence_seconds)
+            assert (
+                0 < decision.retry_after <= max(TERMS.max_quarantine_seconds, TERMS.silence_seconds)
+            )
             return
         connection = decision.connection_id
         if connection is None:
@@ -120,7 +122,7 @@
             self.pool = self.pool.opened()
         assert connection not in self.waiting
         self.waiting[connection] = self.now
-        if self.swallows:
+        if self.drops_traffic:
             self.silent_ids.add(connection)
         if connection in self.silent_ids:
             self.lost += 1
@@ -132,10 +134,10 @@
         connection = data.draw(st.sampled_from(sorted(set(self.waiting) - self.silent_ids)))
         del self.waiting[connection]
         self.pool, _ = self.pool.answered(connection, self.now)
-        if not self.swallows:
+        if not self.drops_traffic:
             assert connection <= self.pool.suspected_up_to or self.pool.failures == 0
 
-    @rule(seconds=st.sampled_from([0.1, 0.5, TERMS.proof_lasts, TERMS.silence_seconds, 30.0]))
+    @rule(seconds=st.sampled_from([0.1, 0.5, TERMS.trusted_seconds, TERMS.silence_seconds, 30.0]))
     def time_passes(self, seconds: float) -> None:
         """Advance the clock and report requests that time out, oldest first."""
         end = self.now + seconds
@@ -146,23 +148,23 @@
                 newest = ConnectionId(self.newest)
                 self.pool, _ = self.pool.silent(connection, newest, self.now)
         self.now = end
-        if self.swallows:
+        if self.drops_traffic:
             self.allowed_to_lose += seconds / TERMS.silence_seconds
 
-    @precondition(lambda self: not self.swallows)
+    @precondition(lambda self: not self.drops_traffic)
     @rule()
     def go_silent(self) -> None:
         """From now on the path drops all traffic except handshakes."""
-        self.swallows = True
+        self.drops_traffic = True
         self.silent_ids = {ConnectionId(number) for number in range(1, self.newest + 1)}
         self.lost = len(self.waiting)
         self.allowed_to_lose = 2.0 * self.SLOTS + 1
 
-    @precondition(lambda self: self.swallows)
+    @precondition(lambda self: self.drops_traffic)
     @rule()
-    def new_ones_work(self) -> None:
+    def new_connections_work(self) -> None:
         """New connections work from now on; the open connections stay silent."""
-        self.swallows = False
+        self.drops_traffic = False
 
     @precondition(lambda self: not self.waiting)
     @rule()
@@ -191,9 +193,9 @@
         assert len(self.pool.idle) + len(self.waiting) <= self.SLOTS
 
     @invariant()
-    def few_met_the_dead_path(self) -> None:
+    def lost_requests_are_bounded(self) -> None:
         """The number of requests lost to a silence never exceeds the bound."""
-        if self.swallows:
+        if self.drops_traffic:
             assert self.lost <= self.allowed_to_lose, (self.lost, self.allowed_to_lose)
 
 
--- a/fireflyfork/decisions/tests/test_fleet.py
+++ b/fireflyfork/decisions/tests/test_fleet.py
@@ -20,9 +20,9 @@
     partition_of,
     region_of,
 )
-from .builders_fleet import NAIDU, VANUA, VITI, evened_out, fleet, member
+from .builders_fleet import FOUR_MEMBERS, VANUA, VITI, balanced, fleet, member
 
-A, B, C, D = (one.member_id for one in NAIDU)
+A, B, C, D = (each.member_id for each in FOUR_MEMBERS)
 CHANGE = ChangeId("change")
 
 
@@ -45,7 +45,7 @@
         self.assertEqual(len(record.owned_by(A)), 6)
         self.assertEqual((record.guard_of(A), record.guard_of(B)), (B, A))
 
-    def test_guards_stand_in_the_best_place(self) -> None:
+    def test_best_ranked_guard_is_chosen(self) -> None:
         """A guard in the same failure domain or across the metered link may fail with its ward."""
         cases = [
             ("viti/nadi", ("viti/suva", "viti/nadi", "vanua/labasa"), "m0"),
@@ -54,15 +54,17 @@
             ("viti/nadi", ("vanua/labasa", "viti/nadi", "viti/suva"), "m2"),
             ("viti/nadi", (), None),
         ]
-        for place, others, expected in cases:
-            with self.subTest(place=place, others=others):
-                present = [member(f"m{number}", where) for number, where in enumerate(others)]
-                members = {one.member_id: one for one in present}
+        for place, other_places, expected in cases:
+            with self.subTest(place=place, others=other_places):
+                candidates = [
+                    member(f"m{number}", where) for number, where in enumerate(other_places)
+                ]
+                members = {candidate.member_id: candidate for candidate in candidates}
                 self.assertEqual(changes.choose_guard(members, member("x", place)), expected)
 
-    def test_planned_moves_even_out_and_stay_home(self) -> None:
+    def test_planned_moves_balance_each_region(self) -> None:
         """After the moves each member owns an even share of its region, and no moves remain."""
-        record = evened_out(fleet(NAIDU))
+        record = balanced(fleet(FOUR_MEMBERS))
         counts = Counter(ownership.owner for ownership in record.owners.values())
         self.assertEqual(set(counts.values()), {3})
         for partition, ownership in record.owners.items():
@@ -76,7 +78,7 @@
         Otherwise requests would be refused although the targets are live. The next member to join
         the region gets the partitions back.
         """
-        record = evened_out(fleet(NAIDU))
+        record = balanced(fleet(FOUR_MEMBERS))
         for leaver in (C, D):
             left = changes.leave(record, leaver, {}, CHANGE)
             assert left is not None
@@ -85,14 +87,14 @@
         self.assertEqual(owners, {A, B})
         joined = changes.join(record, member("e", "vanua/labasa"), CHANGE)
         assert joined is not None
-        self.assertEqual(len(evened_out(joined).owned_by(MemberId("e"))), 6)
+        self.assertEqual(len(balanced(joined).owned_by(MemberId("e"))), 6)
 
     def test_leaving_hands_over_occupied_slots(self) -> None:
         """Requests in flight continue after a hand-over, so the new owner must count their slots.
 
         Otherwise it would send a ninth request to a target with eight slots.
         """
-        record = evened_out(fleet(NAIDU[:2]))
+        record = balanced(fleet(FOUR_MEMBERS[:2]))
         partition = record.owned_by(A)[0]
         busy = (OccupiedSlots(TargetId("executor-1"), 3, 1.5),)
         left = changes.leave(record, A, {partition: busy}, CHANGE)
@@ -112,7 +114,7 @@
 
     def test_only_the_guard_fences_and_only_the_taker_takes_over(self) -> None:
         """Other members must not fence a member, since its guard would still acknowledge it."""
-        record = fleet(NAIDU)
+        record = fleet(FOUR_MEMBERS)
         self.assertEqual(record.guard_of(A), B)
         self.assertIsNone(changes.fence(record, A, C, CHANGE))
         fenced = changes.fence(record, A, B, CHANGE)
@@ -130,7 +132,7 @@
 
         Otherwise the fenced member would own its partitions forever.
         """
-        fenced = changes.fence(fleet(NAIDU), A, B, CHANGE)
+        fenced = changes.fence(fleet(FOUR_MEMBERS), A, B, CHANGE)
         assert fenced is not None
         left = changes.leave(fenced, B, {}, CHANGE)
         assert left is not None
@@ -142,7 +144,7 @@
         Unless their restarts replace them, requests for their targets would be refused until an
         operator intervenes.
         """
-        record = evened_out(fleet([member("a", port=1), member("b", "viti/nadi", port=2)]))
+        record = balanced(fleet([member("a", port=1), member("b", "viti/nadi", port=2)]))
         for newcomer in (member("e", port=1), member("f", "viti/nadi", port=2)):
             joined = changes.join(record, newcomer, CHANGE)
             assert joined is not None
@@ -152,13 +154,13 @@
 
     def test_member_id_is_not_used_twice(self) -> None:
         """A fenced member must not rejoin under the same member id."""
-        fenced = changes.fence(fleet(NAIDU), A, B, CHANGE)
+        fenced = changes.fence(fleet(FOUR_MEMBERS), A, B, CHANGE)
         assert fenced is not None
         self.assertIsNone(changes.join(fenced, member("a"), CHANGE))
 
     def test_unreadable_record(self) -> None:
         """A malformed value raises SettingsError and no other exception."""
-        for value in (b"", b"\xc1", b"\x93\x01\x02\x03", encode_fleet(fleet(NAIDU))[:-1]):
+        for value in (b"", b"\xc1", b"\x93\x01\x02\x03", encode_fleet(fleet(FOUR_MEMBERS))[:-1]):
             with self.subTest(value=value[:4]), self.assertRaises(SettingsError):
                 decode_fleet(value)
 
@@ -173,15 +175,19 @@
         joined = 0
         for kind, pick in moves:
             names = sorted(record.members)
-            one = names[pick % len(names)] if names else None
+            member_id = names[pick % len(names)] if names else None
             changed: FleetRecord | None = None
             if kind == "j":
                 joined += 1
                 changed = changes.join(record, _newcomer(joined, pick), CHANGE)
-            elif kind == "l" and one is not None:
-                changed = changes.leave(record, one, {}, CHANGE)
-            elif kind == "f" and one is not None and (guard := record.guard_of(one)) is not None:
-                changed = changes.fence(record, one, guard, CHANGE)
+            elif kind == "l" and member_id is not None:
+                changed = changes.leave(record, member_id, {}, CHANGE)
+            elif (
+                kind == "f"
+                and member_id is not None
+                and (guard := record.guard_of(member_id)) is not None
+            ):
+                changed = changes.fence(record, member_id, guard, CHANGE)
             elif kind == "t" and record.fenced:
                 fenced, entry = sorted(record.fenced.items())[0]
                 changed = changes.take_over(record, fenced, entry.taker or fenced, CHANGE)
@@ -196,9 +202,9 @@
         for ownership in record.owners.values():
             if ownership.owner is not None or record.members:
                 self.assertIn(ownership.owner, known)
-        for one in record.members.values():
-            if one.guard is not None:
-                self.assertIn(one.guard, known - {one.member_id})
+        for checked in record.members.values():
+            if checked.guard is not None:
+                self.assertIn(checked.guard, known - {checked.member_id})
         for entry in record.fenced.values():
             if record.members:
                 self.assertIsNotNone(entry.taker)
@@ -216,6 +222,6 @@
     def test_spread_and_stability(self) -> None:
         """Processes that disagree on a target's partition would both dispatch to it."""
         self.assertEqual(partition_of(VITI, "executor-1", 32), partition_of(VITI, "executor-1", 32))
-        found = {partition_of(RegionName("a/b"), f"executor-{n}", 32) for n in range(1000)}
-        self.assertEqual(len(found), 32)
-        self.assertEqual({region_of(one) for one in found}, {"a/b"})
+        partitions = {partition_of(RegionName("a/b"), f"executor-{n}", 32) for n in range(1000)}
+        self.assertEqual(len(partitions), 32)
+        self.assertEqual({region_of(partition) for partition in partitions}, {"a/b"})
--- a/fireflyfork/decisions/tests/test_idempotency.py
+++ b/fireflyfork/decisions/tests/test_idempotency.py
@@ -48,10 +48,16 @@
             cases = [
                 ("first under way", begun, 1, KeyDecisionKind.JOIN, b""),
                 ("answered", begun.answered(key, b"A"), 1, KeyDecisionKind.REPLAY, b"A"),
-                ("lost", begun.lost(key), 1, KeyDecisionKind.MAY_HAVE_RUN, b""),
-                ("late", begun.lost(key).answered(key, b"A"), 1, KeyDecisionKind.REPLAY, b"A"),
+                ("lost", begun.attempt_lost(key), 1, KeyDecisionKind.MAY_HAVE_RUN, b""),
+                (
+                    "late",
+                    begun.attempt_lost(key).answered(key, b"A"),
+                    1,
+                    KeyDecisionKind.REPLAY,
+                    b"A",
+                ),
                 ("not run", begun.not_run(key), 1, KeyDecisionKind.RUN, b""),
-                ("lost, not run", begun.lost(key).not_run(key), 1, "may-have-run", b""),
+                ("lost, not run", begun.attempt_lost(key).not_run(key), 1, "may-have-run", b""),
                 ("another request", begun, 2, KeyDecisionKind.MISMATCH, b""),
                 ("long answer", begun.answered(key, b"A" * 41), 1, "answer-dropped", b""),
             ]
@@ -193,7 +199,7 @@
         booking = data.draw(st.sampled_from(self.under_way))
         self.under_way.remove(booking)
         if outcome in ("late", "silence"):
-            self.home.table = self.home.table.lost(booking.key)
+            self.home.table = self.home.table.attempt_lost(booking.key)
         if outcome in ("answer", "late"):
             answer = booking.key.encode()[-4:] * 5
             booking.answer = answer
--- a/fireflyfork/decisions/tests/test_membership.py
+++ b/fireflyfork/decisions/tests/test_membership.py
@@ -19,8 +19,8 @@
     OccupiedCollected,
     ReadFailed,
     ReadRecord,
-    RecordHeard,
     RecordRead,
+    RecordReceived,
     Tick,
     WriteEnded,
     WriteOutcome,
@@ -34,7 +34,7 @@
     may_dispatch,
 )
 from .._rights import GuardAnswer, MembershipTiming, RightRules
-from .builders_fleet import NAIDU, evened_out, fleet
+from .builders_fleet import FOUR_MEMBERS, balanced, fleet
 from .test_fleet import CHANGE, A, B, C
 
 TIMING = MembershipTiming()
@@ -60,7 +60,7 @@
             for ward in heard:
                 self.feed(GuardAsked(ward, 1, self.state.revision))
             self.feed(Tick(), after=0.25)
-            asked = [one for one in self.commands if isinstance(one, AskGuard)]
+            asked = [command for command in self.commands if isinstance(command, AskGuard)]
             ticked = self.commands
             if guard and asked:
                 answer = GuardAnswered(asked[0].nonce, GuardAnswer(True), self.state.revision)
@@ -73,9 +73,9 @@
 
 def _active(name_index: int = 0, record: FleetRecord | None = None) -> _Driver:
     """Return a driver of a member (``a``) that has just read the record at revision 5."""
-    driver = _Driver(begin_membership(NAIDU[name_index], TIMING))
+    driver = _Driver(begin_membership(FOUR_MEMBERS[name_index], TIMING))
     driver.feed(Tick())
-    driver.feed(RecordRead(record or evened_out(fleet(NAIDU, 4)), Revision(5)))
+    driver.feed(RecordRead(record or balanced(fleet(FOUR_MEMBERS, 4)), Revision(5)))
     return driver
 
 
@@ -99,8 +99,8 @@
 
     def test_record_from_a_peer_proves_nothing(self) -> None:
         """A forwarded record may be outdated, and its receiver may have been fenced since."""
-        driver = _Driver(begin_membership(NAIDU[0], TIMING))
-        driver.feed(RecordHeard(fleet(NAIDU, 4), Revision(5)))
+        driver = _Driver(begin_membership(FOUR_MEMBERS[0], TIMING))
+        driver.feed(RecordReceived(fleet(FOUR_MEMBERS, 4), Revision(5)))
         self.assertIs(driver.state.phase, MemberPhase.ACTIVE)
         self.assertFalse(holds_right(driver.state, driver.now))
 
@@ -109,7 +109,7 @@
         driver = _active()
         fenced = fence(driver.state.record, A, B, CHANGE)
         assert fenced is not None
-        driver.feed(RecordHeard(fenced, Revision(6)))
+        driver.feed(RecordReceived(fenced, Revision(6)))
         self.assertIs(driver.state.phase, MemberPhase.FENCED)
         self.assertFalse(holds_right(driver.state, driver.now))
 
@@ -122,7 +122,7 @@
         self.assertIs(driver.state.phase, MemberPhase.FENCED)
         self.assertEqual(driver.commands, ())
 
-    def test_old_guard_counts_no_more(self) -> None:
+    def test_old_guard_proves_nothing_during_a_guard_change(self) -> None:
         """After a guard change of unknown outcome, the old guard's answers prove nothing.
 
         The new guard may already be fencing the member.
@@ -132,9 +132,9 @@
         driver.feed(RecordRead(driver.state.record, Revision(5)))
         self.assertTrue(driver.sent(WriteRecord))
         driver.feed(WriteEnded(WriteOutcome.UNKNOWN))
-        proved_at = driver.state.right_dated
+        proved_at = driver.state.right_proved_at
         driver.pass_time(0.6, (B, C))
-        self.assertEqual(driver.state.right_dated, proved_at)
+        self.assertEqual(driver.state.right_proved_at, proved_at)
 
 
 class TakeoverWaitTest(unittest.TestCase):
@@ -149,7 +149,7 @@
                 taken_over = RightRules().takeover_wait(timing) / (1 + drift)
                 self.assertGreater(taken_over, right_ends)
 
-    def test_guard_is_not_quicker_than_the_old_guards_word(self) -> None:
+    def test_guard_does_not_fence_before_an_old_acknowledgement_expires(self) -> None:
         """A new guard must not fence while an acknowledgement of the old guard is still valid."""
         self.assertGreaterEqual(TIMING.suspect_seconds, TIMING.right_seconds)
 
@@ -158,9 +158,9 @@
     """How a guard acknowledges and fences its wards."""
 
     def _answer(self, driver: _Driver, asker_index: int) -> GuardAnswer:
-        asker = NAIDU[asker_index].member_id
+        asker = FOUR_MEMBERS[asker_index].member_id
         driver.feed(GuardAsked(asker, 7, Revision(5)))
-        answers = [one for one in driver.commands if isinstance(one, AnswerAsker)]
+        answers = [command for command in driver.commands if isinstance(command, AnswerAsker)]
         return answers[0].answer
 
     def test_guard_without_right_does_not_acknowledge(self) -> None:
@@ -178,7 +178,7 @@
         for driver in (first, second):
             driver.feed(Tick(), after=5.0)
             self.assertFalse(holds_right(driver.state, driver.now))
-        asked = next(one for one in first.commands if isinstance(one, AskGuard))
+        asked = next(command for command in first.commands if isinstance(command, AskGuard))
         answer = self._answer(second, 0)
         self.assertEqual(answer, GuardAnswer(False, if_you_guard_me=True))
         first.feed(GuardAnswered(asked.nonce, answer, Revision(5)))
@@ -202,12 +202,12 @@
         driver = _active()
         driver.pass_time(2.3, (C,))
         driver.feed(RecordRead(driver.state.record, Revision(5)))
-        written = [one for one in driver.commands if isinstance(one, WriteRecord)]
-        self.assertEqual([one.kind for one in written], [ChangeKind.FENCE])
+        written = [command for command in driver.commands if isinstance(command, WriteRecord)]
+        self.assertEqual([command.kind for command in written], [ChangeKind.FENCE])
         driver.feed(WriteEnded(WriteOutcome.UNKNOWN))
         self.assertEqual(self._answer(driver, 1), GuardAnswer(False))
 
-    def test_guard_forgives_after_its_own_pause(self) -> None:
+    def test_guard_restarts_its_timers_after_its_own_pause(self) -> None:
         """A guard that resumes after a pause must not fence wards whose questions it missed."""
         driver = _active()
         driver.feed(Tick())
@@ -220,13 +220,13 @@
     """Writes of the record whose answer is lost or delayed."""
 
     def _handing_over(self) -> _Driver:
-        driver = _active(0, fleet(NAIDU, 4))
+        driver = _active(0, fleet(FOUR_MEMBERS, 4))
         self.assertTrue(driver.sent(CollectOccupied))
         driver.feed(OccupiedCollected({}))
         self.assertTrue(driver.sent(WriteRecord))
         return driver
 
-    def test_old_value_settles_nothing(self) -> None:
+    def test_old_value_does_not_settle_a_write(self) -> None:
         """An owner must not resume while its hand-over may still be in flight."""
         driver = self._handing_over()
         given = next(iter(driver.state.write.partitions)) if driver.state.write else None
@@ -237,13 +237,13 @@
         driver.feed(RecordRead(driver.state.record, Revision(5)))
         self.assertTrue(driver.sent(WriteRecord))
         self.assertFalse(may_dispatch(driver.state, given, driver.now))
-        other = change_guard(driver.state.record, C, B, CHANGE)
-        assert other is not None
+        newer = change_guard(driver.state.record, C, B, CHANGE)
+        assert newer is not None
         driver.feed(WriteEnded(WriteOutcome.LOST))
-        driver.feed(RecordHeard(other, Revision(6)))
+        driver.feed(RecordReceived(newer, Revision(6)))
         self.assertTrue(may_dispatch(driver.state, given, driver.now))
 
-    def test_lost_repetition_may_have_lost_to_itself(self) -> None:
+    def test_lost_retry_may_have_lost_to_its_first_attempt(self) -> None:
         """The first write took effect without an answer, so its retry finds a newer revision."""
         driver = self._handing_over()
         write = driver.state.write
@@ -258,7 +258,7 @@
         for partition in write.partitions:
             self.assertFalse(may_dispatch(driver.state, partition, driver.now))
 
-    def test_leaving_goes_on_serving_while_the_store_is_down(self) -> None:
+    def test_leaving_member_serves_while_the_store_is_down(self) -> None:
         """During a store outage, a member with a planned stop serves until it can hand over."""
         driver = _active(1)
         driver.feed(LeaveRequested())
--- a/fireflyfork/decisions/tests/test_ownership.py
+++ b/fireflyfork/decisions/tests/test_ownership.py
@@ -63,9 +63,9 @@
     @rule(sender=_ONE, receiver=_ONE, seconds=_LONG)
     def cut_one_way(self, sender: int, receiver: int, seconds: float) -> None:
         """Messages from one process to another are dropped, in one direction."""
-        one, other = self._pick(sender), self._pick(receiver)
-        if one is not None and other is not None:
-            self.simulation.cut_one_way(one, other, seconds)
+        sending, receiving = self._pick(sender), self._pick(receiver)
+        if sending is not None and receiving is not None:
+            self.simulation.cut_one_way(sending, receiving, seconds)
 
     @rule(seconds=_LONG)
     def store_outage(self, seconds: float) -> None:
@@ -101,7 +101,7 @@
         machine.settings = settings(max_examples=30, stateful_step_count=10)
         machine.runTest()
 
-    def test_death_is_made_good_within_seconds(self) -> None:
+    def test_crashed_member_is_replaced_within_seconds(self) -> None:
         """A member crashes while the store works; its partitions get new owners within 6 s."""
         for seed in range(6):
             simulation = FleetSimulation(seed, faults=NO_FAULTS)
@@ -111,28 +111,33 @@
             with self.subTest(seed=seed):
                 self.assertEqual(simulation.unserved(), set())
 
-    def test_silent_watches_do_not_hide_news(self) -> None:
+    def test_records_reach_members_with_silent_watches(self) -> None:
         """Two members that guard each other are cut off while the record changes.
 
         Their watch goes silent permanently and each record is forwarded only once. Without the
         comparison of revisions they would keep their right and never learn of partitions that were
         moved to them, and requests for those partitions would be refused forever.
         """
-        cases = [(MembershipTiming(), False), (MembershipTiming(compare_seconds=1e9), True)]
+        cases = [
+            (MembershipTiming(), False),
+            (MembershipTiming(compare_interval_seconds=1e9), True),
+        ]
         for timing, stays_behind in cases:
-            with self.subTest(compare_seconds=timing.compare_seconds):
+            with self.subTest(compare_seconds=timing.compare_interval_seconds):
                 places = ("vanua/labasa", "vanua/labasa", "viti/suva", "viti/nadi", "viti/nadi")
                 simulation = FleetSimulation(5, places, timing=timing, faults=NO_FAULTS)
                 simulation.run(20)
-                pair = [one for one in simulation.processes if _region(one) == "vanua"]
+                pair = [process for process in simulation.processes if _region(process) == "vanua"]
                 simulation.watches_silent = True
                 simulation.cut_from_rest(pair, 8)
-                simulation.stop(next(one for one in simulation.processes if one not in pair))
+                simulation.stop(
+                    next(process for process in simulation.processes if process not in pair)
+                )
                 simulation.run(30)
-                behind = any(one.state.revision < simulation.revision for one in pair)
+                behind = any(process.state.revision < simulation.revision for process in pair)
                 self.assertEqual(behind, stays_behind)
 
-    def test_cut_off_member_does_not_wear_out_the_store(self) -> None:
+    def test_cut_off_member_does_not_overload_the_store(self) -> None:
         """A member that can't reach its best-ranked guard must not switch back and forth.
 
         Without hysteresis it switches back to the best guard immediately and repeatedly, with
@@ -140,15 +145,15 @@
         """
         simulation = FleetSimulation(3, faults=NO_FAULTS)
         simulation.run(20)
-        first, *others = (one for one in simulation.processes if _region(one) == "viti")
-        for other in others:
-            simulation.cut_one_way(first, other, 60)
-            simulation.cut_one_way(other, first, 60)
+        first, *peers = (process for process in simulation.processes if _region(process) == "viti")
+        for peer in peers:
+            simulation.cut_one_way(first, peer, 60)
+            simulation.cut_one_way(peer, first, 60)
         simulation.counts.clear()
         simulation.run(60)
         self.assertLess(simulation.counts["write"], 80)
 
-    def test_pairs_outlast_pauses_in_an_outage(self) -> None:
+    def test_mutual_guards_recover_from_a_pause_in_an_outage(self) -> None:
         """All members are paused for 5 s during a store outage, so that all lose the right.
 
         Members that guard each other recover without the store, and then their wards do.
@@ -188,7 +193,7 @@
                     self.assertEqual(bool(simulation.violations), breaks)
 
 
-class LetterSizeTest(unittest.TestCase):
+class LargeFleetTest(unittest.TestCase):
     """A fleet over seven regions."""
 
     def test_eighteen_entries_settle(self) -> None:
--- a/fireflyfork/decisions/tests/test_partition_machine.py
+++ b/fireflyfork/decisions/tests/test_partition_machine.py
@@ -13,26 +13,26 @@
 from .. import (
     DurableChange,
     Refusal,
+    RegionReport,
     RunReport,
     RunState,
     StartOrder,
     Step,
     TaskState,
     TaskTable,
-    WholeReport,
+    apply_report,
+    apply_timeouts,
     cancel,
     decode_snapshot,
     encode_snapshot,
     evict,
+    mark_stored,
     place,
-    stop_answered,
-    stored,
+    record_stop_answer,
     submit,
     table_of,
-    take_report,
-    take_starts,
-    take_time,
-    to_stop,
+    take_due_starts,
+    tasks_to_stop,
 )
 from .builders_tasks import REGION, configured, make_partition, make_submission, make_teams
 
@@ -76,7 +76,7 @@
         self.send_starts(delivered)
 
     @rule(data=st.data())
-    def finish_and_go_on(self, data: st.DataObject) -> None:
+    def finish_and_continue(self, data: st.DataObject) -> None:
         """A run ends and is reported, and a new job is submitted and started."""
         self.end_a_run(data, data.draw(st.sampled_from([RunState.FINISHED, RunState.FAILED])))
         self.report()
@@ -84,7 +84,7 @@
         self.work(data.draw(st.booleans()))
 
     @rule(halfway=st.integers(0, 100), first=st.booleans())
-    def die_and_go_on(self, halfway: int, first: bool) -> None:
+    def fail_and_recover(self, halfway: int, first: bool) -> None:
         """The owner fails, possibly after a round that was not stored; its successor continues."""
         if first:
             self.place()
@@ -104,12 +104,12 @@
         changes = tuple(self.unstored)
         self.unstored.clear()
         self.journal.extend(changes)
-        self.partition = stored(self.partition, changes, self.now)
+        self.partition = mark_stored(self.partition, changes, self.now)
 
     @rule(delivered=st.booleans())
     def send_starts(self, delivered: bool) -> None:
         """Send the starts that are due; undelivered ones stay in flight."""
-        self.partition, orders = take_starts(self.partition, self.now)
+        self.partition, orders = take_due_starts(self.partition, self.now)
         self.in_flight.extend(orders)
         if delivered:
             self.deliver()
@@ -132,8 +132,8 @@
     @rule()
     def report(self) -> None:
         """The platform reports on all runs, and stale ones are stopped."""
-        whole = WholeReport(REGION, self.now)
-        step = take_report(self.partition, tuple(self.runs.values()), self.now, whole)
+        whole = RegionReport(REGION, self.now)
+        step = apply_report(self.partition, tuple(self.runs.values()), self.now, whole)
         self.take(step)
         for stale in step.stale:
             self.stop(stale.task_id, stale.attempt)
@@ -141,12 +141,12 @@
     @rule(answered=st.booleans())
     def send_stops(self, answered: bool) -> None:
         """Send all pending stop orders; their answers may be lost."""
-        for task in tuple(to_stop(self.partition)):
+        for task in tuple(tasks_to_stop(self.partition)):
             report = self.stop(task.task_id, task.attempt)
             if answered:
                 key = (task.task_id, task.attempt)
-                self.partition = stop_answered(self.partition, key, self.now)
-                self.take(take_report(self.partition, (report,), self.now))
+                self.partition = record_stop_answer(self.partition, key, self.now)
+                self.take(apply_report(self.partition, (report,), self.now))
 
     @rule(job=JOBS, index=st.none() | st.integers(0, 3))
     def cancel(self, job: str, index: int | None) -> None:
@@ -158,14 +158,14 @@
     @rule()
     def evict(self) -> None:
         """Evict all tasks with an attempt that may run."""
-        tasks = tuple(task.task_id for task in self.partition.table.holding())
+        tasks = tuple(task.task_id for task in self.partition.table.tasks_holding_reservation())
         self.take(evict(self.partition, tasks, "a test", self.now))
 
     @rule(seconds=st.sampled_from([0.5, 5.0, 20.0]))
     def wait(self, seconds: float) -> None:
         """Time passes, and timeouts are processed."""
         self.now += seconds
-        self.take(take_time(self.partition, self.now))
+        self.take(apply_timeouts(self.partition, self.now))
 
     @rule(halfway=st.integers(0, 100))
     def take_over(self, halfway: int) -> None:
@@ -190,12 +190,12 @@
         key = (order.task_id, order.attempt)
         if key in self.runs or order.attempt <= self.fences.get(order.task_id, 0):
             return
-        others = [
+        running = [
             run
             for (task_id, _), run in self.runs.items()
             if task_id == order.task_id and run.state is RunState.RUNNING
         ]
-        assert not others, f"{order.task_id} runs in two places"
+        assert not running, f"{order.task_id} runs in two places"
         finished = [
             run
             for (task_id, _), run in self.runs.items()
@@ -239,7 +239,7 @@
             assert of_team.fits_in(team.quota)
 
     @invariant()
-    def what_runs_is_reserved(self) -> None:
+    def running_attempts_hold_reservations(self) -> None:
         """A running attempt holds its reservation on the worker on which it runs."""
         for (task_id, attempt), run in self.runs.items():
             task = self.partition.table.tasks.get(task_id)
@@ -248,7 +248,7 @@
                 assert (task.attempt, task.worker_id) == (attempt, run.worker_id)
 
     @invariant()
-    def no_task_vanishes(self) -> None:
+    def no_task_is_lost(self) -> None:
         """Each task of an accepted job is counted as ended, or open and in exactly one queue."""
         table = self.partition.table
         open_tasks = Counter(task.job_id for task in table.tasks.values())
--- a/fireflyfork/decisions/tests/test_replicas.py
+++ b/fireflyfork/decisions/tests/test_replicas.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from ... import Resources, ServiceContract, ServiceName
-from .. import Partition, keep_replicas, place
+from .. import Partition, place, reconcile_replicas
 from .builders_tasks import TEAM, make_partition
 
 DESK = ServiceName("booking-desk")
@@ -30,26 +30,28 @@
         partition = make_partition()
         for replicas in (3, 3, 5, 1, 0, 2):
             with self.subTest(replicas=replicas):
-                step = keep_replicas(with_replicas(partition, replicas), 0, 1, 1.0)
+                step = reconcile_replicas(with_replicas(partition, replicas), 0, 1, 1.0)
                 partition = step.partition
                 self.assertEqual(open_replicas(partition), replicas)
-                self.assertEqual(keep_replicas(partition, 0, 1, 2.0).changes, ())
+                self.assertEqual(reconcile_replicas(partition, 0, 1, 2.0).changes, ())
 
-    def test_partitions_share_them(self) -> None:
+    def test_partitions_share_replicas(self) -> None:
         """The replicas of three partitions add up to the number in the contract."""
         for replicas in range(8):
             held = [
                 open_replicas(
-                    keep_replicas(with_replicas(make_partition(), replicas), n, 3, 1.0).partition
+                    reconcile_replicas(
+                        with_replicas(make_partition(), replicas), n, 3, 1.0
+                    ).partition
                 )
                 for n in range(3)
             ]
             self.assertEqual(sum(held), replicas)
 
-    def test_they_are_placed_and_count_against_no_quota(self) -> None:
+    def test_replicas_are_placed_and_exempt_from_quota(self) -> None:
         """A team's batch quota must not prevent its services from running."""
-        partition = keep_replicas(with_replicas(make_partition(), 6), 0, 1, 1.0).partition
+        partition = reconcile_replicas(with_replicas(make_partition(), 6), 0, 1, 1.0).partition
         placed = place(partition, 2.0).partition
         placed = place(placed, 3.0).partition
-        self.assertEqual(len(tuple(placed.table.holding())), 6)
+        self.assertEqual(len(tuple(placed.table.tasks_holding_reservation())), 6)
         self.assertEqual(placed.table.team_reserved, {})
--- a/fireflyfork/decisions/tests/test_retries.py
+++ b/fireflyfork/decisions/tests/test_retries.py
@@ -32,10 +32,10 @@
         ]
         for budget, failed, expected in cases:
             with self.subTest(failed=failed, saved=budget.saved):
-                left, decision = budget.decide(failed, 0.0)
+                remaining, decision = budget.decide(failed, 0.0)
                 self.assertIs(decision, expected)
                 spent = 1.0 if expected is RetryDecision.RETRY else 0.0
-                self.assertAlmostEqual(left.saved, budget.saved - spent)
+                self.assertAlmostEqual(remaining.saved, budget.saved - spent)
 
     @given(st.lists(st.integers(0, 30), max_size=60))
     @settings(max_examples=100)
--- a/fireflyfork/decisions/tests/test_routing.py
+++ b/fireflyfork/decisions/tests/test_routing.py
@@ -9,7 +9,7 @@
 from ..._ids import MemberId, TargetId
 from .. import LeavingMark, LeavingTargets, LinkBudget, RouteKind, partition_of, route
 from .._routing import LEAVING_SECONDS, RENEWAL_SECONDS
-from .builders_requests import VANUA, VITI, figures, question
+from .builders_requests import VANUA, VITI, member_load, route_input
 
 NOW = 100.0
 LINKS = {VANUA: LinkBudget(10_000.0)}
@@ -20,63 +20,69 @@
 
     def test_order_of_choices(self) -> None:
         """Own slots come first, then peers of the region, the shortest queue, and the link."""
-        near, far = figures("near", measured_at=NOW), figures("far", measured_at=NOW, region=VANUA)
-        full = figures("near", free=0, queued=3, measured_at=NOW)
-        stale = figures("near", measured_at=NOW - 5)
-        stale_far = figures("far", measured_at=NOW - 5, region=VANUA)
-        jam = figures("near", free=0, queued=90, measured_at=NOW)
+        near, far = member_load("near", measured_at=NOW), member_load(
+            "far", measured_at=NOW, region=VANUA
+        )
+        full = member_load("near", free=0, queued=3, measured_at=NOW)
+        stale = member_load("near", measured_at=NOW - 5)
+        stale_far = member_load("far", measured_at=NOW - 5, region=VANUA)
+        jam = member_load("near", free=0, queued=90, measured_at=NOW)
         cases = [
-            ("own slot", question({"a": 1, "b": 2}, (near,)), RouteKind.OWN_TARGET),
-            ("peer with room", question({"a": 0}, (near, far)), RouteKind.FORWARD),
-            ("no own targets", question({}, (near,)), RouteKind.FORWARD),
-            ("own queue shorter", question({"a": 0}, (full,), queued=1), RouteKind.QUEUE),
-            ("peer's queue shorter", question({"a": 0}, (full,), queued=8), RouteKind.FORWARD),
-            ("silent peer", question({"a": 0}, (stale,)), RouteKind.QUEUE),
-            ("silent peer, own jam", question({"a": 0}, (stale,), queued=90), RouteKind.FORWARD),
-            ("all jammed", question({"a": 0}, (jam, far), queued=95), RouteKind.SPILL),
-            ("only far targets", question({}, (far,)), RouteKind.SPILL),
-            ("stale far targets", question({}, (stale_far,)), RouteKind.REFUSE),
-            ("nothing anywhere", question({}, ()), RouteKind.REFUSE),
-            ("jam", question({"a": 0}, (jam,), queued=95), RouteKind.REFUSE),
-            ("forwarded", question({"a": 0}, (near,), forwarded=True), RouteKind.QUEUE),
-            ("forwarded, jam", question({"a": 0}, (near,), 90, forwarded=True), RouteKind.REFUSE),
-            ("deadline near", question({"a": 0}, (), 0, time_left=0.05), RouteKind.REFUSE),
+            ("own slot", route_input({"a": 1, "b": 2}, (near,)), RouteKind.OWN_TARGET),
+            ("peer with room", route_input({"a": 0}, (near, far)), RouteKind.FORWARD),
+            ("no own targets", route_input({}, (near,)), RouteKind.FORWARD),
+            ("own queue shorter", route_input({"a": 0}, (full,), queued=1), RouteKind.QUEUE),
+            ("peer's queue shorter", route_input({"a": 0}, (full,), queued=8), RouteKind.FORWARD),
+            ("silent peer", route_input({"a": 0}, (stale,)), RouteKind.QUEUE),
+            ("silent peer, own jam", route_input({"a": 0}, (stale,), queued=90), RouteKind.FORWARD),
+            ("all jammed", route_input({"a": 0}, (jam, far), queued=95), RouteKind.SPILL),
+            ("only far targets", route_input({}, (far,)), RouteKind.SPILL),
+            ("stale far targets", route_input({}, (stale_far,)), RouteKind.REFUSE),
+            ("nothing anywhere", route_input({}, ()), RouteKind.REFUSE),
+            ("jam", route_input({"a": 0}, (jam,), queued=95), RouteKind.REFUSE),
+            ("forwarded", route_input({"a": 0}, (near,), forwarded=True), RouteKind.QUEUE),
+            (
+                "forwarded, jam",
+                route_input({"a": 0}, (near,), 90, forwarded=True),
+                RouteKind.REFUSE,
+            ),
+            ("deadline near", route_input({"a": 0}, (), 0, time_left=0.05), RouteKind.REFUSE),
         ]
         for name, asked, expected in cases:
             with self.subTest(name):
                 self.assertIs(route(asked, LINKS, NOW).kind, expected)
         self.assertEqual(route(cases[0][1], LINKS, NOW).target_id, TargetId("b"))
 
-    def test_the_herd_does_not_follow_one_figure(self) -> None:
+    def test_requests_in_flight_count_against_free_slots(self) -> None:
         """Ten requests arrive between two messages of a peer that has one free slot.
 
         If each were routed to that slot, nine would have to wait.
         """
-        tempting = figures("a", free=1, measured_at=NOW, sent_since=1)
-        other = figures("b", free=1, measured_at=NOW)
+        tempting = member_load("a", free=1, measured_at=NOW, sent_since=1)
+        alternative = member_load("b", free=1, measured_at=NOW)
         for draw in [(0.0, 0.0), (0.9, 0.9)]:
-            chosen = route(question({}, (tempting, other), draw=draw), LINKS, NOW)
+            chosen = route(route_input({}, (tempting, alternative), draw=draw), LINKS, NOW)
             self.assertEqual(chosen.member_id, MemberId("b"))
-        roomy = figures("c", free=3, measured_at=NOW)
-        chosen = route(question({}, (other, roomy)), LINKS, NOW)
+        roomy = member_load("c", free=3, measured_at=NOW)
+        chosen = route(route_input({}, (alternative, roomy)), LINKS, NOW)
         self.assertEqual(chosen.member_id, MemberId("c"))
 
     def test_the_link_is_metered(self) -> None:
         """Without a budget, a full region would send all of its traffic over the metered link."""
-        far = figures("far", free=99, measured_at=NOW, region=VANUA)
+        far = member_load("far", free=99, measured_at=NOW, region=VANUA)
         links = dict(LINKS)
         kinds = []
         for _ in range(12):
-            kinds.append(route(question({}, (far,)), links, NOW).kind)
+            kinds.append(route(route_input({}, (far,)), links, NOW).kind)
             links[VANUA] = links[VANUA].spend(1000, NOW)
         self.assertEqual(kinds.count(RouteKind.SPILL), 10)
         self.assertIs(kinds[-1], RouteKind.REFUSE)
-        self.assertIs(route(question({}, (far,)), links, NOW + 1).kind, RouteKind.SPILL)
-        self.assertIs(route(question({}, (far,)), {}, NOW + 1).kind, RouteKind.REFUSE)
+        self.assertIs(route(route_input({}, (far,)), links, NOW + 1).kind, RouteKind.SPILL)
+        self.assertIs(route(route_input({}, (far,)), {}, NOW + 1).kind, RouteKind.REFUSE)
 
-    def test_a_refusal_says_when_to_come_back(self) -> None:
+    def test_a_refusal_has_a_retry_time(self) -> None:
         """After ``retry_after`` the queue should be short enough for the same deadline."""
-        refused = route(question({"a": 0}, (), queued=29, time_left=1.0), {}, NOW)
+        refused = route(route_input({"a": 0}, (), queued=29, time_left=1.0), {}, NOW)
         self.assertAlmostEqual(refused.retry_after, 2.0)
 
     @given(st.text(), st.integers(1, 64))
@@ -97,11 +103,11 @@
         self, peers: list[tuple[int, int, float]], draw: tuple[float, float], forwarded: bool
     ) -> None:
         """A route names a member only if it needs one; a request is forwarded at most once."""
-        said = tuple(
-            figures(str(number), free, queued, NOW - age, VANUA if number % 2 else VITI)
+        loads = tuple(
+            member_load(str(number), free, queued, NOW - age, VANUA if number % 2 else VITI)
             for number, (free, queued, age) in enumerate(peers)
         )
-        chosen = route(question({"a": 0}, said, 20, 1.0, forwarded, draw), LINKS, NOW)
+        chosen = route(route_input({"a": 0}, loads, 20, 1.0, forwarded, draw), LINKS, NOW)
         goes = chosen.kind in (RouteKind.FORWARD, RouteKind.SPILL)
         self.assertEqual(goes, chosen.member_id is not None)
         self.assertFalse(goes and forwarded)
@@ -118,7 +124,7 @@
         """Start with three members without marks."""
         super().__init__()
         self.members = [LeavingTargets() for _ in range(3)]
-        self.mail: list[tuple[float, tuple[LeavingMark, ...]]] = []
+        self.messages: list[tuple[float, tuple[LeavingMark, ...]]] = []
         self.now = 0.0
         self.last_seen = float("-inf")
 
@@ -126,35 +132,35 @@
     def see(self, member: int) -> None:
         """A member sees the target leaving in the instance list and stops using it immediately."""
         self.last_seen = self.now
-        self.members[member] = self.members[member].seen([self.TARGET], self.now)
+        self.members[member] = self.members[member].mark_seen([self.TARGET], self.now)
         assert self.members[member].includes(self.TARGET, self.now)
 
     @rule(member=st.integers(0, 2))
-    def tell(self, member: int) -> None:
+    def send(self, member: int) -> None:
         """A member sends its marks."""
-        self.mail.append((self.now, self.members[member].marks(self.now)))
+        self.messages.append((self.now, self.members[member].marks(self.now)))
 
     @rule(data=st.data(), member=st.integers(0, 2), again=st.booleans())
-    def hear(self, data: st.DataObject, member: int, again: bool) -> None:
+    def receive(self, data: st.DataObject, member: int, again: bool) -> None:
         """A message arrives, possibly for the second time."""
-        if not self.mail:
+        if not self.messages:
             return
-        index = data.draw(st.integers(0, len(self.mail) - 1))
-        sent_at, marks = self.mail[index] if again else self.mail.pop(index)
+        index = data.draw(st.integers(0, len(self.messages) - 1))
+        sent_at, marks = self.messages[index] if again else self.messages.pop(index)
         if self.now - sent_at > self.LONGEST_DELAY:
             return
-        self.members[member] = self.members[member].heard(marks, self.now)
+        self.members[member] = self.members[member].merge_marks(marks, self.now)
         if marks and marks[0].age_seconds + RENEWAL_SECONDS < LEAVING_SECONDS:
             assert self.members[member].includes(self.TARGET, self.now)
 
     @rule()
-    def keep_talking(self) -> None:
+    def exchange_continuously(self) -> None:
         """All members exchange slow messages continuously."""
         for _ in range(40):
-            said = [member.marks(self.now) for member in self.members]
+            messages = [member.marks(self.now) for member in self.members]
             self.time_passes(self.LONGEST_DELAY)
-            for marks in said:
-                self.members = [member.heard(marks, self.now) for member in self.members]
+            for marks in messages:
+                self.members = [member.merge_marks(marks, self.now) for member in self.members]
 
     @rule(seconds=st.sampled_from([5.0, 50.0, LEAVING_SECONDS - 5.0]))
     def time_passes(self, seconds: float) -> None:
--- a/fireflyfork/decisions/tests/test_slots.py
+++ b/fireflyfork/decisions/tests/test_slots.py
@@ -108,7 +108,7 @@
 
 
 @dataclass
-class _Sent:
+class _SentRequest:
     """A request in transit to the target or running on it."""
 
     owner: int
@@ -125,9 +125,9 @@
         self.time = 1000.0
         self.rates = [FAST]
         self.ledger = SlotLedger(slot_terms())
-        self.at_target: dict[RequestId, _Sent] = {}
+        self.at_target: dict[RequestId, _SentRequest] = {}
         self.answers: list[tuple[RequestId, int]] = []
-        self.heard_from = {0}
+        self.reachable_owners = {0}
         self.count = 0
 
     def _now(self) -> float:
@@ -143,7 +143,7 @@
             outcome = self.ledger.acquire(attempt, self._now())
             if isinstance(outcome, SlotLedger):
                 self.ledger = outcome
-                self.at_target[attempt] = _Sent(len(self.rates), self.time)
+                self.at_target[attempt] = _SentRequest(len(self.rates), self.time)
 
     @precondition(lambda self: self.at_target)
     @rule(data=st.data(), repeats=st.integers(1, 2))
@@ -159,11 +159,11 @@
 
     @precondition(lambda self: self.answers)
     @rule(data=st.data())
-    def hear_an_answer(self, data: st.DataObject) -> None:
+    def receive_answer(self, data: st.DataObject) -> None:
         """An answer arrives, in any order; answers to a dead owner are lost."""
         index = data.draw(st.integers(0, len(self.answers) - 1))
         attempt, owner = self.answers.pop(index)
-        if owner in self.heard_from or owner == len(self.rates):
+        if owner in self.reachable_owners or owner == len(self.rates):
             self.ledger = self.ledger.release(attempt)
 
     @rule(
@@ -186,7 +186,7 @@
         """The owner changes as planned and hands its ledger over."""
         self.ledger, handover = self.ledger.hand_over(self._now())
         assert self.ledger.acquire(RequestId("x"), self._now()) is SlotRefusal.HANDED_OVER
-        self.heard_from.add(len(self.rates))
+        self.reachable_owners.add(len(self.rates))
         self.pause(delay)
         self.rates.append(rate)
         self.ledger = SlotLedger.after_handover(slot_terms(), handover, self._now())
@@ -194,7 +194,7 @@
     @rule(rate=st.sampled_from([FAST, SLOW]))
     def fence(self, rate: float) -> None:
         """The owner fails or is cut off, and its right to send has expired."""
-        self.heard_from.clear()
+        self.reachable_owners.clear()
         self.rates.append(rate)
         self.ledger = SlotLedger.after_fence(slot_terms(), self._now())
 
--- a/fireflyfork/programs/_configuration_keeper.py
+++ b/fireflyfork/programs/_configuration_keeper.py
@@ -26,10 +26,10 @@
     OfferOutcome,
     OfferSource,
     begin_register,
-    consider,
     decode_configuration,
-    peer_done,
-    store_is_empty,
+    merge_offer,
+    record_empty_store,
+    record_peer_finished,
 )
 from ._guard_channel import GuardChannel
 from ._membership import Membership
@@ -103,7 +103,7 @@
         while self._membership is None or self._membership.phase is not MemberPhase.ACTIVE:
             await trio.sleep(RETRY_SECONDS)
         await trio.sleep(TRUST_PEERS_SECONDS)
-        self._state = peer_done(self._state, _PEERS_AT_THE_START)
+        self._state = record_peer_finished(self._state, _PEERS_AT_THE_START)
         self._put_in_force()
 
     async def _read_first(self) -> None:
@@ -129,7 +129,7 @@
 
     def _stored(self, stored: StoredValue | None) -> None:
         if stored is None:
-            self._state = store_is_empty(self._state)
+            self._state = record_empty_store(self._state)
             return
         self._revision = stored.revision
         offer = decode_configuration(stored.value)
@@ -139,7 +139,7 @@
                 self._pass_on(mate.member_id, offer)
 
     def _consider(self, offer: ConfigurationOffer, source: OfferSource) -> None:
-        self._state, outcome = consider(self._state, offer, source)
+        self._state, outcome = merge_offer(self._state, offer, source)
         if outcome is OfferOutcome.CONFLICT:
             logger.error("two changes under one version", version=offer.version)
         if outcome is OfferOutcome.OLDER and source is OfferSource.STORE:
--- a/fireflyfork/programs/_entry.py
+++ b/fireflyfork/programs/_entry.py
@@ -139,7 +139,7 @@
         leaving = self._targets.leaving
         changes = tuple(changes)
         going = [c.target_id for c in changes if c.state is not InstanceState.LIVE]
-        self._targets.note_leaving(leaving.seen(going, trio.current_time()))
+        self._targets.note_leaving(leaving.mark_seen(going, trio.current_time()))
 
     def occupied(
         self, partitions: tuple[PartitionId, ...]
--- a/fireflyfork/programs/_key_copies.py
+++ b/fireflyfork/programs/_key_copies.py
@@ -270,7 +270,7 @@
         copy = self._copies.get((member, message.term.partition))
         if copy is None or copy.term != message.term:
             return KeyCopied(message.sequence, held=False)
-        table = copy.table.copied(message.key, message.fingerprint, time.time())
+        table = copy.table.with_started_key(message.key, message.fingerprint, time.time())
         if table is None:
             return KeyCopied(message.sequence, held=False)
         latest = max(copy.sequence, message.sequence)
--- a/fireflyfork/programs/_key_home.py
+++ b/fireflyfork/programs/_key_home.py
@@ -147,7 +147,7 @@
             return False
         if not home.ready.is_set():
             if table is not None:
-                home.table = table.with_keys_of(home.table, time.time())
+                home.table = table.merged_with(home.table, time.time())
             home.ready.set()
         return True
 
@@ -323,7 +323,7 @@
         return table.answered(key, answer if answer is not None else too_long)
     if error is not None and error.verdict is Verdict.NOT_RUN:
         return table.not_run(key)
-    return table.lost(key)
+    return table.attempt_lost(key)
 
 
 def _fingerprint(request: ServiceRequest, body: RequestBody) -> int:
--- a/fireflyfork/programs/_membership.py
+++ b/fireflyfork/programs/_membership.py
@@ -26,15 +26,15 @@
     GuardAsked,
     LeaveRequested,
     Member,
-    MemberGone,
     MemberPhase,
     MembershipState,
     MembershipTiming,
+    MemberTerminated,
     OccupiedCollected,
     OccupiedSlots,
     OfferRecord,
     ReadRecord,
-    RecordHeard,
+    RecordReceived,
     Tick,
     WriteRecord,
     begin_membership,
@@ -44,7 +44,7 @@
     is_watcher,
     may_dispatch,
     step,
-    zone_mates,
+    zone_peers,
 )
 from ._guard_channel import FleetOffer, GuardChannel, GuardQuestion, GuardReply
 from ._stored_record import StoredRecord
@@ -165,7 +165,7 @@
     def zone_mates(self) -> tuple[Member, ...]:
         """The other members of the failure domain, to whom a watcher passes news on."""
         members = self._state.record.members
-        return tuple(members[name] for name in zone_mates(self._state))
+        return tuple(members[name] for name in zone_peers(self._state))
 
     @property
     def configuration_version(self) -> ConfigurationVersion:
@@ -213,11 +213,11 @@
     def offered(self, offer: FleetOffer) -> None:
         """Take in a record that a peer passed on. Raises SettingsError when it is unreadable."""
         if offer.revision > self._state.revision:
-            self._feed(RecordHeard(decode_fleet(offer.record), offer.revision))
+            self._feed(RecordReceived(decode_fleet(offer.record), offer.revision))
 
     def declare_gone(self, member_id: MemberId) -> None:
         """A member's instance is terminated for good, on the word of an operator or of the list."""
-        self._feed(MemberGone(member_id))
+        self._feed(MemberTerminated(member_id))
 
     # Running
 
@@ -296,7 +296,7 @@
 
     def _watch_retry_seconds(self) -> float:
         """Differently long for each member, so that not all call when the store returns."""
-        return self._settings.timing.longest_store_retry_seconds * self._random.uniform(0.5, 1.0)
+        return self._settings.timing.max_store_retry_seconds * self._random.uniform(0.5, 1.0)
 
     async def _watch_once(self) -> None:
         stored = await self._stored.wait(self.revision, self._settings.timing.watch_seconds)
