--- a/fireflyfork/programs/_peer_figures.py
+++ b/fireflyfork/programs/_peer_figures.py
@@ -9,7 +9,7 @@
 
 from .._ids import MemberId, RegionName, ServiceName
 from ..adapters import ServiceFigures
-from ..decisions import MemberFigures
+from ..decisions import MemberLoad
 
 _NEVER = float("-inf")
 
@@ -19,13 +19,13 @@
 
     def __init__(self) -> None:
         """Nothing heard."""
-        self._known: dict[tuple[ServiceName, MemberId], MemberFigures] = {}
+        self._known: dict[tuple[ServiceName, MemberId], MemberLoad] = {}
 
     def heard(
         self, member: MemberId, region: RegionName, service: ServiceName, figures: ServiceFigures
     ) -> None:
         """A message with figures came."""
-        self._known[service, member] = MemberFigures(
+        self._known[service, member] = MemberLoad(
             member,
             region,
             figures.free_slots,
@@ -42,11 +42,11 @@
 
     def of(
         self, service: ServiceName, members: Iterable[tuple[MemberId, RegionName]]
-    ) -> Iterator[MemberFigures]:
+    ) -> Iterator[MemberLoad]:
         """The figures of these members; old ones for those that never said anything."""
         for member, region in members:
             known = self._known.get((service, member))
-            yield known or MemberFigures(member, region, 0, 0, 0.0, measured_at=_NEVER)
+            yield known or MemberLoad(member, region, 0, 0, 0.0, measured_at=_NEVER)
 
     def keep_only(self, members: frozenset[MemberId]) -> None:
         """Forget members that are gone."""
--- a/fireflyfork/programs/_peer_service.py
+++ b/fireflyfork/programs/_peer_service.py
@@ -118,7 +118,7 @@
                 self._figures.heard(member, region, ServiceName(service), figures)
         marks = [LeavingMark(TargetId(name), age) for name, age in pong.leaving.items()]
         targets = self._parts.targets
-        leaving = targets.leaving.heard(marks, trio.current_time())
+        leaving = targets.leaving.merge_marks(marks, trio.current_time())
         if leaving is not targets.leaving:
             targets.note_leaving(leaving)
 
--- a/fireflyfork/programs/_planner_journal.py
+++ b/fireflyfork/programs/_planner_journal.py
@@ -12,7 +12,7 @@
 from .._ids import ChangeId, MemberId, PartitionId, Revision
 from ..adapters import Store, StoredValue
 from ..decisions import (
-    LONGEST_VALUE_BYTES,
+    MAX_VALUE_BYTES,
     DurableChange,
     JournalError,
     JournalPosition,
@@ -24,7 +24,7 @@
     encode_segment,
     encode_snapshot,
     segment_key,
-    settle,
+    settle_write,
     slot_of,
     snapshot_key,
     table_of,
@@ -134,7 +134,7 @@
         """The snapshot of ``table``, or None when it would be too long to store."""
         change_id = self._new_change_id()
         value = encode_snapshot(table, sequence, change_id, self._owner)
-        return (value, change_id) if len(value) <= LONGEST_VALUE_BYTES else None
+        return (value, change_id) if len(value) <= MAX_VALUE_BYTES else None
 
     async def _make_room(self, table: TaskTable) -> None:
         # Owners that follow each other quickly, each dying before its first snapshot, would fill
@@ -237,7 +237,7 @@
             found = await self._read_patiently(write.key)
             found_id = change_id_of(found.value) if found else None
             revision = found.revision if found else Revision(0)
-            match settle(write.change_id, write.expected, found_id, revision):
+            match settle_write(write.change_id, write.expected, found_id, revision):
                 case Settlement.STORED:
                     return revision
                 case Settlement.LOST:
--- a/fireflyfork/programs/_planner_partition.py
+++ b/fireflyfork/programs/_planner_partition.py
@@ -16,25 +16,25 @@
 from ..decisions import (
     Partition,
     Refusal,
+    RegionReport,
     StaleRun,
     Step,
     Submission,
     Task,
     TaskState,
     ThrottleOrdered,
-    WholeReport,
+    apply_report,
+    apply_timeouts,
+    attempts_to_renew,
     cancel,
     evict,
-    keep_replicas,
+    mark_stored,
     place,
-    stop_answered,
-    stored,
+    reconcile_replicas,
+    record_stop_answer,
     submit,
-    take_report,
-    take_starts,
-    take_time,
-    to_renew,
-    to_stop,
+    take_due_starts,
+    tasks_to_stop,
 )
 from ._metrics import Metrics
 from ._partition_plan import (
@@ -235,7 +235,7 @@
             self._overfull = snapshot is None
         await self._journal.commit(changes)
         if self._state is not None:
-            self._state = stored(self._state, changes, self._clock.now())
+            self._state = mark_stored(self._state, changes, self._clock.now())
         self._unstored.note_stored(len(changes))
         self._has_starts.set()
         if snapshot is not None:
@@ -245,7 +245,7 @@
         while True:
             if self._state is not None and not self._stopping:
                 now = self._clock.now()
-                self._take(take_time(self._state, now))
+                self._take(apply_timeouts(self._state, now))
                 if self._may_act() and len(self._unstored) < _MOST_UNSTORED_CHANGES:
                     step = place(self._state, now)
                     self._take(step)
@@ -262,7 +262,7 @@
             self._has_starts = trio.Event()
             if self._state is None or not self._may_act():
                 continue
-            self._state, orders = take_starts(self._state, self._clock.now())
+            self._state, orders = take_due_starts(self._state, self._clock.now())
             self._observe_waits(orders)
             for first in range(0, len(orders), _MOST_STARTS_IN_A_CALL):
                 if self._may_act():
@@ -292,18 +292,18 @@
         self._take_reports(reports, None)
 
     def _take_reports(
-        self, reports: tuple[RunReport, ...], whole: WholeReport | None
+        self, reports: tuple[RunReport, ...], whole: RegionReport | None
     ) -> tuple[StaleRun, ...]:
         if self._state is None:
             return ()
-        step = take_report(self._state, reports, self._clock.now(), whole)
+        step = apply_report(self._state, reports, self._clock.now(), whole)
         self._take(step)
         return step.stale
 
     async def _stop_loop(self) -> None:
         while True:
             if self._state is not None and self._may_act():
-                await self._stop_all(tuple(to_stop(self._state)))
+                await self._stop_all(tuple(tasks_to_stop(self._state)))
                 await self._throttle_all()
             await trio.sleep(self._plan.pace.stop_retry)
 
@@ -336,7 +336,7 @@
         async def call() -> tuple[RunReport, ...]:
             report = await self._platform.stop(task_id, attempt, checkpoint)
             if self._state is not None:
-                self._state = stop_answered(self._state, (task_id, attempt), self._clock.now())
+                self._state = record_stop_answer(self._state, (task_id, attempt), self._clock.now())
             return (report,)
 
         if self._may_act():
@@ -345,7 +345,7 @@
     async def _renew_loop(self) -> None:
         while True:
             if self._state is not None and self._may_act():
-                runs = to_renew(self._state.table, self._state.leases)
+                runs = attempts_to_renew(self._state.table, self._state.leases)
                 lease = self._plan.rules.leases.lease
                 if runs:
                     await self._order(partial(self._platform.renew, runs, lease))
@@ -353,7 +353,7 @@
 
     def _keep_replicas(self, state: Partition) -> None:
         plan = self._plan
-        self._take(keep_replicas(state, plan.number, plan.count, self._clock.now()))
+        self._take(reconcile_replicas(state, plan.number, plan.count, self._clock.now()))
 
     async def _workers_loop(self) -> None:
         while True:
@@ -387,5 +387,5 @@
                 await trio.sleep(_RETRY_SECONDS)
                 continue
             cursor = report.cursor
-            for run in self._take_reports(report.runs, WholeReport(region, asked)):
+            for run in self._take_reports(report.runs, RegionReport(region, asked)):
                 await self._stop_attempt(run.task_id, run.attempt, checkpoint=False)
--- a/fireflyfork/programs/_request_flow.py
+++ b/fireflyfork/programs/_request_flow.py
@@ -20,8 +20,8 @@
     RetryDecision,
     RetryTerms,
     Route,
+    RouteInput,
     RouteKind,
-    RouteQuestion,
     route,
 )
 from ._bodies import RequestBody
@@ -134,7 +134,7 @@
         owners = self._targets.other_owners(request.service)
         regions = ((member, self._ownership.region_of(member)) for member in owners)
         known = [(member, at) for member, at in regions if at is not None]
-        question = RouteQuestion(
+        question = RouteInput(
             region=region or RegionName(""),
             own=tuple(group.own_targets()),
             queued=group.queued,
--- a/fireflyfork/programs/_target_groups.py
+++ b/fireflyfork/programs/_target_groups.py
@@ -11,7 +11,7 @@
 from .._ids import MemberId, PartitionId, ServiceName, TargetId
 from ..decisions import (
     Acquisition,
-    HandedSlot,
+    HandedOverSlot,
     LeavingTargets,
     OccupiedSlots,
     Ownership,
@@ -163,7 +163,7 @@
     occupied: tuple[OccupiedSlots, ...], target_id: TargetId, terms: SlotTerms
 ) -> SlotHandover:
     handed = tuple(
-        HandedSlot(None, slots.seconds)
+        HandedOverSlot(None, slots.seconds)
         for slots in occupied
         if slots.target_id == target_id
         for _ in range(slots.slots)
--- a/fireflyfork/programs/tests/builders_faults.py
+++ b/fireflyfork/programs/tests/builders_faults.py
@@ -307,7 +307,9 @@
     def _evict_all(self) -> None:
         state = self.runner.state
         if state is not None:
-            self.runner.evict(tuple(task.task_id for task in state.table.holding()), "a test")
+            self.runner.evict(
+                tuple(task.task_id for task in state.table.tasks_holding_reservation()), "a test"
+            )
 
     def _set(self, fault: Fault, on: bool) -> None:
         worker = WorkerId(f"w{fault.index}")
--- a/fireflyfork/programs/tests/test_planner_journal.py
+++ b/fireflyfork/programs/tests/test_planner_journal.py
@@ -5,7 +5,7 @@
 import trio
 
 from ... import JobId, MemberId
-from ...decisions import SLOTS, JobAccepted, JobNumber, TaskGivenUp, TaskTable
+from ...decisions import RING_SLOTS, JobAccepted, JobNumber, TaskGivenUp, TaskTable
 from .._planner_journal import PartitionJournal, PartitionLostError
 from .builders_planner import (
     PARTITION,
@@ -125,7 +125,7 @@
             table = TaskTable.empty()
             journal = make_journal(store)
             await journal.recover(ME, always)
-            for number in range(1, 3 * SLOTS):
+            for number in range(1, 3 * RING_SLOTS):
                 changes = (accepted(number), TaskGivenUp(JobNumber(number), 0, 1.0, "no"))
                 table = table.apply(changes)
                 sequence = journal.position.sequence + 1
@@ -139,7 +139,7 @@
                     journal = make_journal(store)
                     self.assertEqual(await journal.recover(ME, always), table)
             self.assertEqual(await make_journal(store).recover(ME, always), table)
-            self.assertLessEqual(len(store.values), SLOTS + 1)
+            self.assertLessEqual(len(store.values), RING_SLOTS + 1)
 
         run_simulated(body)
 
@@ -175,7 +175,7 @@
 
         async def body() -> None:
             store = MemoryStore()
-            for _ in range(SLOTS + 50):
+            for _ in range(RING_SLOTS + 50):
                 await make_journal(store).recover(ME, always)
             await make_journal(store).recover(ME, always)
 
