--- a/fireflyfork/programs/_bodies.py
+++ b/fireflyfork/programs/_bodies.py
@@ -1,4 +1,4 @@
-"""The body of a request on its way through: small ones can be sent again, large ones stream."""
+"""Request bodies: small bodies are buffered and can be sent again, large ones are streamed."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 
 
 class RequestBody:
-    """A request's body. What fits the buffer is read whole before any executor sees the request.
+    """The body of one request, buffered up to ``MAX_REPLAYABLE_BYTES``.
 
-    A caller that sends slowly would otherwise hold an executor's slot while it sends, and an
-    attempt that proved not to have run could not be repeated.
+    The buffer is filled before the request is dispatched. Otherwise a slow caller would hold an
+    executor's slot while it sends, and an attempt that is proved not to have run could not be
+    repeated.
     """
 
     def __init__(self, source: AsyncIterator[bytes], longest: int) -> None:
-        """``longest`` is in bytes; a longer body ends in BadRequestError."""
+        """Read from ``source``; a body of more than ``max_bytes`` raises BadRequestError."""
         self._source = source
         self._longest = longest
         self._head: list[bytes] = []
@@ -27,26 +28,26 @@
 
     @property
     def replayable(self) -> bool:
-        """Whether ``chunks`` can be called once more."""
+        """Whether ``chunks`` can be called again."""
         return self._whole or not self._rest_taken
 
     @property
     def whole(self) -> bool:
-        """Whether all of it is in the buffer."""
+        """Whether the entire body is in the buffer."""
         return self._whole
 
     @property
     def buffered(self) -> tuple[bytes, ...]:
-        """The parts in the buffer."""
+        """The buffered chunks."""
         return tuple(self._head)
 
     @property
     def length(self) -> int:
-        """Bytes read so far."""
+        """The number of bytes read so far."""
         return self._length
 
     async def fill(self) -> None:
-        """Read up to the size of the buffer. Raises BadRequestError, and the source's errors."""
+        """Fill the buffer. Raises BadRequestError, and the errors of the source."""
         while not self._whole and self._length < REPLAYABLE_BYTES:
             chunk = await anext(self._source, None)
             if chunk is None:
@@ -55,7 +56,7 @@
             self._head.append(self._counted(chunk))
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """All parts from the start."""
+        """Yield all chunks from the start of the body."""
         for chunk in self._head:
             yield chunk
         if self._whole:
--- a/fireflyfork/programs/_caller_requests.py
+++ b/fireflyfork/programs/_caller_requests.py
@@ -1,4 +1,4 @@
-"""Checks what callers send and turns it into service requests."""
+"""Validates callers' HTTP requests and converts them to service requests."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 def read_request(
     head: RequestHead, configuration: Configuration | None, now: float, sampled: bool = True
 ) -> tuple[ServiceRequest, ServiceContract]:
-    """The service request in ``head``, and the contract it falls under.
+    """Return the service request in ``head`` and the contract of its service.
 
-    ``now`` is by the event loop's clock. ``sampled`` says whether spans are written of a request
-    whose caller leaves that open. A request with an unsafe method gets its key from the
-    caller's header; without one, ``key`` is empty and the entry mints one. Raises BadRequestError,
-    or RequestError when the entry has no configuration yet.
+    ``now`` is in the event loop's time. ``sampled`` tells whether spans are written for a request
+    that carries no trace context. A request with an unsafe method gets its key from the caller's
+    header; without the header, ``key`` is empty and the entry generates a key. Raises
+    BadRequestError, or RequestError if the entry has no configuration yet.
     """
     if configuration is None:
         raise RequestError(503, "no configuration yet", Verdict.NOT_RUN, retry_after=1.0)
--- a/fireflyfork/programs/_caller_service.py
+++ b/fireflyfork/programs/_caller_service.py
@@ -1,4 +1,4 @@
-"""Serves callers: checks each request, runs it, and always says what became of it."""
+"""Serves callers: validates each request, runs it, and answers it with a verdict."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class CallerService(HttpHandler):
-    """What this entry does for callers."""
+    """Handles the HTTP requests of callers."""
 
     def __init__(
         self,
@@ -34,9 +34,9 @@
         metrics: Metrics,
         is_sampled: Callable[[], bool],
     ) -> None:
-        """``configuration`` tells the one in force.
+        """``configuration`` returns the configuration in force, or None before the first.
 
-        ``is_sampled`` decides of each request whose caller leaves it open whether spans are written.
+        ``is_sampled`` decides whether spans are written for a request without a trace context.
         """
         self._is_sampled = is_sampled
         self._flow = flow
@@ -46,7 +46,7 @@
         self._metrics = metrics
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one caller."""
+        """Answer one request."""
         begun = trio.current_time()
         sink = CallerSink(exchange)
         try:
@@ -55,17 +55,17 @@
             await sink.fail(error)
             self._count(sink, error.verdict, error.status)
         except HttpError:
-            # The caller broke off or fell silent; there is nobody left to tell.
+            # The caller closed the connection or stopped responding, so no answer can be delivered.
             exchange.abort()
             self._metrics.count("fireflyfork_callers_lost_total")
         except Exception as error:
-            # A fault in the handling of one request must not end the process, which would take
-            # all other requests with it; the log line is how anyone would notice.
+            # An error in the handling of one request must not end the process and with it all
+            # other requests. It is reported only by this log line.
             logger.opt(exception=error).error("request failed")
             await sink.fail(RequestError(500, "internal error", Verdict.MAY_HAVE_RUN))
 
     async def malformed(self, exchange: Exchange, status: int, reason: str) -> None:
-        """Answer something that is not HTTP."""
+        """Refuse input that is not valid HTTP."""
         self._metrics.count("fireflyfork_malformed_total")
         await CallerSink(exchange).fail(BadRequestError(reason, status))
 
--- a/fireflyfork/programs/_forwarding.py
+++ b/fireflyfork/programs/_forwarding.py
@@ -1,4 +1,4 @@
-"""Forwards a request to a peer over its stream and passes the answer on."""
+"""Forwards requests to peers over their streams and passes on the answers."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
 
 NEAR_MARGIN_SECONDS = 0.01
 FAR_MARGIN_SECONDS = 0.06
-"""The peer's deadline is earlier by this much, so that its verdict arrives before ours passes."""
+"""The peer's deadline is earlier by the margin, so that its verdict arrives before our deadline."""
 
 
 class Forwarder:
-    """Sends requests to peers."""
+    """Forwards requests to peers."""
 
     def __init__(
         self, ownership: OwnershipView, peers: Peers, figures: PeerFigures, spans: SpanWriter
     ) -> None:
-        """Figures that come with answers are noted in ``figures``."""
+        """Service figures that arrive with answers are recorded in ``figures``."""
         self._ownership = ownership
         self._peers = peers
         self._figures = figures
@@ -51,7 +51,10 @@
         body: RequestBody,
         sink: AnswerSink,
     ) -> None:
-        """Forward and pass the whole answer to ``sink``. Raises RequestError, HttpError."""
+        """Forward the request and pass its whole answer to ``sink``.
+
+        Raises RequestError, HttpError.
+        """
         margin = self._margin(member)
         if trio.current_time() + 2 * margin > request.deadline:
             raise OverloadedError(503, "the deadline can't be made", Verdict.NOT_RUN, 1.0)
@@ -99,7 +102,8 @@
             await _send_body(call, body)
             await self._receive(call, sink, request)
             return
-        # A large body is sent while the answer is awaited, since a refusal may come before its end.
+        # A large body is sent while the answer is awaited, since the peer may refuse the request
+        # before it has read the body to its end.
         error: FireflyforkError | None = None
         async with trio.open_nursery() as nursery:
 
--- a/fireflyfork/programs/_recording_sink.py
+++ b/fireflyfork/programs/_recording_sink.py
@@ -1,4 +1,4 @@
-"""Keeps a copy of an answer on its way, for repeats of the request."""
+"""Records an answer while it is passed on, so that repeats of the request can get it."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class RecordingSink(RelaySink):
-    """Passes an answer on and keeps a copy of it, also when nobody takes it any more."""
+    """Passes an answer on and records it, also after the receiver has been detached."""
 
     def __init__(self, waiting: AnswerSink, longest: int) -> None:
-        """``longest`` is in bytes; of a longer answer nothing is kept."""
+        """Pass on to ``receiver``; an answer of more than ``max_bytes`` is not recorded."""
         super().__init__(waiting)
         self._longest = longest
         self._head: ResponseHead | None = None
@@ -21,7 +21,7 @@
 
     @property
     def answer(self) -> bytes | None:
-        """The encoded answer; None when it was not whole or too long."""
+        """The encoded answer, or None if it was incomplete or too long."""
         if self._head is None or self._too_long or not self._ended:
             return None
         return bytes(msgpack.packb([self._head.status, list(self._head.headers), self._body]))
--- a/fireflyfork/programs/_redirects.py
+++ b/fireflyfork/programs/_redirects.py
@@ -1,8 +1,8 @@
-"""Follows a request's owner when it has moved.
+"""Redirects requests whose owner has moved.
 
-A misdirected request cost no executor anything, so it is not paid from the retry budget: during a
-planned move all requests that wait at the old owner are sent on at once, and the budget would run
-out. The pauses give the news of the move time to arrive.
+A misdirected request has used no executor, so a redirect is not charged to the retry budget. During
+a planned move all requests that wait at the old owner are redirected at the same time, which would
+exhaust the budget. The pauses give the new fleet record time to arrive.
 """
 
 from __future__ import annotations
@@ -17,15 +17,19 @@
 
 
 class Redirects:
-    """The redirects of one request at one entry."""
+    """Counts and limits the redirects of one request at one entry."""
 
     def __init__(self, deadline: float) -> None:
-        """``deadline`` is by the event loop's clock."""
+        """``deadline`` is in the event loop's time."""
         self._deadline = deadline
         self._followed = 0
 
     async def follow(self, error: RequestError) -> bool:
-        """Whether to look for the owner anew, after a pause."""
+        """Pause and return True if the owner should be looked up again, else return False.
+
+        Returns False at once for an error other than a misdirection, after ``MAX_REDIRECTS``
+        redirects, or if the deadline would pass during the pause.
+        """
         if error.status != MISDIRECTED_STATUS or self._followed >= MOST_REDIRECTS:
             return False
         pause = FIRST_PAUSE_SECONDS * 2**self._followed
@@ -36,7 +40,10 @@
         return True
 
     def final(self, error: RequestError) -> RequestError:
-        """The error to go on with when ``follow`` said no; a caller is not told of owners."""
+        """Return the error to raise if ``follow`` returned False.
+
+        Callers don't get the internal status of a misdirection.
+        """
         if error.status != MISDIRECTED_STATUS:
             return error
         return RequestError(_SHOWN_STATUS, error.reason, error.verdict, error.retry_after)
--- a/fireflyfork/programs/_request_flow.py
+++ b/fireflyfork/programs/_request_flow.py
@@ -1,4 +1,4 @@
-"""Decides, for each request, who runs it, and tries again where that is safe."""
+"""Routes each request to a target here or at a peer, and retries where that is safe."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class RequestFlow:
-    """The way of requests through this entry."""
+    """Dispatches requests with routing, redirects and retries."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         metrics: Metrics,
         random: Random,
     ) -> None:
-        """``random`` draws the members to compare."""
+        """``random`` selects the members that routing compares."""
         self._ownership = ownership
         self._targets = targets
         self._attempts = attempts
@@ -98,7 +98,10 @@
     async def run_here(
         self, request: ServiceRequest, body: RequestBody, sink: AnswerSink, entry: MemberId
     ) -> None:
-        """Run what ``entry`` forwarded on a target owned here. Raises RequestError, HttpError."""
+        """Run a request that ``entry`` forwarded on a target that this entry owns.
+
+        Raises RequestError, HttpError.
+        """
         await self._attempts.run(self._group(request), request, body, sink, entry)
 
     def _budget(self, service: ServiceName) -> RetryBudget:
--- a/fireflyfork/programs/_sinks.py
+++ b/fireflyfork/programs/_sinks.py
@@ -1,4 +1,4 @@
-"""Where an answer goes: to a caller, to the peer that forwarded the request, or nowhere."""
+"""Receivers of an executor's answer: a caller, the forwarding peer, or a detachable receiver."""
 
 from __future__ import annotations
 
@@ -23,34 +23,34 @@
 
 
 class AnswerSink(ABC):
-    """Takes one answer."""
+    """Receives one answer: its head, the parts of its body, and its end."""
 
     def __init__(self) -> None:
-        """Nothing taken yet."""
+        """Start without an answer."""
         self._started = False
         self._ended = False
 
     @property
     def started(self) -> bool:
-        """Whether the head was taken, after which nothing else can be said."""
+        """Whether the head was received; after that no other answer can be sent."""
         return self._started
 
     @property
     def ended(self) -> bool:
-        """Whether the whole answer was taken."""
+        """Whether the whole answer was received."""
         return self._ended
 
     async def start(self, head: ResponseHead) -> None:
-        """Take the head of the answer."""
+        """Receive the head of the answer."""
         self._started = True
         await self._start(head)
 
     async def send(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Receive a part of the body."""
         await self._send(data)
 
     async def end(self) -> None:
-        """Take the end of the body."""
+        """Receive the end of the body."""
         await self._end()
         self._ended = True
 
@@ -65,16 +65,16 @@
 
 
 class CallerSink(AnswerSink):
-    """Answers a caller."""
+    """Sends an answer to a caller."""
 
     def __init__(self, exchange: Exchange) -> None:
-        """Set ``request`` as soon as it is known, so that answers can carry its ids."""
+        """Set ``request`` once the request has been parsed, so that answers contain its ids."""
         super().__init__()
         self._exchange = exchange
         self.request: ServiceRequest | None = None
 
     async def fail(self, error: RequestError) -> None:
-        """Say that there is no answer; when one has begun, break it off."""
+        """Answer with an error, or abort the connection if an answer has been started."""
         if self._started:
             self._exchange.abort()
             return
@@ -107,10 +107,10 @@
 
 
 class PeerSink(AnswerSink):
-    """Answers the peer that forwarded the request."""
+    """Sends an answer to the peer that forwarded the request."""
 
     def __init__(self, call: IncomingCall, figures: Callable[[], ServiceFigures]) -> None:
-        """``figures`` of the service are reported with the answer."""
+        """``figures`` returns the service's load figures, which are sent with the answer."""
         super().__init__()
         self._call = call
         self._figures = figures
@@ -126,19 +126,19 @@
 
 
 class RelaySink(AnswerSink):
-    """Passes an answer on until the one who waits for it has gone, and drops the rest.
+    """Passes an answer on until the receiver is detached or fails, and discards the rest.
 
-    An executor's answer is read to its end even when nobody wants it any more, since its slot is
-    busy until then.
+    An executor's answer is read to its end even if no receiver is left, since the executor's slot
+    is busy until then.
     """
 
     def __init__(self, waiting: AnswerSink) -> None:
-        """Pass on to ``waiting``."""
+        """Pass the answer on to ``receiver``."""
         super().__init__()
         self._waiting: AnswerSink | None = waiting
 
     def detach(self) -> None:
-        """Drop all that follows."""
+        """Discard the rest of the answer."""
         self._waiting = None
 
     async def _start(self, head: ResponseHead) -> None:
@@ -161,5 +161,5 @@
 
 
 def answer_broke_off(reason: str) -> TargetLostError:
-    """The error of an answer that ended before its end."""
+    """Return the error for an answer that ended prematurely."""
     return TargetLostError(502, reason, Verdict.MAY_HAVE_RUN, None)
--- a/fireflyfork/programs/_slot_releases.py
+++ b/fireflyfork/programs/_slot_releases.py
@@ -1,12 +1,12 @@
-"""Tells the new owner of a target when requests of its last owner have ended.
+"""Notifies the new owner of a target when requests of the previous owner have ended.
 
-After a planned move the new owner counts the slots that the last one occupied until the longest
-run time has passed. Without a word from the last owner, each planned restart under load would
-block these slots for many seconds after the requests in them had been answered.
+After a planned move the new owner treats the slots that the previous owner occupied as busy until
+the longest run time has passed. Without these notices, each planned restart under load would block
+the slots for many seconds after the requests in them had been answered.
 
-A notice that gets lost costs only the wait. One that is counted twice, or for a request that was
-not among those handed over, would free a slot that is still busy; so each attempt is announced
-once, over an ordered stream, and only if it was in the list that was handed over.
+A lost notice costs only this wait. A notice that was applied twice, or that reported a request that
+was not in the handed-over list, would free a slot that is still busy. Each attempt is therefore
+reported once, over an ordered stream, and only if it was in the handed-over list.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 SLOTS_RELEASED = "slots-released"
 
 KEPT_SECONDS = 10.0
-"""How long a notice waits for the record that makes this member the owner."""
+"""How long a notice is kept that arrives before the record that makes this member the owner."""
 
 
 @dataclass(frozen=True, slots=True)
 class SlotsReleased:
-    """So many of the occupied slots that were handed over are free."""
+    """A message that ``count`` of the handed-over busy slots of a target are free."""
 
     target_id: TargetId
     partition: PartitionId
@@ -40,7 +40,7 @@
 
 
 class SlotReleases(ControlHandler):
-    """Sends notices for targets that were handed over, and takes those of other members."""
+    """Sends notices for targets that were handed over, and applies the notices of other members."""
 
     def __init__(self, ownership: OwnershipView, peers: Peers) -> None:
         """Call ``attach`` before use."""
@@ -53,28 +53,31 @@
         self._nursery: trio.Nursery | None = None
 
     def attach(self, nursery: trio.Nursery, apply: Callable[[SlotsReleased], bool]) -> None:
-        """``apply`` frees the slots, or returns False when the target is not owned here yet."""
+        """Send in ``nursery``.
+
+        ``apply`` frees the slots, or returns False if this entry does not own the target yet.
+        """
         self._nursery = nursery
         self._apply = apply
 
     def handed(
         self, target_id: TargetId, partition: PartitionId, attempts: tuple[RequestId, ...]
     ) -> None:
-        """These attempts are in the list that goes to the next owner of the target."""
+        """Record the attempts in the list of busy slots that is sent to the target's next owner."""
         key = (target_id, partition)
         self._handed = {one: at for one, at in self._handed.items() if at != key}
         self._handed.update(dict.fromkeys(attempts, key))
         self._unsent.pop(key, None)
 
     def released(self, attempt: RequestId) -> None:
-        """An attempt has surely ended."""
+        """Report that an attempt is proved to have ended."""
         key = self._handed.pop(attempt, None)
         if key is not None:
             self._unsent[key] = self._unsent.get(key, 0) + 1
             self.send()
 
     def send(self) -> None:
-        """Send the notices whose targets have a new owner by now."""
+        """Send the pending notices whose targets have a new owner."""
         for key, count in tuple(self._unsent.items()):
             target_id, partition = key
             ownership = self._ownership.ownership_of(partition)
@@ -86,7 +89,7 @@
                 self._nursery.start_soon(self._send, ownership.owner, notice)
 
     def apply_early(self) -> None:
-        """Ownership has changed: apply the notices that came before that was known."""
+        """Apply the notices that arrived before the change of ownership; call it after a change."""
         now = trio.current_time()
         early, self._early = self._early, []
         for came, notice in early:
--- a/fireflyfork/programs/_span_writer.py
+++ b/fireflyfork/programs/_span_writer.py
@@ -1,4 +1,4 @@
-"""Writes spans as JSON lines on stdout."""
+"""Writes trace spans as JSON lines, by default to stdout."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class OpenSpan:
-    """A span under way."""
+    """A span that has not ended; attributes can still be set."""
 
     context: TraceContext
     attributes: Attributes = field(default_factory=dict)
@@ -29,13 +29,16 @@
     """Writes the spans of one process."""
 
     def __init__(self, process: str, stream: TextIO | None = None) -> None:
-        """``stream`` defaults to stdout."""
+        """``process`` is the process name in each span; ``stream`` defaults to stdout."""
         self._process = process
         self._stream = stream or sys.stdout
 
     @contextmanager
     def span(self, name: str, parent: TraceContext, **attributes: str | int) -> Iterator[OpenSpan]:
-        """A span below ``parent``, written when the block ends, however it ends."""
+        """Open a child span of ``parent`` for a block and write it when the block ends or raises.
+
+        The span is written only if ``parent`` is sampled.
+        """
         span = OpenSpan(parent.child(), dict(attributes))
         start, begun = time.time(), time.perf_counter()
         token = trace_of_task.set(parent.trace_id)
--- a/fireflyfork/programs/_target_attempts.py
+++ b/fireflyfork/programs/_target_attempts.py
@@ -1,4 +1,4 @@
-"""Runs one request on one executor, and keeps its slot until the executor has surely ended it."""
+"""Runs requests on executors; a slot is held until its request is proved to have ended."""
 
 from __future__ import annotations
 
@@ -24,20 +24,24 @@
 
 CONNECT_SECONDS = 0.5
 SEND_SECONDS = 2.5
-"""With the time to connect and that of unacknowledged bytes it makes ``START_WITHIN_SECONDS``."""
+"""The longest time for sending a request.
+
+It adds up to ``START_WITHIN_SECONDS`` with ``CONNECT_SECONDS`` and the time that the kernel waits
+for the acknowledgement of sent bytes.
+"""
 
 
 SILENCE_MARGIN_SECONDS = 0.25
-"""For the network and a busy loop, on top of the contract's longest run time."""
+"""Added to the contract's longest run time to allow for the network and a busy event loop."""
 
 
 class _SilentConnectionError(HttpError):
-    """An executor must have ended the request, and nothing came."""
+    """No answer arrived although the executor must have ended the request."""
 
 
 @dataclass(slots=True, eq=False)
 class _Attempt:
-    """One try to run a request on one target."""
+    """One attempt to run a request on one target."""
 
     attempt_id: RequestId
     request: ServiceRequest
@@ -48,9 +52,9 @@
     error: RequestError | None = None
     given_up: bool = False
     left: bool = False
-    """Whether any byte of the request may have left."""
+    """Whether any byte of the request may have been sent."""
     answered: bool = False
-    """Whether the executor's whole answer arrived."""
+    """Whether the executor's whole answer was received."""
 
     @property
     def verdict(self) -> Verdict:
@@ -58,7 +62,7 @@
 
 
 class TargetAttempts:
-    """Runs requests on owned targets, in tasks that outlive the callers' patience."""
+    """Runs requests on owned targets, in tasks that continue after the callers' deadlines."""
 
     def __init__(self, ownership: OwnershipView, spans: SpanWriter) -> None:
         """Call ``attach`` before the first request."""
@@ -81,9 +85,8 @@
     ) -> None:
         """Wait for a slot, run the request and pass the answer to ``sink``.
 
-        ``entry`` is where the caller is.
-
-        Raises RequestError, at the latest at the request's deadline.
+        ``entry`` is the entry that received the request from the caller or forwarded it. Raises
+        RequestError, at the latest at the request's deadline.
         """
         self._count += 1
         attempt_id = RequestId(f"{request.request_id}.{self._count}")
@@ -142,9 +145,9 @@
             self._put_back(target, number, connection, silent)
 
     def _check_permission(self, target: OwnedTarget, attempt: _Attempt) -> None:
-        # Between taking the slot and here the process may have been paused for long enough that
-        # another member owns the target now and counts its slots afresh. Sending all the same
-        # would give the executor more than its slots.
+        # The process may have been paused since the slot was acquired, for long enough that another
+        # member owns the target now and has its own count of the slots. Sending the request would
+        # then exceed the executor's slots.
         if not self._ownership.may_dispatch(target.partition):
             raise MisdirectedError("ownership of the target is in doubt")
         if attempt.given_up or trio.current_time() >= attempt.request.deadline:
@@ -155,8 +158,8 @@
     ) -> None:
         attempt.left = True
         await self._send(connection, attempt)
-        # An executor has ended each request by then, so an answer that has not begun won't come on
-        # this connection. Waiting on would let more requests meet the same dead path.
+        # By then the executor has ended the request, so an answer that has not started won't arrive
+        # on this connection. Waiting longer would let more requests use the same dead path.
         try:
             with trio.fail_after(longest_run + SILENCE_MARGIN_SECONDS):
                 head = await connection.receive_head()
@@ -170,8 +173,8 @@
 
     @staticmethod
     async def _send(connection: HttpClientConnection, attempt: _Attempt) -> None:
-        # The slot's hold counts on the request having left by then. One that left later could
-        # still run after its slot was given to the next.
+        # The time for which a slot is held assumes that the request is sent within this limit. A
+        # request sent later could still run after its slot was given to another request.
         try:
             with trio.fail_after(SEND_SECONDS):
                 await connection.send_head(_head(attempt))
--- a/fireflyfork/programs/_target_group.py
+++ b/fireflyfork/programs/_target_group.py
@@ -1,4 +1,4 @@
-"""The targets of one service that this entry owns: their slots, and the requests waiting for one."""
+"""The targets of one service that this entry owns, their slots and the queue of requests."""
 
 from __future__ import annotations
 
@@ -31,40 +31,41 @@
 )
 
 FIRST_GUESS = ServiceTime(0.05, 0.02)
-"""Of an executor's time, before anything is learned."""
+"""The assumed service time of an executor before any request was measured."""
 
 LONGEST_NAP_SECONDS = 1.0
-"""A waiting request looks again at least so often for what frees slots without a word."""
+"""The longest interval at which a waiting request checks for slots that became free by time."""
 
 SHORTEST_RETRY_SECONDS = 0.1
 
 
 @dataclass(slots=True)
 class OwnedTarget:
-    """One executor that this entry owns, with its connections."""
+    """An owned target with its slots and its connections to the executor."""
 
     contract: TargetContract
     partition: PartitionId
     since: Epoch
-    """When this member acquired the partition. If it lost and regained it, the ledger is stale."""
+    """The epoch of acquisition. If the partition was lost and regained, the ledger is stale."""
     after_fence: bool
-    """Whether the last owner was lost, so that nobody tells when its requests end."""
+    """Whether the previous owner was lost, so that no notices of its requests' ends arrive."""
     ledger: SlotLedger
     pool: ConnectionPool
     newest: ConnectionId
-    """The number of the connection opened last."""
+    """The id of the connection opened last; ids count up from 1."""
     connections: dict[ConnectionId, HttpClientConnection] = field(default_factory=dict)
-    """Idle connections by number."""
+    """The idle connections by id."""
 
     def free(self, now: float) -> int:
-        """Slots that can be given away now."""
+        """Return the number of slots that can be assigned now."""
         return self.ledger.free(now)
 
     def usable(self, now: float) -> int:
-        """Slots whose requests end with an answer, so that others can count on getting them.
+        """Return the number of slots that become free as requests are answered.
 
-        What a lost owner left is held for the longest run time whatever happens. If it counted as
-        moving, callers would be let into a queue that stands still past their deadlines.
+        Slots occupied by a lost owner's requests are always held for the longest run time. If they
+        were counted, callers would be admitted to a queue that does not advance before their
+        deadlines.
         """
         if self.ledger.leaving:
             return 0
@@ -74,7 +75,7 @@
         return max(0, self.contract.slots - blocked)
 
     def close_connections(self, numbers: tuple[ConnectionId, ...]) -> None:
-        """Close these idle connections."""
+        """Close the idle connections with these ids."""
         for number in numbers:
             connection = self.connections.pop(number, None)
             if connection is not None:
@@ -85,7 +86,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Waiter:
-    """A request in the queue, and what became of it."""
+    """A request in the queue and its outcome: a target, a refusal, or neither if targets moved."""
 
     settled: trio.Event = field(default_factory=trio.Event)
     target: OwnedTarget | None = None
@@ -93,10 +94,13 @@
 
 
 class TargetGroup:
-    """The owned targets of one service, and a bounded queue in front of them."""
+    """The owned targets of one service, with a bounded queue of requests for their slots."""
 
     def __init__(self, contract: ServiceContract, released: Callable[[RequestId], None]) -> None:
-        """No targets yet. ``released`` hears of each attempt that has surely ended."""
+        """Start without targets.
+
+        ``released`` is called with each attempt that is proved to have ended.
+        """
         self._contract = contract
         self._released = released
         self._targets: dict[TargetId, OwnedTarget] = {}
@@ -115,33 +119,33 @@
 
     @property
     def queued(self) -> int:
-        """Requests waiting for a slot."""
+        """The number of requests that wait for a slot."""
         return len(self._queue.waiting)
 
     @property
     def drain_per_second(self) -> float:
-        """Requests that the owned targets end in a second when all slots are busy."""
+        """The requests per second that the owned targets complete when all slots are busy."""
         return self._queue.drain_per_second(self._usable(), trio.current_time())
 
     @property
     def expected_run_seconds(self) -> float:
-        """How long a request has lately taken at an executor."""
+        """The expected run time of a request, from recent run times at executors."""
         return self._queue.service_time.expected
 
     def figures(self) -> ServiceFigures:
-        """What peers are told."""
+        """Return the load figures that are reported to peers."""
         free = sum(target.free_slots for target in self.own_targets())
         return ServiceFigures(free, self.queued, self.drain_per_second)
 
     def own_targets(self) -> Iterator[OwnTarget]:
-        """The targets that could be given something, with their free slots."""
+        """Yield the targets that accept requests, with their free slots."""
         now = trio.current_time()
         for target_id, target in self._targets.items():
             if not target.ledger.leaving:
                 yield OwnTarget(target_id, target.free(now))
 
     def update_contract(self, contract: ServiceContract) -> None:
-        """Put a changed contract in force for what comes next."""
+        """Apply a changed contract to subsequent requests."""
         if contract == self._contract:
             return
         self._contract = contract
@@ -160,7 +164,7 @@
         ownership: Ownership,
         ledger: SlotLedger,
     ) -> None:
-        """Begin to own a target."""
+        """Add a target that this entry has come to own."""
         terms = ConnectionTerms(silence_seconds=self._contract.longest_run_seconds)
         self._targets[contract.target_id] = OwnedTarget(
             contract,
@@ -174,7 +178,7 @@
         self.wake()
 
     def remove(self, target_id: TargetId) -> None:
-        """Stop owning a target; what runs on it goes on."""
+        """Remove a target that this entry no longer owns; requests running on it continue."""
         target = self._targets.pop(target_id)
         target.close_connections(tuple(target.connections))
         if not self._targets:
@@ -183,10 +187,11 @@
     async def acquire(
         self, request: ServiceRequest, attempt: RequestId, entry: MemberId
     ) -> OwnedTarget:
-        """Take a slot of the target with most free ones, waiting for it if that is worth while.
+        """Acquire a slot of the target with the most free slots, and wait for it if necessary.
 
-        ``entry`` is where the caller is. Raises OverloadedError as soon as the deadline can't be
-        expected to be made, and RequestError when no target of the service is owned here.
+        ``entry`` is the entry that received the request from the caller or forwarded it. Raises
+        OverloadedError as soon as the request is expected to miss its deadline, and RequestError if
+        this entry owns no target of the service.
         """
         if not self._targets:
             raise MisdirectedError("no target of the service is here")
@@ -207,17 +212,17 @@
             self._queue = self._queue.withdraw(attempt)
 
     def release(self, target: OwnedTarget, attempt: RequestId) -> None:
-        """Free the slot of an attempt that has surely ended, and let the next request have it."""
+        """Free the slot of an attempt that is proved to have ended, and assign it to a request."""
         target.ledger = target.ledger.release(attempt)
         self._released(attempt)
         self.wake()
 
     def ran(self, seconds: float) -> None:
-        """Learn how long an executor took."""
+        """Update the expected run time with the run time of an answered request."""
         self._queue = self._queue.answered(seconds, trio.current_time())
 
     def wake(self) -> None:
-        """Give free slots to those who wait, and refuse those who can't be served in time."""
+        """Assign free slots to waiting requests, and refuse those that can't be served in time."""
         now = trio.current_time()
         self._queue, refused = self._queue.expire(now)
         self._settle_refused(refused)
@@ -239,7 +244,7 @@
                 if not waiter.settled.is_set():
                     self.wake()
         except trio.Cancelled:
-            # The slot may have been given to this request just when its caller went away.
+            # A slot may have been assigned to this request just before it was cancelled.
             if waiter.target is not None:
                 self.release(waiter.target, attempt)
             raise
@@ -251,7 +256,8 @@
         return waiter.target
 
     def _nap_seconds(self) -> float:
-        # A slot can become free by time alone and a deadline can pass, and neither wakes anybody.
+        # A slot that becomes free by time and a deadline that passes do not set any event, so a
+        # waiting request must check for them.
         now = trio.current_time()
         moments = [target.ledger.next_free_at(now) for target in self._targets.values()]
         expiry = self._queue.next_expiry()
@@ -267,14 +273,18 @@
                 waiter.settled.set()
 
     def _send_elsewhere(self) -> None:
-        # Nothing here will ever wake those who wait, and another member owns the targets now.
+        # Another member owns the targets now, and no slot here will become free for the waiting
+        # requests.
         self._queue = replace(self._queue, waiting=())
         for waiter in self._waiters.values():
             if waiter.target is None:
                 waiter.settled.set()
 
     def seconds_to_first_slot(self) -> float:
-        """Until a slot is surely free, when none can be counted on before; 0 otherwise."""
+        """Return the seconds until a slot is certain to be free, or 0 if slots become free sooner.
+
+        It is 0 while any slot becomes free as requests are answered.
+        """
         if self._usable() > 0:
             return 0.0
         now = trio.current_time()
--- a/fireflyfork/programs/_target_groups.py
+++ b/fireflyfork/programs/_target_groups.py
@@ -1,4 +1,4 @@
-"""All targets that this entry owns, kept in step with configuration, ownership and instance list."""
+"""All targets that this entry owns, updated with configuration, ownership and instance list."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 class TargetGroups:
-    """The groups by service, and which members own targets of each service."""
+    """The target groups by service, and the other members that own targets of each service."""
 
     def __init__(self, ownership: OwnershipView, releases: SlotReleases) -> None:
-        """No configuration yet. ``releases`` tells other owners of slots that were handed over."""
+        """Start without groups. ``releases`` notifies new owners when handed-over slots are free."""
         self._ownership = ownership
         self._releases = releases
         self._groups: dict[ServiceName, TargetGroup] = {}
@@ -39,23 +39,23 @@
 
     @property
     def leaving(self) -> LeavingTargets:
-        """The targets that get nothing new."""
+        """The leaving targets, which get no new requests."""
         return self._leaving
 
     def group(self, service: ServiceName) -> TargetGroup | None:
-        """The group of a service, or None when the configuration has no such service."""
+        """Return the group of a service, or None if the configuration has no such service."""
         return self._groups.get(service)
 
     def groups(self) -> Iterator[TargetGroup]:
-        """All groups."""
+        """Yield the groups of all services."""
         yield from self._groups.values()
 
     def other_owners(self, service: ServiceName) -> tuple[MemberId, ...]:
-        """The other members that own targets of the service."""
+        """Return the other members that own targets of the service."""
         return self._owners.get(service, ())
 
     def note_leaving(self, leaving: LeavingTargets) -> None:
-        """Give nothing new to these targets from now on."""
+        """Set the leaving targets, which get no new requests."""
         self._leaving = leaving
         now = trio.current_time()
         for group in self._groups.values():
@@ -64,7 +64,7 @@
             group.wake()
 
     def refresh(self, configuration: Configuration) -> None:
-        """Follow a change of the configuration or of ownership."""
+        """Apply a change of the configuration or of ownership."""
         wanted = self._wanted(configuration)
         for contract in configuration.services:
             if contract.name not in self._groups:
@@ -81,7 +81,7 @@
     def occupied(
         self, partitions: frozenset[PartitionId]
     ) -> dict[PartitionId, tuple[OccupiedSlots, ...]]:
-        """The slots of owned targets in ``partitions`` that may still be busy."""
+        """Return the slots of owned targets in ``partitions`` that may still be busy."""
         now = trio.current_time()
         found: dict[PartitionId, list[OccupiedSlots]] = defaultdict(list)
         for group in self._groups.values():
@@ -93,7 +93,10 @@
         return {partition: tuple(slots) for partition, slots in found.items()}
 
     def inherited_released(self, notice: SlotsReleased) -> bool:
-        """Free slots of a last owner; False when the target is not owned here yet."""
+        """Free slots that the previous owner's requests occupied.
+
+        Returns False if this entry has not owned the target since the notice's epoch.
+        """
         for group in self._groups.values():
             target = group.targets.get(notice.target_id)
             if target is not None and target.since == notice.since:
--- a/fireflyfork/programs/_time_left.py
+++ b/fireflyfork/programs/_time_left.py
@@ -1,4 +1,7 @@
-"""How long callers' requests may still take; what runs out of time is given up while it can be answered."""
+"""Limits how long callers' requests may take once the instance is stopping.
+
+A request that exceeds the limit is abandoned while its caller can still be answered.
+"""
 
 from __future__ import annotations
 
@@ -15,29 +18,29 @@
 
 
 class TimeLeft:
-    """Without a limit until the instance stops."""
+    """A deadline for all waits; there is none until the instance stops."""
 
     def __init__(self) -> None:
-        """No end is known yet."""
+        """Start without a deadline."""
         self._until = math.inf
         self._waits: set[trio.CancelScope] = set()
 
     @property
     def is_ending(self) -> bool:
-        """Whether nothing more should be begun."""
+        """Whether a deadline is set, so that no further work should be started."""
         return self._until < math.inf
 
     def end_in(self, seconds: float) -> None:
-        """Let everything that is waited for end within ``seconds``."""
+        """Set the deadline of all current and later waits to ``seconds`` from now."""
         self._until = trio.current_time() + seconds
         for wait in self._waits:
             wait.deadline = self._until
 
     async def wait(self, work: Awaitable[_Result], verdict: Verdict) -> _Result:
-        """The result of ``work``.
+        """Await ``work`` and return its result.
 
-        Raises StoppingError with ``verdict``, which says what the work may have done, when the time
-        is over first.
+        Raises StoppingError if the deadline passes first. Its ``verdict`` tells whether the work
+        may have had effects.
         """
         scope = trio.CancelScope(deadline=self._until)
         self._waits.add(scope)
