--- a/fireflyfork/programs/_key_copies.py
+++ b/fireflyfork/programs/_key_copies.py
@@ -1,13 +1,14 @@
-"""Copies of started keys at the guard of their home, made before the request is dispatched.
+"""Replicates started idempotency keys to the guard of their home before requests are dispatched.
 
-When a home is lost, its guard gives its partitions to new owners and sends them what it holds. The
-new homes then know every key that may have run. Without the copies each key of unknown age would
-have to be taken for one that may have run, and for the retention time callers would be refused
-whose requests never reached anybody.
+The home of a key is the member that owns the key's partition. When a home is lost, its guard
+assigns the home's partitions to new owners and sends them the copies that it holds, so the new
+homes have every key that may have run. Without the copies, each key of unknown age would have to be
+treated as one that may have run, and for the retention time callers would be refused although their
+requests never reached an entry.
 
-A copy counts only if the guard was told under the very epoch in which it became the guard. A home
-that left its guard and came back would otherwise be followed by a copy that lacks the keys that
-were started in between, and a repeat of one of them would run a second time.
+A copy is valid only for the epoch in which its holder became the guard. If a home changed its guard
+and later returned to the first one, an older copy there would lack the keys that were started in
+between, and a repeat of one of them would run a second time.
 """
 
 from __future__ import annotations
@@ -36,23 +37,23 @@
 REPLY_SECONDS = 0.3
 RETRY_SECONDS = 0.05
 KEEP_SECONDS = 0.5
-"""Between two looks for partitions whose copies are missing."""
+"""The interval between checks for partitions whose copies are missing."""
 
 
 @dataclass(frozen=True, slots=True)
 class CopyTerm:
-    """What a copy is of. Two copies with different terms have nothing to do with each other."""
+    """Identifies the table that a copy replicates. Copies with different terms are unrelated."""
 
     partition: PartitionId
     since: Epoch
-    """When the home acquired the partition."""
+    """The epoch in which the home acquired the partition."""
     guarded_since: Epoch
-    """When the home's guard was chosen."""
+    """The epoch in which the home's guard was chosen."""
 
 
 @dataclass(frozen=True, slots=True)
 class KeySnapshot:
-    """The whole table of a partition."""
+    """A message with the whole key table of a partition."""
 
     sequence: int
     term: CopyTerm
@@ -61,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyStarted:
-    """A request is about to be dispatched."""
+    """A message that a request with this key is about to be dispatched."""
 
     sequence: int
     term: CopyTerm
@@ -71,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyNotRun:
-    """A request that was announced is proved not to have run."""
+    """A message that a request announced by KeyStarted is proved not to have run."""
 
     sequence: int
     term: CopyTerm
@@ -80,16 +81,16 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyCopied:
-    """The reply to a snapshot or a start."""
+    """The guard's reply to KeySnapshot or KeyStarted."""
 
     sequence: int
     held: bool
-    """False when the guard holds no copy of that term, so that a snapshot has to come first."""
+    """False if the guard holds no copy of that term, so a snapshot must be sent first."""
 
 
 @dataclass(frozen=True, slots=True)
 class HomeTable:
-    """The table of a home at this moment."""
+    """The current key table of a partition whose home is this entry."""
 
     since: Epoch
     table: KeyTable
@@ -99,7 +100,7 @@
 
 
 class KeyCopySender(ControlHandler):
-    """The home's side."""
+    """Sends copies of key tables to this entry's guard; runs at the home."""
 
     def __init__(self, ownership: OwnershipView, peers: Peers) -> None:
         """Call ``attach`` before use."""
@@ -113,13 +114,14 @@
         self._replies: dict[int, KeyCopied] = {}
 
     def attach(self, table_of: TableOf) -> None:
-        """``table_of`` tells the present table of a partition whose home is here."""
+        """``read_table`` returns a partition's current table, or None if its home isn't here."""
         self._table_of = table_of
 
     async def keep(self, partitions: Callable[[], tuple[PartitionId, ...]]) -> None:
-        """Keep the guard supplied with a copy of each partition, also of those without keys.
+        """Keep a copy of each partition at the guard until cancelled, also of empty tables.
 
-        Of a partition that its guard holds no copy of, nothing is known when its home is lost.
+        If the guard holds no copy of a partition when its home is lost, every earlier key of that
+        partition may have run.
         """
         while True:
             guard = self._ownership.guard()
@@ -135,9 +137,10 @@
     async def started(
         self, partition: PartitionId, key: IdempotencyKey, fingerprint: int, deadline: float
     ) -> None:
-        """Return once the guard, if there is one, knows that the key has been started.
+        """Return once the guard, if there is one, has acknowledged that the key is started.
 
-        Raises RequestError when it can't be told in time; the request must not be dispatched then.
+        Raises RequestError if the guard does not acknowledge it before ``deadline``, in the event
+        loop's time; the request must not be dispatched then.
         """
         with trio.move_on_at(deadline):
             while True:
@@ -152,7 +155,7 @@
         raise RequestError(503, "the guard of the key's home is silent", Verdict.NOT_RUN, 1.0)
 
     async def not_run(self, partition: PartitionId, key: IdempotencyKey) -> None:
-        """Tell the guard, if it can be reached, that the key may be used again."""
+        """Notify the guard, if it is reachable, that the key may be used again."""
         held = self._held.get(partition)
         if held is None:
             return
@@ -165,7 +168,7 @@
             return
 
     def handle(self, member: MemberId, content: bytes) -> Control | None:
-        """Take a guard's reply."""
+        """Handle a guard's reply. A reply whose request has timed out is dropped."""
         reply = decode_content(content, KeyCopied)
         if reply.sequence in self._waiting:
             self._replies[reply.sequence] = reply
@@ -192,7 +195,7 @@
         return sent
 
     async def _send_snapshot(self, guard: Guard, term: CopyTerm) -> bool:
-        # The table is read when it is sent, so that it holds every key that was begun by then.
+        # The table is read when it is sent, so that it holds every key started until then.
         def message(sequence: int) -> KeySnapshot:
             home = self._table_of(term.partition)
             table = home.table if home is not None else KeyTable(KeyTerms())
@@ -228,36 +231,36 @@
     term: CopyTerm
     table: KeyTable
     sequence: int
-    """The highest that was seen. A message from a stream that was given up may come late."""
+    """The highest sequence number received. A message of an abandoned stream may arrive late."""
 
 
 @dataclass(frozen=True, slots=True)
 class LostTable:
-    """What the guard of a lost home tells one of its partitions' new owners."""
+    """A key table that the guard of a lost home sends to the new owner of the partition."""
 
     partition: PartitionId
     owner: MemberId
     since: Epoch
     table: KeyTable | None
-    """None when nothing reliable is known."""
+    """None if the guard holds no valid copy."""
 
 
 class KeyCopyHolder:
-    """The guard's side."""
+    """Holds copies of the key tables of the homes that this entry guards."""
 
     def __init__(self, ownership: OwnershipView) -> None:
-        """No copies yet."""
+        """Start without copies; ``ownership`` tells which members this entry guards."""
         self._ownership = ownership
         self._copies: dict[tuple[MemberId, PartitionId], _Copy] = {}
         self._record: FleetRecord | None = None
 
     @property
     def keys(self) -> int:
-        """Keys held for others."""
+        """The number of keys in all copies."""
         return sum(copy.table.keys for copy in self._copies.values())
 
     def snapshot(self, member: MemberId, message: KeySnapshot) -> KeyCopied:
-        """Hold a whole table."""
+        """Store a whole table as the copy, unless a newer message has arrived before."""
         key = (member, message.term.partition)
         copy = self._copies.get(key)
         if copy is None or copy.sequence < message.sequence:
@@ -266,7 +269,7 @@
         return KeyCopied(message.sequence, held=copy.term == message.term)
 
     def started(self, member: MemberId, message: KeyStarted) -> KeyCopied:
-        """Add one key."""
+        """Add a started key to its copy."""
         copy = self._copies.get((member, message.term.partition))
         if copy is None or copy.term != message.term:
             return KeyCopied(message.sequence, held=False)
@@ -278,7 +281,7 @@
         return KeyCopied(message.sequence, held=True)
 
     def not_run(self, member: MemberId, message: KeyNotRun) -> None:
-        """Remove one key, unless it may have been started again since."""
+        """Remove a key from its copy, unless the key may have been started again since."""
         copy = self._copies.get((member, message.term.partition))
         if copy is None or copy.term != message.term or message.sequence < copy.sequence:
             return
@@ -286,7 +289,7 @@
         self._copies[member, message.term.partition] = _Copy(copy.term, table, message.sequence)
 
     def handlers(self) -> dict[str, ControlHandler]:
-        """What to subscribe, by topic."""
+        """Return the handlers to subscribe, by topic."""
         return {
             KEY_SNAPSHOT: TypedHandler(KeySnapshot, self.snapshot, KEY_COPIED),
             KEY_STARTED: TypedHandler(KeyStarted, self.started, KEY_COPIED),
@@ -294,7 +297,10 @@
         }
 
     def follow(self, record: FleetRecord) -> tuple[LostTable, ...]:
-        """Follow a change of the record; returns what new owners have to be told."""
+        """Apply a new fleet record and return the tables to send to new owners.
+
+        After a gap in the epochs no tables are returned.
+        """
         before, self._record = self._record, record
         if before is None or before.epoch + 1 != record.epoch:
             self._forget_all_but(record)
--- a/fireflyfork/programs/_key_home.py
+++ b/fireflyfork/programs/_key_home.py
@@ -1,4 +1,8 @@
-"""The keys whose home is this entry: each request runs once, and repeats get the same answer."""
+"""Serves the idempotency keys whose home is this entry.
+
+The home of a key is the member that owns the key's partition. There each request runs at most
+once, and repeats get the answer of the first request with their key.
+"""
 
 from __future__ import annotations
 
@@ -23,20 +27,20 @@
 from ._sinks import AnswerSink
 
 TERMS = KeyTerms(most_keys=4_000, most_answer_bytes=256 * 1024, longest_answer_bytes=16 * 1024)
-"""For each partition; an entry owns a few."""
+"""The limits of one partition's key table; an entry owns a few partitions."""
 
 COPY_MARGIN_SECONDS = 0.05
-"""A request that its guard did not hear of so long before its deadline is refused as not run."""
+"""The guard must acknowledge a key this long before the deadline, else the request is refused."""
 
 KEPT_AFTER_MOVE_SECONDS = 10.0
-"""How long a table is kept for the next home to fetch."""
+"""How long a table is kept after its partition moved, so that it can be sent to the next home."""
 
 Dispatch = Callable[[ServiceRequest, RequestBody, AnswerSink], Awaitable[None]]
 
 
 @dataclass(frozen=True, slots=True)
 class _Refusal:
-    """What a caller is told whose request does not run."""
+    """The answer to a request that is refused because of its key."""
 
     status: int
     reason: str
@@ -61,7 +65,7 @@
 
 @dataclass(slots=True)
 class _First:
-    """The first request with a key, while it runs."""
+    """The first request with a key, while it runs; repeats wait for its end."""
 
     partition: PartitionId
     fingerprint: int
@@ -71,28 +75,28 @@
 
 @dataclass(slots=True)
 class _Home:
-    """One partition of keys."""
+    """The state of one partition whose home is this entry."""
 
     since: Epoch
-    """When the partition was acquired. If it was lost and regained, the table lacks keys."""
+    """The epoch of acquisition. If the partition was lost and regained, the table lacks keys."""
     table: KeyTable
     ready: trio.Event = field(default_factory=trio.Event)
-    """Set once no table from the last owner is waited for any more."""
+    """Set when the table of the previous home has arrived or is no longer awaited."""
     running: dict[IdempotencyKey, _First] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class HomeChange:
-    """What a change of ownership means for the tables."""
+    """The key tables to send and to await after a change of ownership."""
 
     lost: tuple[PartitionId, ...]
-    """Partitions whose tables the next owners need."""
+    """Partitions whose tables must be sent to the next owners."""
     awaited: tuple[PartitionId, ...]
-    """Partitions whose tables come from the last owners."""
+    """Partitions whose tables are sent by the previous owners or by their guards."""
 
 
 class KeyHome:
-    """The tables of the partitions owned here."""
+    """Runs keyed requests and holds the key tables of the partitions that this entry owns."""
 
     def __init__(self, ownership: OwnershipView, dispatch: Dispatch, copies: KeyCopySender) -> None:
         """``dispatch`` runs a request on a target. Call ``attach`` before the first request."""
@@ -105,18 +109,19 @@
         self._nursery: trio.Nursery | None = None
 
     def attach(self, nursery: trio.Nursery) -> None:
-        """Run requests in ``nursery``, so that they outlive those who wait for them."""
+        """Run requests in ``nursery``, so that they continue after their callers have left."""
         self._nursery = nursery
 
     @property
     def keys(self) -> int:
-        """Keys remembered."""
+        """The number of keys in all tables."""
         return sum(home.table.keys for home in self._homes.values())
 
     def own(self, partitions: Iterable[PartitionId]) -> HomeChange:
-        """Follow a change of ownership.
+        """Set the owned partitions and return the tables to send and to await.
 
-        Requests to the awaited partitions wait until ``adopt`` or ``go_on_without``.
+        Requests to an awaited partition wait until ``adopt_table`` or ``proceed_without_table`` is
+        called for it.
         """
         acquired = {one: self._ownership.ownership_of(one) for one in partitions}
         owned = {one: ownership for one, ownership in acquired.items() if ownership is not None}
@@ -127,20 +132,21 @@
         return HomeChange(lost, tuple(one for one in added if not self._homes[one].ready.is_set()))
 
     def hand_out(self, partition: PartitionId) -> KeyTable | None:
-        """The table of a partition that was owned here until lately."""
+        """Return the table of a partition that recently moved away, or None if it isn't kept."""
         moved = self._moved.get(partition)
         return moved[1].table.handed_over() if moved is not None else None
 
     async def wait_settled(self, partition: PartitionId) -> None:
-        """Wait until nothing runs any more of a partition that was owned here until lately."""
+        """Wait until no request of a partition that recently moved away is running."""
         moved = self._moved.get(partition)
         while moved is not None and moved[1].running:
             await next(iter(moved[1].running.values())).ended.wait()
 
     def adopt(self, partition: PartitionId, since: Epoch, table: KeyTable | None) -> bool:
-        """Go on with the last home's table, or without one if it is None; unless too late.
+        """Merge the previous home's table and serve the partition; None means there is no table.
 
-        Returns False when the partition is not owned here since that epoch.
+        Has no effect if the table is no longer awaited. Returns False if this entry has not owned
+        the partition since the epoch ``since``.
         """
         home = self._homes.get(partition)
         if home is None or home.since != since:
@@ -152,7 +158,10 @@
         return True
 
     def go_on_without(self, partition: PartitionId) -> bool:
-        """Nothing came from the last home, so its keys may have run; whether that was news."""
+        """Serve the partition although no table arrived; earlier keys count as may have run.
+
+        Returns whether the table was still awaited.
+        """
         home = self._homes.get(partition)
         if home is None or home.ready.is_set():
             return False
@@ -160,7 +169,7 @@
         return True
 
     async def wait_ready(self, partition: PartitionId) -> None:
-        """Wait until the partition's table is settled."""
+        """Wait until the partition's table has arrived or is no longer awaited."""
         home = self._homes.get(partition)
         if home is not None:
             await home.ready.wait()
@@ -172,7 +181,7 @@
         body: RequestBody,
         sink: AnswerSink,
     ) -> None:
-        """Run the request, or give it the answer of the first one with its key.
+        """Run the request, or answer it like the first request with its key.
 
         Raises RequestError, HttpError.
         """
@@ -216,8 +225,8 @@
                 await home.ready.wait()
 
     def _home(self, partition: PartitionId, request: ServiceRequest) -> _Home:
-        # The right is checked in the same step as the table. A home that lost it without noticing
-        # could otherwise run a key that its successor has already run.
+        # The right is checked without an await between this check and the use of the table. A home
+        # that lost the right unnoticed could otherwise run a key that its successor has run.
         home = self._homes.get(partition)
         known = home is not None and (request.key_is_new or home.ready.is_set())
         if home is None or not known or not self._ownership.may_dispatch(partition):
@@ -225,8 +234,8 @@
         return home
 
     def _home_table(self, partition: PartitionId) -> HomeTable | None:
-        # A table that is still awaited would make a copy that lacks the last home's keys, and count
-        # as whole when this home is lost in its turn.
+        # While a table is awaited, a copy would lack the previous home's keys, and it would be
+        # treated as complete if this home was lost too.
         home = self._homes.get(partition)
         if home is None or not home.ready.is_set():
             return None
--- a/fireflyfork/programs/_key_tables.py
+++ b/fireflyfork/programs/_key_tables.py
@@ -1,7 +1,7 @@
-"""Hands the table of idempotency keys from a partition's last owner to its next.
+"""Transfers the table of idempotency keys from a partition's previous owner to the next owner.
 
-The last owner sends it: it is the one that knows for sure when it has stopped, while the next may
-have missed the records in between and not know whom to ask.
+The previous owner sends the table, because it determines when it has stopped. The next owner may
+have missed the records in between and could not determine which member to ask.
 """
 
 from __future__ import annotations
@@ -23,31 +23,31 @@
 KEY_TABLE = "key-table"
 
 WAIT_SECONDS = 3.0
-"""A table that comes later is not waited for: its partition goes on as after a lost home."""
+"""How long a new owner waits for a table; then the partition is treated as after a lost home."""
 
 SETTLE_SECONDS = 0.25
-"""So long the last owner waits for requests under way, whose outcome the table then tells."""
+"""How long the previous owner waits for running requests, so that the table has their outcomes."""
 
 SEND_ATTEMPTS = 8
 SEND_PAUSE_SECONDS = 0.25
 
 KEPT_SECONDS = 10.0
-"""How long an early table waits for the record that makes this member the owner."""
+"""How long a table is kept that arrives before the record that makes this member the owner."""
 
 
 @dataclass(frozen=True, slots=True)
 class HandedTable:
-    """The table of one partition."""
+    """A message with the key table of one partition, sent to its new owner."""
 
     partition: PartitionId
     since: Epoch
     """The epoch in which the receiver acquired the partition."""
     table: KeyTable | None
-    """None when the sender knows nothing reliable: the partition goes on as after a lost home."""
+    """None if the sender has no valid table; the partition is treated as after a lost home."""
 
 
 class KeyTables(ControlHandler):
-    """Sends the tables of partitions that have moved away, and takes those that come."""
+    """Sends key tables of partitions that have moved away, and receives those of acquired ones."""
 
     def __init__(self, ownership: OwnershipView, peers: Peers, home: KeyHome) -> None:
         """Call ``attach`` before the first change of ownership."""
@@ -60,11 +60,11 @@
         self._nursery: trio.Nursery | None = None
 
     def attach(self, nursery: trio.Nursery) -> None:
-        """Send and wait in ``nursery``."""
+        """Run transfers and timeouts in ``nursery``."""
         self._nursery = nursery
 
     def follow(self) -> None:
-        """Follow a change of ownership."""
+        """Apply a change of ownership: send the tables of lost partitions, await the others."""
         change = self._home.own(self._ownership.owned_partitions())
         for partition in change.lost:
             self._hand_over(partition)
@@ -72,7 +72,7 @@
             self._await(partition)
 
     async def wait_sent(self) -> None:
-        """Wait until no table is on its way out."""
+        """Wait until no transfer to another member is in progress."""
         while self._sending:
             await self._sent.wait()
 
@@ -82,7 +82,7 @@
         return None
 
     def send_lost(self, lost: tuple[LostTable, ...]) -> None:
-        """Tell new owners what this member, as the guard, knows of a lost home's keys."""
+        """Send the copies that this member held as the guard of a lost home to the new owners."""
         for one in lost:
             handed = HandedTable(one.partition, one.since, one.table)
             if one.owner == self._ownership.own:
@@ -114,7 +114,7 @@
         with trio.move_on_after(WAIT_SECONDS):
             await self._home.wait_ready(partition)
         if self._home.go_on_without(partition):
-            logger.warning("no key table came", partition=partition)
+            logger.warning("no key table received", partition=partition)
 
     async def _send(self, partition: PartitionId, since: Epoch, owner: MemberId) -> None:
         try:
@@ -136,5 +136,5 @@
                 stream.send(control)
                 return
             except PeerError as error:
-                logger.info("key table not sent yet", peer=owner, error=str(error))
+                logger.info("key table not sent, retrying", peer=owner, error=str(error))
                 await trio.sleep(SEND_PAUSE_SECONDS)
--- a/fireflyfork/programs/_keyed_requests.py
+++ b/fireflyfork/programs/_keyed_requests.py
@@ -1,7 +1,8 @@
-"""Requests that must run at most once, sent through the homes of their idempotency keys.
+"""Routes requests that must run at most once through the homes of their idempotency keys.
 
-A key has a home: the member that owns the partition the key hashes into. All repeats of a key meet
-there, at whichever entry they arrive, so that one process can tell a repeat from a new request.
+The home of a key is the member that owns the partition that the key hashes into. All repeats of a
+key are sent to the home, whichever entry receives them, so that one process can tell a repeat from
+a new request.
 """
 
 from __future__ import annotations
@@ -26,7 +27,10 @@
 from ._sinks import AnswerSink
 
 _MOST_DRAWN = 32
-"""An entry that owns a tenth of its region's partitions misses with one key in thirty."""
+"""At most this many keys are generated to find a key whose home is this entry.
+
+An entry that owns a tenth of its region's partitions finds none for one request in thirty.
+"""
 
 _SEPARATOR = "."
 
@@ -34,7 +38,7 @@
 
 
 class KeyedRequests:
-    """Sends each keyed request through the home of its key."""
+    """Runs each keyed request at the home of its key."""
 
     def __init__(
         self,
@@ -43,16 +47,16 @@
         forwarder: Forwarder,
         configuration: ConfigurationInForce,
     ) -> None:
-        """``configuration`` tells the one in force."""
+        """``configuration`` returns the configuration in force, or None before the first."""
         self._ownership = ownership
         self._home = home
         self._forwarder = forwarder
         self._configuration = configuration
 
     async def run(self, request: ServiceRequest, body: RequestBody, sink: AnswerSink) -> None:
-        """Run a request of a caller through its key's home. Raises RequestError, HttpError.
+        """Run a caller's request at its key's home. Raises RequestError, HttpError.
 
-        Give a request without a key one by ``with_key`` first.
+        The request must have a key; see ``with_key``.
         """
         redirects = Redirects(request.deadline)
         while True:
@@ -66,15 +70,18 @@
     async def run_as_home(
         self, request: ServiceRequest, body: RequestBody, sink: AnswerSink
     ) -> None:
-        """Run a request that a peer forwarded to its key's home. Raises RequestError, HttpError."""
+        """Run a request that a peer forwarded to this entry as the home of its key.
+
+        Raises RequestError, HttpError.
+        """
         assert request.key
         await self._home.run(self.partition(request.key), request, body, sink)
 
     def with_key(self, request: ServiceRequest) -> ServiceRequest:
-        """The request with a new key whose home is here, if one was drawn.
+        """Return the request with a generated key, or unchanged if it has a key.
 
-        That saves the hop to another entry. The key names the region, so that a repeat finds the
-        same home from any region.
+        A key whose home is this entry is preferred, since it saves the hop to another entry. The
+        key contains the region, so that a repeat is sent to the same home from any region.
         """
         if request.key:
             return request
@@ -88,7 +95,7 @@
         return replace(request, key=key, key_is_new=True)
 
     def partition(self, key: IdempotencyKey) -> PartitionId:
-        """The partition whose owner is the key's home."""
+        """Return the partition whose owner is the key's home."""
         count = self._ownership.partitions_per_region
         return partition_of(self._home_region(key), key, count)
 
@@ -113,7 +120,7 @@
 
 
 def _mint(region: RegionName) -> IdempotencyKey:
-    """A key with the region and a UUIDv7, whose first 48 bits are the time in milliseconds."""
+    """Return a new key of the region and a UUIDv7, whose first 48 bits are the Unix time in ms."""
     milliseconds = time.time_ns() // 1_000_000
     random = secrets.randbits(74)
     value = milliseconds << 80 | 0x7 << 76 | (random >> 62) << 64 | 0b10 << 62 | random % (1 << 62)
