--- a/fireflyfork/programs/__init__.py
+++ b/fireflyfork/programs/__init__.py
@@ -1,4 +1,4 @@
-"""The command-line programs: settings, wiring and signals."""
+"""The command-line programs and their wiring: settings, logging, processes and signals."""
 
 from ._batch_client import BatchClient
 from ._batch_messages import JobRequest, JobStatus
--- a/fireflyfork/programs/_configuration_keeper.py
+++ b/fireflyfork/programs/_configuration_keeper.py
@@ -1,8 +1,9 @@
-"""Keeps the configuration in force: watches the store, and passes it on between entries.
+"""Keeps an entry's configuration current: watches the store and exchanges versions with peers.
 
-One entry of each failure domain waits for changes in the store and passes them on to the others
-there. Each question to a guard also says which version the asker holds, so that whoever holds the
-lower one is sent the higher one even while the store is down.
+One entry of each failure domain watches the store and forwards changes to the other entries of the
+domain. Each question to a guard also carries the version that its sender holds, and the side with
+the lower version is sent the higher one. Configurations therefore spread even while the store is
+down.
 """
 
 from __future__ import annotations
@@ -44,14 +45,14 @@
 _PEERS_AT_THE_START = MemberId("peers at the start")
 
 TRUST_PEERS_SECONDS = 5.0
-"""After so long as a member, the guard and the wards have told of the highest version they hold."""
+"""Time as an active member after which guard and wards have sent the highest version they hold."""
 
 
 class ConfigurationKeeper:
-    """The configuration at one entry."""
+    """Follows the configuration for one entry and applies new versions."""
 
     def __init__(self, store: Store, in_force: InForce) -> None:
-        """``in_force`` is called with each configuration that comes into force."""
+        """``apply`` is called with each configuration that comes into force."""
         self._store = store
         self._in_force = in_force
         self._state = begin_register((_PEERS_AT_THE_START,))
@@ -63,7 +64,7 @@
 
     @property
     def version(self) -> ConfigurationVersion:
-        """The version held."""
+        """The highest version held, whether or not it is in force yet."""
         return self._state.version
 
     def attach(
@@ -71,22 +72,25 @@
         channel: GuardChannel,
         membership: Membership,
     ) -> None:
-        """Speak to the members that ``membership`` knows, and let it tell them the version."""
+        """Exchange configurations over ``channel`` with the members that ``membership`` lists.
+
+        The held version is set on ``membership``, which reports it to guard and wards.
+        """
         self._channel = channel
         self._membership = membership
 
     def offered(self, member: MemberId, offer: ConfigurationOffer) -> None:
-        """A peer passed a configuration on."""
+        """Handle a configuration that a peer sent."""
         self._consider(offer, OfferSource.PEER)
 
     def peer_holds(self, member: MemberId, version: ConfigurationVersion) -> None:
-        """A peer told its version; send it ours when that is higher."""
+        """Handle a peer's version: send it the held configuration if that is newer."""
         held = self._state.held
         if held is not None and version < held.version:
             self._pass_on(member, held)
 
     async def run(self, is_watcher: Callable[[], bool]) -> None:
-        """Follow the store until cancelled."""
+        """Follow the store until cancelled; watch it while ``is_watcher`` returns True."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             nursery.start_soon(self._trust_peers_later)
@@ -98,8 +102,9 @@
                     await trio.sleep(RETRY_SECONDS)
 
     async def _trust_peers_later(self) -> None:
-        # A restarted entry that took the first peer's word could serve an older configuration than
-        # before. It waits for the store, or until it has compared versions as a member for a while.
+        # A restarted entry that trusted the first peer could apply an older configuration than it
+        # had before the restart. It therefore waits for the store, or until it has compared
+        # versions with its guard and wards for `TRUST_PEERS_SECONDS`.
         while self._membership is None or self._membership.phase is not MemberPhase.ACTIVE:
             await trio.sleep(RETRY_SECONDS)
         await trio.sleep(TRUST_PEERS_SECONDS)
@@ -107,13 +112,14 @@
         self._put_in_force()
 
     async def _read_first(self) -> None:
-        # Until the store has answered once, what peers offer is held but may be outdated.
+        # Until the store has answered once, the configurations that peers offer may be outdated;
+        # they are held but not applied.
         wait = RETRY_SECONDS
         while not self._state.store_answered:
             try:
                 self._stored(await self._store.read(CONFIGURATION_KEY))
             except (StoreError, SettingsError) as error:
-                logger.info("configuration not read", error=str(error))
+                logger.info("configuration could not be read", error=str(error))
                 await trio.sleep(wait)
                 wait = min(2 * wait, LONGEST_RETRY_SECONDS)
 
@@ -141,11 +147,14 @@
     def _consider(self, offer: ConfigurationOffer, source: OfferSource) -> None:
         self._state, outcome = consider(self._state, offer, source)
         if outcome is OfferOutcome.CONFLICT:
-            logger.error("two changes under one version", version=offer.version)
+            logger.error("two configuration changes have the same version", version=offer.version)
         if outcome is OfferOutcome.OLDER and source is OfferSource.STORE:
-            logger.error("the store was set back", version=offer.version, held=self.version)
+            logger.error(
+                "store returned an older configuration", version=offer.version, held=self.version
+            )
         if self._membership is not None:
-            # A peer that is told too low a version sends the whole configuration in reply.
+            # A peer replies to a version lower than its own with the whole configuration, so the
+            # reported version must be current.
             self._membership.configuration_version = self.version
         self._put_in_force()
 
@@ -156,7 +165,9 @@
         try:
             configuration = decode_contracts(held.value)
         except FireflyforkError as error:
-            logger.error("configuration unreadable", version=held.version, error=str(error))
+            logger.error(
+                "configuration could not be decoded", version=held.version, error=str(error)
+            )
             return
         self._version_in_force = held.version
         logger.info("configuration in force", version=held.version)
@@ -174,4 +185,4 @@
         try:
             await self._channel.offer_configuration(peer, offer)
         except PeerError as error:
-            logger.debug("configuration not passed on", peer=peer.member_id, error=str(error))
+            logger.debug("configuration not sent to peer", peer=peer.member_id, error=str(error))
--- a/fireflyfork/programs/_control_handler.py
+++ b/fireflyfork/programs/_control_handler.py
@@ -1,4 +1,4 @@
-"""Takes the control messages of peers."""
+"""Handlers for control messages from peers."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 class ControlHandler(ABC):
-    """Takes the messages of one topic."""
+    """Handles the control messages of one topic."""
 
     @abstractmethod
     def handle(self, member: MemberId, content: bytes) -> Control | None:
-        """Take a message, and return the reply if there is one. Raises PeerError."""
+        """Handle a message and return the reply, or None for no reply. Raises PeerError."""
 
 
 class TypedHandler(ControlHandler, Generic[Content]):
-    """Passes the decoded content of one topic on, and sends what comes back as the reply."""
+    """Decodes the messages of one topic for a callback and sends its result as the reply."""
 
     def __init__(
         self,
@@ -29,7 +29,10 @@
         take: Callable[[MemberId, Content], object | None],
         reply_topic: str = "",
     ) -> None:
-        """``take`` gets the sender and the content."""
+        """``callback`` is called with the sender and the decoded content.
+
+        A result other than None is sent back as a message of ``reply_topic``.
+        """
         self._content_type = content_type
         self._take = take
         self._reply_topic = reply_topic
--- a/fireflyfork/programs/_entry.py
+++ b/fireflyfork/programs/_entry.py
@@ -1,4 +1,4 @@
-"""One entry, wired: callers and peers on one side, targets and peers on the other."""
+"""Wires one entry: serves callers and peers, and sends their requests to targets and peers."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 from ._target_groups import TargetGroups
 
 START_SECONDS = 5.0
-"""For so long a starting entry waits for members of all regions."""
+"""How long a starting entry waits for owners of partitions in every region to become known."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,7 +45,7 @@
 
 
 class Entry:
-    """An entry without its settings, its membership and its clients of the platform."""
+    """An entry, without its settings, its membership and its clients of the platform."""
 
     def __init__(
         self,
@@ -55,9 +55,9 @@
         random: Random,
         trace_share: float = 1.0,
     ) -> None:
-        """``random`` draws the members that routing compares.
+        """``random`` selects the members that routing compares.
 
-        ``trace_share`` of the requests are traced whose callers leave it open.
+        ``trace_share`` is the share of the requests without a trace context that are traced.
         """
         self._ownership = ownership
         self._configuration: Configuration | None = None
@@ -102,23 +102,23 @@
 
     @property
     def configuration(self) -> Configuration | None:
-        """The configuration in force here."""
+        """The configuration in force, or None before the first."""
         return self._configuration
 
     @property
     def targets(self) -> TargetGroups:
-        """The targets owned here."""
+        """The targets that this entry owns."""
         return self._targets
 
     def configure(self, configuration: Configuration) -> None:
-        """Put a configuration in force."""
+        """Apply a new configuration."""
         self._configuration = configuration
         region = self._ownership.region_of(self._ownership.own)
         self._flow.set_links(dict(_link_budgets(configuration, region)))
         self.refresh()
 
     def refresh(self) -> None:
-        """Follow a change of ownership."""
+        """Apply a change of ownership."""
         if self._configuration is not None:
             self._configured_at = min(self._configured_at, trio.current_time())
             self._targets.refresh(self._configuration)
@@ -129,13 +129,13 @@
         self.peers.keep_open(members)
 
     def follow_fleet(self, record: FleetRecord) -> None:
-        """Follow a change of the fleet record."""
+        """Apply a change of the fleet record."""
         lost = self._copy_holder.follow(record)
         self.refresh()
         self._key_tables.send_lost(lost)
 
     def note_instances(self, changes: Iterable[InstanceChange]) -> None:
-        """Follow the platform's list of instances."""
+        """Apply changes of the platform's instance list: stop using targets that leave."""
         leaving = self._targets.leaving
         changes = tuple(changes)
         going = [c.target_id for c in changes if c.state is not InstanceState.LIVE]
@@ -144,11 +144,11 @@
     def occupied(
         self, partitions: tuple[PartitionId, ...]
     ) -> dict[PartitionId, tuple[OccupiedSlots, ...]]:
-        """What may still be busy at the targets of these partitions, for their next owner."""
+        """Return the slots in ``partitions`` that may still be busy, for their next owners."""
         return self._targets.occupied(frozenset(partitions))
 
     async def run(self, listeners: EntryListeners) -> None:
-        """Serve until ``stop`` has ended everything in flight."""
+        """Serve until cancelled. Call ``stop_callers`` first for a graceful stop."""
         async with trio.open_nursery() as nursery:
             self._attempts.attach(nursery)
             self._releases.attach(nursery, self._targets.inherited_released)
@@ -162,7 +162,11 @@
             await trio.sleep_forever()
 
     async def stop_callers(self, notice_seconds: float) -> None:
-        """Ask the balancer to send callers elsewhere, then end after those in flight."""
+        """Report not ready for ``notice_seconds``, then accept no more and end open requests.
+
+        The notice lets the balancer send callers to other entries first. Returns when all requests
+        in flight have been answered.
+        """
         self._stopping = "stopping"
         self._callers.announce_stop()
         await trio.sleep(notice_seconds)
@@ -170,12 +174,12 @@
         await self._callers.wait_ended()
 
     async def wait_for_calls(self) -> None:
-        """Wait until no forwarded request is in flight here, and all tables are handed over."""
+        """Wait until all forwarded requests are served and all key tables are handed over."""
         await self.peer_service.wait_idle()
         await self._key_tables.wait_sent()
 
     def status(self) -> EntryStatus:
-        """What operators are shown."""
+        """Return the answer of ``/status``."""
         configuration = self._configuration
         return EntryStatus(
             member=self._ownership.own,
@@ -203,9 +207,10 @@
         known = {region_of(partition) for partition in self._ownership.owners()}
         if self._ownership.region_of(self._ownership.own) not in known:
             return "no owners known in the own region"
-        # Callers' keys may have their homes in any region. An entry that called itself ready before
-        # it knew these homes would refuse its first callers. A region that is lost as a whole must
-        # not keep the others from being ready, so this is only waited for at the start.
+        # A caller's key may have its home in any region. An entry that reported ready before it had
+        # these homes in its record would refuse its first callers. The loss of a whole region must
+        # not make the other regions unready, so this applies only to the first
+        # `REGION_WAIT_SECONDS`.
         missing = [one.name for one in self._configuration.regions if one.name not in known]
         if missing and trio.current_time() - self._configured_at < START_SECONDS:
             return f"no owners known in {', '.join(missing)}"
--- a/fireflyfork/programs/_entry_messages.py
+++ b/fireflyfork/programs/_entry_messages.py
@@ -1,4 +1,4 @@
-"""What an entry answers to callers and operators, as JSON."""
+"""JSON bodies of an entry's answers to callers and operators."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 @dataclass(frozen=True, slots=True)
 class RefusedAnswer:
-    """The body of an answer that no executor gave."""
+    """The body of an answer that the entry gives itself because no executor answered."""
 
     error: str
-    """Why, in a sentence."""
+    """The reason, in a sentence."""
     verdict: Verdict
     """Whether the request may have run."""
     retry_after_seconds: float | None
-    """When to come back; None when that would change nothing."""
+    """The wait before a repeat; None if a repeat would fail in the same way."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceStatus:
-    """One service at one entry."""
+    """The state of one service at one entry."""
 
     own_targets: tuple[TargetId, ...] = ()
     """The targets that this entry owns."""
     free_slots: int = 0
     queued: int = 0
-    """Requests that wait for a slot."""
+    """The number of requests that wait for a slot."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,11 +37,11 @@
 
     member: MemberId
     configuration_version: ConfigurationVersion
-    """Of the configuration in force; 0 for none."""
+    """The version of the configuration in force; 0 for none."""
     region: RegionName | None = None
     draining: bool = False
     in_flight: int = 0
-    """Connections of callers and forwarded requests."""
+    """The number of callers' connections plus the number of forwarded requests served here."""
     other_members: tuple[MemberId, ...] = ()
     services: dict[ServiceName, ServiceStatus] = field(default_factory=dict)
 
@@ -52,11 +52,11 @@
 
     ready: bool
     reason: str
-    """Why callers should go elsewhere; empty when ready."""
+    """Why callers should use other entries; empty when ready."""
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorError:
-    """The body of an answer to a call that can't be served."""
+    """The body of an answer that refuses an operator's call."""
 
     error: str
--- a/fireflyfork/programs/_entry_settings.py
+++ b/fireflyfork/programs/_entry_settings.py
@@ -13,32 +13,32 @@
 
 @dataclass(frozen=True, slots=True)
 class EntrySettings:
-    """What one entry process needs to know."""
+    """The settings of one entry process."""
 
     name: str
-    """The instance's name; the member id adds what makes this run of the process unique."""
+    """The instance's name; a random suffix makes it a member id, unique for each process run."""
     region: RegionName
     failure_domain: FailureDomainName
     caller_address: str
-    """IP number and port where callers are served."""
+    """IP address and port where callers are served."""
     peer_address: str
-    """IP number and port where peers reach this entry."""
+    """IP address and port where peers reach this entry."""
     operator_address: str
-    """IP number and port of health, readiness, status and metrics."""
+    """IP address and port of health, readiness, status and metrics."""
     store_address: str
-    """IP number and port of the platform's store."""
+    """IP address and port of the platform's store."""
     instance_list_address: str
-    """IP number and port of the platform's instance list."""
+    """IP address and port of the platform's instance list."""
     peer_key: str
-    """The secret that proves an entry to its peers; the same for all."""
+    """The secret that authenticates an entry to its peers; the same for all entries."""
     log_level: str = "INFO"
     trace_share: float = 1.0
-    """The share of requests whose spans are written, when callers don't decide it."""
+    """The share of the requests without a trace context whose spans are written."""
     drain_notice_seconds: float = 2.0
-    """After SIGTERM: how long the entry says that it isn't ready before it takes no more."""
+    """After SIGTERM: how long the entry reports not ready before it stops accepting requests."""
 
     def check(self) -> None:
-        """Check what the types don't. Raises SettingsError."""
+        """Check the rules that the types don't express. Raises SettingsError."""
         for field in (
             "caller_address",
             "peer_address",
--- a/fireflyfork/programs/_guard_channel.py
+++ b/fireflyfork/programs/_guard_channel.py
@@ -1,4 +1,4 @@
-"""What members say to each other about membership and configuration, and how they send it."""
+"""The messages that members exchange about membership and configuration, and their channel."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 @dataclass(frozen=True, slots=True)
 class GuardQuestion:
-    """A member asks its guard, and says what it knows of."""
+    """A member's question to its guard, with the revision and the version that it holds."""
 
     asker: MemberId
     nonce: int
-    """Comes back in the reply, so that a late reply is not taken for that to a later question."""
+    """Returned in the reply, so that a late reply is not matched with a later question."""
     revision: Revision
-    """Of the asker's fleet record."""
+    """The store revision of the asker's fleet record."""
     configuration_version: ConfigurationVersion
 
 
 @dataclass(frozen=True, slots=True)
 class GuardReply:
-    """The guard's reply."""
+    """The guard's reply to a question, with the revision and the version that it holds."""
 
     nonce: int
     answer: GuardAnswer
@@ -33,24 +33,27 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetOffer:
-    """A fleet record passed on."""
+    """A fleet record that a member sends to another."""
 
     record: bytes
-    """As stored."""
+    """The record, encoded as in the store."""
     revision: Revision
 
 
 class GuardChannel(ABC):
-    """Sends to a peer. All raise PeerError when it can't be reached; each gives up in time itself."""
+    """Sends membership and configuration messages to peers.
+
+    All methods raise PeerError if the peer can't be reached, and have timeouts of their own.
+    """
 
     @abstractmethod
     async def ask(self, peer: Member, question: GuardQuestion) -> GuardReply:
-        """Ask a guard."""
+        """Send a question to a guard and return its reply."""
 
     @abstractmethod
     async def offer_fleet(self, peer: Member, offer: FleetOffer) -> None:
-        """Pass the fleet record on."""
+        """Send the fleet record to a peer."""
 
     @abstractmethod
     async def offer_configuration(self, peer: Member, offer: ConfigurationOffer) -> None:
-        """Pass the configuration on."""
+        """Send the configuration to a peer."""
--- a/fireflyfork/programs/_guard_messages.py
+++ b/fireflyfork/programs/_guard_messages.py
@@ -1,4 +1,4 @@
-"""The membership protocol on peer streams."""
+"""Carries the membership protocol over peer streams."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 from ._membership import Membership
 
 ASK_SECONDS = 0.5
-"""A question that takes longer proves too little to be worth waiting for."""
+"""How long a member waits for the reply to a question.
+
+The right is counted from when the question was sent, so a later reply would extend it too little.
+"""
 
 QUESTION = "guard-question"
 REPLY = "guard-reply"
@@ -24,17 +27,17 @@
 
 
 class PeerGuardChannel(GuardChannel, ControlHandler):
-    """Sends the protocol's messages, and takes the replies to questions."""
+    """Sends the protocol's messages and matches replies with questions."""
 
     def __init__(self, peers: Peers) -> None:
-        """Call ``attach`` before use, and subscribe it to ``REPLY``."""
+        """Call ``attach`` before use, and subscribe the channel to the topic ``REPLY``."""
         self._peers = peers
         self._keeper: ConfigurationKeeper | None = None
         self._waiting: dict[tuple[MemberId, int], trio.Event] = {}
         self._replies: dict[tuple[MemberId, int], GuardReply] = {}
 
     def attach(self, keeper: ConfigurationKeeper) -> None:
-        """Compare the configuration versions of guards with that of ``keeper``."""
+        """Pass the configuration versions in guards' replies to ``keeper``."""
         self._keeper = keeper
 
     async def ask(self, peer: Member, question: GuardQuestion) -> GuardReply:
@@ -60,7 +63,7 @@
         await self._send(peer, CONFIGURATION, offer)
 
     def handle(self, member: MemberId, content: bytes) -> Control | None:
-        """Take a reply; one that nobody waits for any more is dropped."""
+        """Handle a reply. A reply whose question has timed out is dropped."""
         reply = decode_content(content, GuardReply)
         key = (member, reply.nonce)
         if key in self._waiting:
@@ -78,11 +81,11 @@
 def membership_handlers(
     channel: PeerGuardChannel, membership: Membership, keeper: ConfigurationKeeper
 ) -> dict[str, ControlHandler]:
-    """What to subscribe, by topic, so that a process takes part in the protocol."""
+    """Return the handlers, by topic, that a process subscribes to take part in the protocol."""
 
     def asked(member: MemberId, question: GuardQuestion) -> GuardReply | None:
         if question.asker != member:
-            logger.warning("question in another member's name", member=member)
+            logger.warning("guard question with a wrong sender", member=member)
             return None
         keeper.peer_holds(member, question.configuration_version)
         return membership.asked(question)
@@ -91,7 +94,9 @@
         try:
             membership.offered(offer)
         except FireflyforkError as error:
-            logger.warning("bad fleet record", member=member, error=str(error))
+            logger.warning(
+                "fleet record from peer could not be decoded", member=member, error=str(error)
+            )
 
     return {
         REPLY: channel,
--- a/fireflyfork/programs/_membership.py
+++ b/fireflyfork/programs/_membership.py
@@ -1,4 +1,4 @@
-"""Drives the membership decisions against the store and the peers."""
+"""Runs the membership state machine against the store and the peers."""
 
 from __future__ import annotations
 
@@ -52,38 +52,39 @@
 Occupied = Mapping[PartitionId, tuple[OccupiedSlots, ...]]
 
 _STABLE_SECONDS = 120.0
-"""A fence later than this after joining is not taken for a repetition of the last."""
+"""A fence this long after joining is not counted as a repetition of the previous fence."""
 _LONGEST_REJOIN_SECONDS = 63.0
 
 
 def boot_time() -> float:
-    """Seconds that go on while the machine is suspended, unlike the monotonic clock's.
+    """Return the time since boot in seconds, including the time that the machine was suspended.
 
-    With that clock a suspended member would wake with a right that has long been taken over.
+    By the monotonic clock, which stops during suspension, a resumed member would still hold a right
+    that another member has taken over.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """How a member takes part."""
+    """Settings of a process's membership."""
 
     timing: MembershipTiming = field(default_factory=MembershipTiming)
     key: str = FLEET_KEY
-    """The store key of the record, one for each kind of process."""
+    """The store key of the fleet record; each kind of process has a record of its own."""
     partitions_per_region: int = 32
-    """Counts only for the first member of an empty record."""
+    """Used only by the first member, which creates the record."""
     tick_seconds: float = 0.2
     store_timeout_seconds: float = 1.0
-    """After this a call to the store counts as unanswered."""
+    """The time after which a call to the store counts as unanswered."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """What a member knows, for those that follow changes."""
+    """A member's view of the fleet at one time, passed to those that follow changes."""
 
     member_id: MemberId
-    """This process's present one. It changes when the process had to join anew."""
+    """This process's current member id; it changes when the process rejoins after a fence."""
     phase: MemberPhase
     record: FleetRecord
     revision: Revision
@@ -92,9 +93,10 @@
 class Membership:
     """One process's membership of the fleet.
 
-    ``occupied`` tells, without waiting, what may still be busy in partitions that are handed over;
-    dispatch for them has stopped by then. ``changed`` is called after each change and before
-    anything else runs, so that a new owner can count busy slots before its first dispatch.
+    ``occupied`` returns, without blocking, the slots that may still be busy in partitions that are
+    handed over; it is called after dispatch for them has stopped. ``changed`` is called
+    synchronously after each change, so that a new owner can count busy slots before its first
+    dispatch.
     """
 
     def __init__(
@@ -108,7 +110,7 @@
         settings: MembershipSettings | None = None,
         clock: Callable[[], float] = boot_time,
     ) -> None:
-        """``me`` carries the first member id; ``new_member_id`` gives the later ones."""
+        """``me`` has the first member id; ``new_member_id`` creates the id for each rejoin."""
         self._settings = settings or MembershipSettings()
         self._stored = StoredRecord(store, self._settings.key, self._settings.store_timeout_seconds)
         self._channel = channel
@@ -128,32 +130,32 @@
 
     @property
     def member_id(self) -> MemberId:
-        """This process's present member id."""
+        """This process's current member id."""
         return self._state.me.member_id
 
     @property
     def phase(self) -> MemberPhase:
-        """Where this member stands."""
+        """The phase of this member, from joining to leaving or being fenced."""
         return self._state.phase
 
     @property
     def record(self) -> FleetRecord:
-        """The newest record known."""
+        """The latest fleet record received."""
         return self._state.record
 
     @property
     def revision(self) -> Revision:
-        """The store's revision of that record."""
+        """The store's revision of the latest fleet record."""
         return self._state.revision
 
     @property
     def owned_partitions(self) -> tuple[PartitionId, ...]:
-        """The partitions that the record gives to this member."""
+        """The partitions that the record assigns to this member."""
         return self._state.record.owned_by(self.member_id)
 
     @property
     def holds_right(self) -> bool:
-        """Whether this member may dispatch for what it owns, now."""
+        """Whether this member may dispatch for its partitions now."""
         return holds_right(self._state, self._clock())
 
     @property
@@ -163,13 +165,13 @@
 
     @property
     def zone_mates(self) -> tuple[Member, ...]:
-        """The other members of the failure domain, to whom a watcher passes news on."""
+        """The other members of the failure domain, to which a watcher forwards changes."""
         members = self._state.record.members
         return tuple(members[name] for name in zone_mates(self._state))
 
     @property
     def configuration_version(self) -> ConfigurationVersion:
-        """The version told to the guard and to wards."""
+        """The configuration version that is reported to the guard and to wards."""
         return self._configuration_version
 
     @configuration_version.setter
@@ -177,17 +179,20 @@
         self._configuration_version = version
 
     def may_dispatch(self, partition: PartitionId) -> bool:
-        """Whether to dispatch for a partition now. Ask right before, and anew after any await."""
+        """Whether this member may dispatch for a partition now.
+
+        Call it right before each dispatch, and again after any await.
+        """
         return may_dispatch(self._state, partition, self._clock())
 
     def owner_of(self, partition: PartitionId) -> Member | None:
-        """The member that owns a partition; None when nobody does or the owner is fenced."""
+        """Return the member that owns a partition, or None if no member or a fenced one does."""
         record = self._state.record
         owner = record.owner_of(partition)
         return record.members.get(owner) if owner is not None else None
 
     async def changes(self) -> AsyncIterator[FleetView]:
-        """The present view, then each newer one; views in between may be left out."""
+        """Yield the current view, then newer views; intermediate views may be skipped."""
         seen: FleetView | None = None
         while True:
             view = self._view()
@@ -197,10 +202,8 @@
             else:
                 await self._change_event.wait()
 
-    # What peers say
-
     def asked(self, question: GuardQuestion) -> GuardReply:
-        """Answer a peer that takes this process for its guard, or compares what both know."""
+        """Answer a peer's guard question, and compare fleet records with the peer."""
         asked = GuardAsked(question.asker, question.nonce, question.revision)
         answers = [one for one in self._feed(asked) if isinstance(one, AnswerAsker)]
         return GuardReply(
@@ -211,18 +214,19 @@
         )
 
     def offered(self, offer: FleetOffer) -> None:
-        """Take in a record that a peer passed on. Raises SettingsError when it is unreadable."""
+        """Apply a peer's fleet record if it is newer. Raises SettingsError if it can't be decoded."""
         if offer.revision > self._state.revision:
             self._feed(RecordHeard(decode_fleet(offer.record), offer.revision))
 
     def declare_gone(self, member_id: MemberId) -> None:
-        """A member's instance is terminated for good, on the word of an operator or of the list."""
-        self._feed(MemberGone(member_id))
+        """Report that a member's instance is terminated permanently.
 
-    # Running
+        The report comes from an operator or from the instance list.
+        """
+        self._feed(MemberGone(member_id))
 
     async def run(self) -> None:
-        """Take part until cancelled. Call ``leave`` first when the stop is planned."""
+        """Take part in the fleet until cancelled. Call ``leave`` first for a planned stop."""
         try:
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
@@ -232,7 +236,10 @@
             self._nursery = None
 
     async def leave(self, seconds: float) -> bool:
-        """Hand everything over. False when that was not possible in time; dispatch goes on then."""
+        """Hand over all partitions and return whether that succeeded within ``seconds``.
+
+        If it did not, this member may go on dispatching.
+        """
         self._leaving = True
         self._feed(LeaveRequested())
         with trio.move_on_after(seconds):
@@ -261,7 +268,7 @@
             anew,
             record=before.record,
             revision=before.revision,
-            # A reply to the old id's question must not be taken for one to the new id's.
+            # A reply to a question of the old id must not match a question of the new id.
             next_nonce=before.next_nonce,
         )
         self._rejoin_at = None
@@ -269,10 +276,11 @@
         self._announce()
 
     def _rejoin_delay(self, now: float) -> float:
-        """None at first, then longer with each fence that soon follows the last.
+        """Return the seconds to wait before rejoining: 0 at first, then exponential backoff.
 
-        A member that reaches the store but not its peers is fenced again and again. Each time its
-        partitions change owners twice, and their callers meet refusals.
+        The backoff grows with each fence within ``_STABLE_SECONDS`` of joining. A member that
+        reaches the store but not its peers is fenced repeatedly. Each time its partitions change
+        owners twice, and callers of these partitions are refused.
         """
         soon = now - self._joined_at < _STABLE_SECONDS
         self._soon_fenced = self._soon_fenced + 1 if soon else 0
@@ -283,7 +291,7 @@
         return begin_membership(me, settings.timing, settings.partitions_per_region)
 
     async def _keep_watching(self) -> None:
-        """One member of each failure domain waits for changes in the store, for all of them."""
+        """Watch the store while this member is the watcher of its failure domain."""
         while True:
             if not self.is_watcher:
                 await self._change_event.wait()
@@ -291,11 +299,11 @@
             try:
                 await self._watch_once()
             except (StoreError, SettingsError) as error:
-                logger.debug("watch failed", error=str(error))
+                logger.debug("fleet record watch failed", error=str(error))
                 await trio.sleep(self._watch_retry_seconds())
 
     def _watch_retry_seconds(self) -> float:
-        """Differently long for each member, so that not all call when the store returns."""
+        """Return the retry interval with jitter, so that members don't all call at the same time."""
         return self._settings.timing.longest_store_retry_seconds * self._random.uniform(0.5, 1.0)
 
     async def _watch_once(self) -> None:
@@ -307,8 +315,6 @@
         for mate in self.zone_mates:
             self._start(partial(self._offer, mate, offer))
 
-    # Commands
-
     def _feed(self, event: Event) -> tuple[Command, ...]:
         before = self._view()
         self._state, commands = step(self._state, event, self._clock())
@@ -343,7 +349,8 @@
                 pass
 
     def _start(self, task: Callable[[], Awaitable[None]]) -> None:
-        # A peer may ask just before the start or after the end; what that brings up can wait.
+        # A peer's question may arrive before `run` has started or after it has ended. The commands
+        # that result from it can be dropped.
         if self._nursery is not None:
             self._nursery.start_soon(task)
 
@@ -355,7 +362,7 @@
                 self._start(partial(self._offer, peer, offer))
 
     def _peer(self, name: MemberId) -> Member | None:
-        """A member, or a fenced one, which wants to know of its fence."""
+        """Return a current member or a fenced one, which must learn that it is fenced."""
         record = self._state.record
         fenced = record.fenced.get(name)
         return fenced.member if fenced is not None else record.members.get(name)
@@ -364,7 +371,7 @@
         try:
             await self._channel.offer_fleet(peer, offer)
         except PeerError as error:
-            logger.debug("record not passed on", peer=peer.member_id, error=str(error))
+            logger.debug("fleet record not sent to peer", peer=peer.member_id, error=str(error))
 
     async def _ask(self, command: AskGuard) -> None:
         peer = self._state.record.members.get(command.peer)
@@ -377,7 +384,7 @@
         try:
             reply = await self._channel.ask(peer, question)
         except PeerError as error:
-            logger.debug("peer not reached", peer=peer.member_id, error=str(error))
+            logger.debug("no reply to guard question", peer=peer.member_id, error=str(error))
             return
         if asker == self.member_id:
             self._feed(GuardAnswered(reply.nonce, reply.answer, reply.revision))
--- a/fireflyfork/programs/_membership_view.py
+++ b/fireflyfork/programs/_membership_view.py
@@ -1,4 +1,4 @@
-"""The ownership view of a running membership."""
+"""Adapts a running membership to the ownership view of the request path."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class MembershipView(OwnershipView):
-    """What the request path sees of the membership."""
+    """An ownership view that is backed by a membership."""
 
     def __init__(self, zone: Zone) -> None:
-        """``zone`` is this process's own; call ``attach`` before use."""
+        """``zone`` is the zone of this process. Call ``attach`` before use."""
         self._zone = zone
         self._membership: Membership | None = None
 
     def attach(self, membership: Membership) -> None:
-        """Give it the membership."""
+        """Set the membership that backs the view."""
         self._membership = membership
 
     @property
--- a/fireflyfork/programs/_operator_service.py
+++ b/fireflyfork/programs/_operator_service.py
@@ -1,4 +1,4 @@
-"""Health, readiness, status, metrics and draining, for the balancer and for operators."""
+"""HTTP service for the balancer and for operators: health, readiness, status, metrics, draining."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
         status: StatusOf,
         drain: Callable[[], None],
     ) -> None:
-        """``ready`` returns an empty string, or the reason why callers should go elsewhere.
+        """``ready`` returns an empty string, or the reason why callers should use other entries.
 
-        ``drain`` begins the same graceful stop as SIGTERM.
+        ``drain`` starts the same graceful stop as SIGTERM.
         """
         self._metrics = metrics
         self._ready = ready
@@ -31,7 +31,7 @@
         self._drain = drain
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one call."""
+        """Answer one request of the balancer or an operator."""
         if exchange.head.target == "/drain":
             await self._handle_drain(exchange)
             return
--- a/fireflyfork/programs/_ownership.py
+++ b/fireflyfork/programs/_ownership.py
@@ -1,4 +1,4 @@
-"""Who owns what, as the request path sees it."""
+"""The request path's interface to partition ownership."""
 
 from __future__ import annotations
 
@@ -12,60 +12,63 @@
 
 @dataclass(frozen=True, slots=True)
 class Guard:
-    """The member that guards this one."""
+    """The guard of this member."""
 
     member_id: MemberId
     since: Epoch
-    """The epoch in which it was chosen."""
+    """The epoch in which the guard was chosen."""
 
 
 class OwnershipView(ABC):
-    """The fleet record, and this member's right to act on it."""
+    """Read access to the fleet record and to this member's right to act as an owner."""
 
     @property
     @abstractmethod
     def own(self) -> MemberId:
-        """This member."""
+        """The id of this member."""
 
     @property
     @abstractmethod
     def partitions_per_region(self) -> int:
-        """Into how many partitions each region's targets and keys are hashed."""
+        """The number of partitions into which the targets and keys of a region are hashed."""
 
     @abstractmethod
     def ownership_of(self, partition: PartitionId) -> Ownership | None:
-        """Who owns the partition by the latest record known here, and how that came about."""
+        """Return the partition's owner and how it was acquired, by the latest record known here."""
 
     @abstractmethod
     def may_dispatch(self, partition: PartitionId) -> bool:
-        """Whether this member may act as its owner now. Ask right before each dispatch."""
+        """Whether this member may act as the partition's owner now.
+
+        Call it right before each dispatch.
+        """
 
     @abstractmethod
     def region_of(self, member: MemberId) -> RegionName | None:
-        """The region of a member, or None when it is unknown."""
+        """Return the region of a member, or None if the member is unknown."""
 
     @abstractmethod
     def address_of(self, member: MemberId) -> Address | None:
-        """Where peers reach a member, or None when it is unknown."""
+        """Return the address where peers reach a member, or None if the member is unknown."""
 
     @abstractmethod
     def other_members(self) -> tuple[MemberId, ...]:
-        """All members but this one."""
+        """Return the ids of all members except this one."""
 
     @abstractmethod
     def owners(self) -> dict[PartitionId, MemberId]:
-        """The owners of all partitions that have one."""
+        """Return the owner of each partition that has an owner."""
 
     def owned_partitions(self) -> tuple[PartitionId, ...]:
-        """The partitions that this member owns."""
+        """Return the partitions that this member owns."""
         own = self.own
         return tuple(one for one, owner in self.owners().items() if owner == own)
 
     @abstractmethod
     def guard(self) -> Guard | None:
-        """The guard of this member; None while it is alone."""
+        """Return the guard of this member, or None if it has no guard."""
 
     def owner_of(self, partition: PartitionId) -> MemberId | None:
-        """The owner of the partition, or None when there is none."""
+        """Return the owner of the partition, or None if there is none."""
         ownership = self.ownership_of(partition)
         return ownership.owner if ownership is not None else None
--- a/fireflyfork/programs/_peer_figures.py
+++ b/fireflyfork/programs/_peer_figures.py
@@ -1,4 +1,4 @@
-"""What peers said of their targets, as routing needs it."""
+"""Collects the load figures that peers report for their targets, for use in routing."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 class PeerFigures:
-    """The latest figures by service and member."""
+    """The latest load figures by service and member."""
 
     def __init__(self) -> None:
-        """Nothing heard."""
+        """Start without figures."""
         self._known: dict[tuple[ServiceName, MemberId], MemberFigures] = {}
 
     def heard(
         self, member: MemberId, region: RegionName, service: ServiceName, figures: ServiceFigures
     ) -> None:
-        """A message with figures came."""
+        """Store the figures that a member has reported for a service."""
         self._known[service, member] = MemberFigures(
             member,
             region,
@@ -35,7 +35,7 @@
         )
 
     def sent(self, member: MemberId, service: ServiceName) -> None:
-        """A request was forwarded, which the figures don't know of yet."""
+        """Count a request that was forwarded after the member's latest figures were measured."""
         known = self._known.get((service, member))
         if known is not None:
             self._known[service, member] = replace(known, sent_since=known.sent_since + 1)
@@ -43,11 +43,14 @@
     def of(
         self, service: ServiceName, members: Iterable[tuple[MemberId, RegionName]]
     ) -> Iterator[MemberFigures]:
-        """The figures of these members; old ones for those that never said anything."""
+        """Yield the figures of these members.
+
+        A member that has reported none gets zeros that were measured infinitely long ago.
+        """
         for member, region in members:
             known = self._known.get((service, member))
             yield known or MemberFigures(member, region, 0, 0, 0.0, measured_at=_NEVER)
 
     def keep_only(self, members: frozenset[MemberId]) -> None:
-        """Forget members that are gone."""
+        """Remove the figures of all members that aren't in ``members``."""
         self._known = {key: value for key, value in self._known.items() if key[1] in members}
--- a/fireflyfork/programs/_peer_service.py
+++ b/fireflyfork/programs/_peer_service.py
@@ -1,4 +1,4 @@
-"""Serves what peers send: forwarded requests, heartbeats and membership messages."""
+"""Serves peers: forwarded requests, heartbeats and control messages."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 from ._target_groups import TargetGroups
 
 USED_SECONDS = 5.0
-"""A peer that forwarded nothing to a service for so long is no longer told its figures."""
+"""A peer gets the figures of a service until this long after its last request to the service."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerParts:
-    """What serves the requests of peers."""
+    """The parts of an entry that serve peers' requests."""
 
     targets: TargetGroups
     flow: RequestFlow
@@ -38,7 +38,7 @@
 
 
 class PeerService(PeerHandler):
-    """What this entry does for its peers."""
+    """Handles the requests and messages of peers."""
 
     def __init__(
         self,
@@ -58,19 +58,19 @@
 
     @property
     def in_flight(self) -> int:
-        """Forwarded requests in flight here."""
+        """The number of forwarded requests in flight at this entry."""
         return self._in_flight
 
     def attach(self, parts: PeerParts) -> None:
-        """Give it what serves requests."""
+        """Set the parts that serve requests."""
         self._attached = parts
 
     def subscribe(self, topic: str, handler: ControlHandler) -> None:
-        """Send messages of ``topic`` to ``handler``."""
+        """Pass control messages of ``topic`` to ``handler``."""
         self._topics[topic] = handler
 
     async def handle_call(self, call: IncomingCall) -> None:
-        """Serve one forwarded request; its errors go to the peer."""
+        """Serve one forwarded request; errors are sent to the peer as refusals."""
         self._in_flight += 1
         try:
             await self._serve(call)
@@ -79,8 +79,8 @@
         except FireflyforkError as error:
             call.refuse(RequestError(502, str(error), Verdict.MAY_HAVE_RUN, 1.0))
         except Exception as error:
-            # A fault in the handling of one request must not end the process, which would take
-            # all other requests with it; the log line is how anyone would notice.
+            # An error in the handling of one request must not end the process and with it all
+            # other requests. It is reported only by this log line.
             logger.opt(exception=error).error("forwarded request failed")
             call.refuse(RequestError(500, "internal error", Verdict.MAY_HAVE_RUN))
         finally:
@@ -95,7 +95,7 @@
             await self._idle.wait()
 
     def pong(self, member: MemberId, nonce: int) -> Pong:
-        """See PeerHandler. Only services that the member forwards to are told of.
+        """See PeerHandler. Only the figures of services that the member forwards to are sent.
 
         With hundreds of services, the figures of all would cost more than the heartbeat itself.
         """
@@ -132,7 +132,7 @@
         except PeerError:
             raise
         except Exception as error:
-            # As with requests: a fault in the handling of one message must not end the process.
+            # As with requests, an error in the handling of one message must not end the process.
             logger.opt(exception=error).error("control message failed", topic=control.topic)
             return None
 
--- a/fireflyfork/programs/_settings.py
+++ b/fireflyfork/programs/_settings.py
@@ -1,4 +1,4 @@
-"""Settings files: JSON with comments, decoded to typed dataclasses."""
+"""Loads settings files: JSON with comments, decoded to typed dataclasses."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def load_settings(path: Path, settings_type: type[SettingsType]) -> SettingsType:
-    """Read and decode a file. Raises SettingsError."""
+    """Read and decode the settings file at ``path``. Raises SettingsError."""
     try:
         text = path.read_text("utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -43,9 +43,9 @@
     settings_type: type[SettingsType],
     check: Callable[[SettingsType], None] | None = None,
 ) -> SettingsType:
-    """As ``load_settings``, but a bad file ends the process with status 2 and a message.
+    """Like ``load_settings``, but exit with status 2 and a message on stderr if the file is invalid.
 
-    ``check`` raises SettingsError for what the types allow all the same.
+    ``check`` raises SettingsError for values that the types allow but the program doesn't.
     """
     try:
         settings = load_settings(path, settings_type)
--- a/fireflyfork/programs/_stored_record.py
+++ b/fireflyfork/programs/_stored_record.py
@@ -1,4 +1,4 @@
-"""The fleet's record in the store; what becomes of a call is an event for the decisions."""
+"""Reads and writes the fleet record in the store; results are events for the membership."""
 
 from __future__ import annotations
 
@@ -19,29 +19,29 @@
 )
 
 _SLACK_SECONDS = 5.0
-"""How much longer than it was told to a watch call may take before it counts as silent."""
+"""Time beyond its own timeout after which a watch call counts as unanswered."""
 
 
 class StoredRecord:
-    """The record under one key of the store."""
+    """The fleet record under one key of the store."""
 
     def __init__(self, store: Store, key: str, timeout_seconds: float) -> None:
-        """After ``timeout_seconds`` a read or write counts as unanswered."""
+        """A read or write counts as unanswered after ``timeout_seconds``."""
         self._store = store
         self._key = key
         self._timeout_seconds = timeout_seconds
 
     async def read(self) -> RecordRead | ReadFailed:
-        """Read it."""
+        """Read the record and return the result as an event."""
         with trio.move_on_after(self._timeout_seconds):
             try:
                 return _as_read(await self._store.read(self._key))
             except (StoreError, SettingsError) as error:
-                logger.debug("fleet record not read", error=str(error))
+                logger.debug("fleet record could not be read", error=str(error))
         return ReadFailed()
 
     async def write(self, command: WriteRecord) -> WriteEnded:
-        """Replace it, if it is still the one that was expected."""
+        """Replace the record if it is still at the expected revision."""
         value = encode_fleet(command.record)
         with trio.move_on_after(self._timeout_seconds):
             try:
@@ -50,13 +50,13 @@
             except StoreConflictError:
                 return WriteEnded(WriteOutcome.LOST)
             except StoreError as error:
-                logger.debug("fleet record not written", error=str(error))
+                logger.debug("fleet record could not be written", error=str(error))
         return WriteEnded(WriteOutcome.UNKNOWN)
 
     async def wait(self, after: Revision, seconds: float) -> StoredValue | None:
-        """The first value after a revision; None if there was none in time, or no answer.
+        """Wait up to ``seconds`` for a value newer than the revision ``after``.
 
-        Raises StoreError.
+        Returns None if there was none in time or no answer. Raises StoreError.
         """
         with trio.move_on_after(seconds + _SLACK_SECONDS):
             return await self._store.wait(self._key, after, seconds)
--- a/fireflyfork/programs/entry.py
+++ b/fireflyfork/programs/entry.py
@@ -31,14 +31,14 @@
 INSTANCE_WAIT_SECONDS = 20.0
 RETRY_SECONDS = 1.0
 FLUSH_SECONDS = 0.2
-"""For what was queued to peers last to leave."""
+"""Time for the last messages queued for peers to be sent."""
 
 
 class EntryProgram:
-    """One entry process."""
+    """The entry process: its parts, its signals and its graceful stop."""
 
     def __init__(self, settings: EntrySettings) -> None:
-        """Wire everything; nothing runs yet."""
+        """Create and wire the parts; ``run`` starts them."""
         self._settings = settings
         me = self._member()
         view = MembershipView(me.zone)
@@ -60,7 +60,7 @@
         self._attach(channel)
 
     async def run(self) -> None:
-        """Serve until a signal asks for a graceful stop."""
+        """Serve until a signal or an operator requests a graceful stop, and complete the stop."""
         listeners = await self._listen()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._entry.run, listeners)
@@ -100,7 +100,7 @@
             try:
                 answer = await instances.changes(cursor, INSTANCE_WAIT_SECONDS)
             except PlatformError as error:
-                logger.info("instance list not read", error=str(error))
+                logger.info("instance list could not be read", error=str(error))
                 await trio.sleep(RETRY_SECONDS)
                 continue
             cursor = answer.cursor
