--- a/fireflyfork/programs/tests/history_checks.py
+++ b/fireflyfork/programs/tests/history_checks.py
@@ -1,4 +1,4 @@
-"""What callers and executors saw of a run, and the promises that any such history must keep."""
+"""The history that callers and executors recorded, and checks of the guarantees it must meet."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
     """How a call ended for its caller."""
 
     ANSWERED = "answered"
-    """With a whole HTTP response, whatever its status."""
+    """The caller got a complete HTTP response of any status."""
     NOT_CONNECTED = "not-connected"
-    """No connection to the entry, so nothing was sent."""
+    """The connection to the entry failed, so nothing was sent."""
     BROKEN = "broken"
-    """The connection ended without a whole response."""
+    """The connection ended without a complete response."""
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One call of one caller. Times are Unix times in seconds."""
+    """One call of one caller. ``sent_at`` and ``ended_at`` are Unix times in seconds."""
 
     key: IdempotencyKey
     entry: str
@@ -35,11 +35,11 @@
     verdict: str = ""
     retry_after: str | None = None
     expected_body: str = ""
-    """What the caller sent, which executors echo."""
+    """The request body, which executors echo."""
     body: str = ""
-    """The echo in an executor's answer."""
+    """The request body echoed in an executor's answer."""
     reason: str = ""
-    """What the entry said of a request that it did not answer."""
+    """The error text of an entry that refused the request."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Freeze:
-    """A time during which an entry's process was stopped. Its own callers wait for its end."""
+    """A period during which an entry's process was stopped; its callers wait until the end."""
 
     entry: str
     begun_at: float
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class History:
-    """Everything that was seen."""
+    """The recorded calls, runs, load maxima and freezes of one scenario."""
 
     calls: tuple[Call, ...]
     runs: tuple[ExecutorRun, ...]
@@ -70,13 +70,13 @@
     slots: int
     freezes: tuple[Freeze, ...] = ()
     most_connections: dict[TargetId, int] = field(default_factory=dict)
-    """Of the targets that were reached through relays."""
+    """The maximum number of open connections to each target behind a TCP proxy."""
     connections: int = 0
-    """What the contract of a target allows."""
+    """The number of connections that the contract of each target allows."""
 
 
 def ran_twice(history: History) -> Iterator[str]:
-    """A key that executors ran more than once."""
+    """Report keys that executors ran more than once."""
     counts = Counter(run.key for run in history.runs)
     for key, count in counts.items():
         if count > 1:
@@ -84,7 +84,7 @@
 
 
 def ran_though_not_run(history: History) -> Iterator[str]:
-    """A key whose callers were always told "not run", and that ran."""
+    """Report keys that ran although all their calls ended with "not run" or without connecting."""
     verdicts: dict[IdempotencyKey, set[str]] = defaultdict(set)
     for call in history.calls:
         verdicts[call.key].add(call.verdict if call.end is CallEnd.ANSWERED else call.end.value)
@@ -95,7 +95,7 @@
 
 
 def answered_though_not_run(history: History) -> Iterator[str]:
-    """A key with an executor's answer that no executor ran."""
+    """Report answered calls whose key no executor ran."""
     ran = {run.key for run in history.runs}
     for call in history.calls:
         if call.status == 200 and call.key not in ran:
@@ -103,25 +103,28 @@
 
 
 def wrong_answers(history: History) -> Iterator[str]:
-    """An answer that is not the whole answer to the caller's own request."""
+    """Report answers that don't echo the caller's own request completely."""
     for call in history.calls:
         if call.status == 200 and call.body != call.expected_body:
-            yield f"{call} got another's answer or a part of it"
+            yield f"{call} got a wrong or incomplete answer"
 
 
 def silent_refusals(history: History) -> Iterator[str]:
-    """A response without a verdict, or one that may be repeated without saying when."""
+    """Report responses without a verdict, and 503 responses without a Retry-After header."""
     for call in history.calls:
         if call.end is not CallEnd.ANSWERED:
             continue
         if call.verdict not in ("not-run", "may-have-run", "answered"):
             yield f"{call} has no verdict"
         elif call.status == 503 and call.retry_after is None:
-            yield f"{call} does not say when to come back"
+            yield f"{call} has no Retry-After header"
 
 
 def waits_past_deadline(history: History, slack: float) -> Iterator[str]:
-    """A caller that waited for longer than its timeout and ``slack`` seconds."""
+    """Report calls that took more than ``slack`` seconds longer than their timeout.
+
+    A call at a frozen entry may also take until ``slack`` seconds after the freeze.
+    """
     for call in history.calls:
         due = max([call.sent_at + call.timeout, *_frozen_until(history, call)])
         if call.ended_at > due + slack:
@@ -136,35 +139,35 @@
 
 
 def over_slots(history: History) -> Iterator[str]:
-    """An executor that ever ran more requests at a time than it has slots."""
+    """Report executors that ran more requests at the same time than they have slots."""
     for target_id, most in history.most_busy.items():
         if most > history.slots:
             yield f"{target_id} ran {most} at a time and has {history.slots} slots"
 
 
 def over_connections(history: History) -> Iterator[str]:
-    """A target that ever had more connections open than its contract allows."""
+    """Report targets that had more connections open than their contracts allow."""
     for target_id, most in history.most_connections.items():
         if most > history.connections:
             yield f"{target_id} had {most} connections open and allows {history.connections}"
 
 
 def runs_after(history: History, target_id: TargetId, leaving_at: float) -> Iterator[str]:
-    """Work that a leaving target began later than it should have been left out."""
+    """Report runs that a leaving target began after ``leaving_at``."""
     for run in history.runs:
         if run.target_id == target_id and run.started_at > leaving_at:
             yield f"{run.key} began {run.started_at - leaving_at:.2f} s too late at {target_id}"
 
 
 def cut_off(calls: Iterable[Call]) -> Iterator[str]:
-    """A call whose connection ended without a response."""
+    """Report calls whose connection ended without a complete response."""
     for call in calls:
         if call.end is CallEnd.BROKEN:
             yield f"{call} was cut off"
 
 
 def violations(history: History, slack: float = 3.0) -> list[str]:
-    """What breaks a promise that holds under every failure."""
+    """Return all violations of the guarantees that hold under every failure."""
     return [
         *ran_twice(history),
         *ran_though_not_run(history),
@@ -178,7 +181,7 @@
 
 
 def unanswered(history: History, first: int) -> Iterator[str]:
-    """A call from number ``first`` on that got no executor's answer, with all under its key."""
+    """Report calls from index ``first`` on without an executor's answer, with all calls of the key."""
     for call in history.calls[first:]:
         if call.status != 200:
             yield f"{call.key} at {call.sent_at}: {_calls_of(history, call.key)}"
--- a/fireflyfork/programs/tests/test_history_checks.py
+++ b/fireflyfork/programs/tests/test_history_checks.py
@@ -1,4 +1,4 @@
-"""The checks of histories find what they are for."""
+"""Each check of histories reports the fault that it is meant to detect."""
 
 import unittest
 from collections.abc import Iterator
@@ -30,15 +30,17 @@
 
 
 def broken_histories() -> Iterator[tuple[str, History, str]]:
-    """Histories with one fault each, and what is said of them."""
+    """Yield histories with one fault each: a name, the history and a part of the report."""
     yield "second run", history(GOOD, runs=(RUN, RUN)), "ran 2 times"
     yield "false not run", history(REFUSED), "ran at"
     yield "false not connected", history(replace(REFUSED, end=CallEnd.NOT_CONNECTED)), "ran at"
     yield "answer out of nothing", history(GOOD, runs=()), "never ran"
-    yield "another's answer", history(replace(GOOD, body="yours")), "another's"
-    yield "truncated answer", history(replace(GOOD, body="mi")), "a part"
+    yield "another's answer", history(replace(GOOD, body="yours")), "wrong or incomplete"
+    yield "truncated answer", history(replace(GOOD, body="mi")), "wrong or incomplete"
     yield "no verdict", history(replace(GOOD, verdict="")), "no verdict"
-    yield "when to come back", history(replace(REFUSED, retry_after=None), runs=()), "come back"
+    yield "no retry after", history(
+        replace(REFUSED, retry_after=None), runs=()
+    ), "no Retry-After header"
     yield "past the deadline", history(replace(GOOD, ended_at=9.0)), "took 9.0 s"
     crowded = replace(history(GOOD), most_connections={TARGET: 3}, connections=2)
     yield "over connections", crowded, "3 connections open"
@@ -46,10 +48,10 @@
 
 
 class HistoryChecksTest(unittest.TestCase):
-    """A check that finds nothing in a bad history would prove nothing about a good one."""
+    """Guards against checks that pass because they detect nothing."""
 
     def test_faults_are_found(self) -> None:
-        """Each fault, and only it, is reported."""
+        """A history with one fault yields exactly one violation, which describes the fault."""
         for name, broken, said in broken_histories():
             with self.subTest(name):
                 found = violations(broken)
@@ -57,7 +59,7 @@
                 self.assertIn(said, found[0])
 
     def test_good_histories_pass(self) -> None:
-        """Refusals, and doubt that turned out either way, break no promise."""
+        """Refusals, and calls that may have run whether or not they ran, are no violations."""
         late = replace(GOOD, ended_at=9.0)
         frozen = replace(history(late), freezes=(Freeze("e1", 0.4, 8.0),))
         for good in (
@@ -73,7 +75,7 @@
                 self.assertEqual(violations(good), [])
 
     def test_leaving_and_planned_stops(self) -> None:
-        """Late work on a leaving target, and calls that were cut off."""
+        """Late runs on a leaving target and broken calls are reported."""
         self.assertEqual(len(list(runs_after(history(GOOD), TARGET, 0.05))), 1)
         self.assertEqual(list(runs_after(history(GOOD), TARGET, 0.2)), [])
         self.assertEqual(len(list(cut_off([GOOD, replace(LOST, end=CallEnd.BROKEN)]))), 1)
