--- a/fireflyfork/programs/tests/__init__.py
+++ b/fireflyfork/programs/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package above."""
+"""Tests of fireflyfork.programs, and the builders that they share."""
--- a/fireflyfork/programs/tests/builders_entries.py
+++ b/fireflyfork/programs/tests/builders_entries.py
@@ -1,4 +1,4 @@
-"""Builds whole entries and executors in one event loop, on real sockets of the loopback."""
+"""Builds whole entries and executors in one event loop, on loopback sockets."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class FleetOfTest:
-    """What all entries of a test believe; tests change it."""
+    """The fleet state that all entries of a test share; tests change it."""
 
     ownerships: dict[PartitionId, Ownership] = field(default_factory=dict)
     addresses: dict[MemberId, Address] = field(default_factory=dict)
@@ -69,14 +69,14 @@
         acquired: Acquisition,
         occupied: tuple[OccupiedSlots, ...] = (),
     ) -> None:
-        """Change the owner of a partition."""
+        """Change the owner of a partition, in the next epoch of the partition."""
         before = self.ownerships.get(partition)
         since = Epoch(before.since + 1 if before else 1)
         self.ownerships[partition] = Ownership(owner, since, acquired, occupied)
 
 
 class FixedOwnership(OwnershipView):
-    """An ownership view over the fleet of a test."""
+    """An ownership view of the shared fleet state, as seen by one member."""
 
     def __init__(self, own: MemberId, fleet: FleetOfTest) -> None:
         self._own = own
@@ -117,7 +117,7 @@
 
 @dataclass(slots=True)
 class RunningEntry:
-    """An entry under test and how to call it."""
+    """An entry under test, its address for callers and the spans it wrote."""
 
     entry: Entry
     caller_address: Address
@@ -131,7 +131,7 @@
         timeout_ms: str | None = "5000",
         headers: tuple[tuple[bytes, bytes], ...] = (),
     ) -> tuple[ResponseHead, bytes]:
-        """One request of a caller, on a connection of its own."""
+        """Send a caller's request on a new connection and return the answer."""
         client = HttpClient(self.caller_address, timeout=20.0)
         if timeout_ms is not None:
             headers = (*headers, (b"request-timeout-ms", timeout_ms.encode()))
@@ -141,7 +141,7 @@
             client.close()
 
     def spans(self) -> list[Span]:
-        """The spans written so far."""
+        """Return the spans written so far."""
         lines = self.written.getvalue().splitlines()
         return [msgspec.json.decode(line, type=Span) for line in lines]
 
@@ -156,7 +156,7 @@
     configuration: Configuration
 
     def runs(self) -> list[str]:
-        """The idempotency keys, or request ids where there is none, of all that executors ran."""
+        """Return the idempotency key, or the request id if there is no key, of each run."""
         return [
             run.key or run.request_id
             for executor in self.executors.values()
@@ -164,7 +164,10 @@
         ]
 
     async def spans_when(self, names: set[str]) -> list[Span]:
-        """All spans, once those of ``names`` are written; a span is written after its answer."""
+        """Wait until spans of all ``names`` are written, then return all spans.
+
+        A span is written only after its answer.
+        """
         while True:
             spans = [span for running in self.entries for span in running.spans()]
             if names <= {span.name for span in spans}:
@@ -172,7 +175,7 @@
             await trio.sleep(0.01)
 
     def move_all(self, to: int, acquired: Acquisition) -> None:
-        """Make one entry the owner of all partitions; all others hear of it first."""
+        """Make one entry the owner of all partitions. The other entries are refreshed first."""
         partitions = tuple(self.fleet.ownerships)
         occupied: dict[PartitionId, tuple[OccupiedSlots, ...]] = {}
         if acquired is Acquisition.MOVED:
@@ -185,7 +188,7 @@
             running.entry.refresh()
 
     def lose(self, lost: int, to: int, epoch: int = 1) -> None:
-        """Entry ``lost`` is fenced by its guard, and ``to`` gets what it owned."""
+        """Fence entry ``lost`` and assign its partitions to entry ``to``."""
         known = [one for one in self.fleet.addresses if one not in self.fleet.without_right]
         before = self._record(epoch=epoch, members=tuple(known))
         for running in self.entries:
@@ -220,7 +223,7 @@
         )
 
     def a_key_at(self, entry: int) -> str:
-        """A key without a time whose home is that entry."""
+        """Return a key that contains no time and whose home is that entry."""
         while True:
             key = str(uuid.uuid4())
             home = self.fleet.ownerships[partition_of(REGION, key, PARTITIONS)].owner
@@ -236,7 +239,7 @@
 
 
 def a_service(**changes: object) -> ServiceContract:
-    """A service that answers within a second."""
+    """Return a contract whose requests run for at most 2 seconds, with ``changes``."""
     service = ServiceContract(
         name=SERVICE,
         team=TeamName("desk-team"),
@@ -254,7 +257,10 @@
     run_seconds: float = 0.02,
     owned_by: Mapping[int, int] | None = None,
 ) -> AsyncIterator[RunningFleet]:
-    """Start everything. ``owned_by`` maps partition numbers to entries; entry 0 owns the rest."""
+    """Start entries and executors.
+
+    ``owned_by`` maps partition numbers to entries; entry 0 owns the other partitions.
+    """
     async with trio.open_nursery() as nursery:
         handlers, targets = await _start_executors(nursery, executors, slots, run_seconds)
         configuration = Configuration(
--- a/fireflyfork/programs/tests/builders_keepers.py
+++ b/fireflyfork/programs/tests/builders_keepers.py
@@ -1,4 +1,4 @@
-"""Builds members with configuration keepers on the in-memory fleet of the membership tests."""
+"""Builds configuration keepers for the members of the in-memory fleet of the membership tests."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 
 @dataclass
 class KeeperFleet:
-    """Members, their keepers, and what each put in force."""
+    """Members, their keepers, and the versions that each keeper applied."""
 
     fleet: Fleet
     keepers: dict[Address, ConfigurationKeeper] = field(default_factory=dict)
     in_force: dict[Address, list[int]] = field(default_factory=dict)
     passed_on: int = 0
-    """Configurations that members sent to each other."""
+    """The number of configurations that members sent to each other."""
 
     def keep(self, membership: Membership, address: Address) -> ConfigurationKeeper:
-        """Start a keeper for a member, anew if it had one."""
+        """Start a keeper for a member; it replaces an earlier keeper, as after a restart."""
         versions = self.in_force.setdefault(address, [])
 
         def note(configuration: Configuration) -> None:
@@ -46,7 +46,7 @@
         return keeper
 
     async def keep_asking(self, membership: Membership, address: Address) -> None:
-        """Compare versions with the guard as often as the membership asks it."""
+        """Exchange versions with the member's guard every 0.5 seconds until cancelled."""
         while True:
             guard_name = membership.record.guard_of(membership.member_id)
             guard = membership.record.members.get(guard_name) if guard_name else None
@@ -61,7 +61,7 @@
         return (address in cut) != (guard.address in cut)
 
     async def accept(self, version: int) -> None:
-        """What an accepted change leaves in the store."""
+        """Write a configuration to the store, as an accepted change does."""
         stored: StoredValue | None = await self.fleet.store.read(CONFIGURATION_KEY)
         expected = stored.revision if stored is not None else 0
         value = encode_configuration(an_offer(version))
@@ -69,7 +69,7 @@
 
 
 class KeeperChannel(DirectChannel):
-    """Passes configurations on to the keepers of a test."""
+    """Delivers configurations to the keepers of a test."""
 
     def __init__(self, keepers: KeeperFleet, network: Network, sender: Address) -> None:
         super().__init__(network, sender)
@@ -77,7 +77,7 @@
         self._own = sender
 
     async def ask(self, peer: Member, question: GuardQuestion) -> GuardReply:
-        """Not used by keepers."""
+        """Raise NotImplementedError, since keepers don't send questions."""
         raise NotImplementedError
 
     async def offer_configuration(self, peer: Member, offer: ConfigurationOffer) -> None:
@@ -89,7 +89,7 @@
 
 
 def an_offer(version: int) -> ConfigurationOffer:
-    """A small configuration of that version, encoded as stored."""
+    """Return an offer of a small configuration with that version, encoded as in the store."""
     configuration = Configuration(
         ConfigurationVersion(version),
         ChangeId(f"change-{version}"),
--- a/fireflyfork/programs/tests/builders_membership.py
+++ b/fireflyfork/programs/tests/builders_membership.py
@@ -1,4 +1,4 @@
-"""A store in memory with failure switches, and a network that links memberships directly."""
+"""An in-memory store with failure switches, and a network of direct calls between memberships."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class MemoryStore(Store):
-    """One store for all members of a test."""
+    """An in-memory store that all members of a test share."""
 
     def __init__(self) -> None:
-        """An empty store that answers."""
+        """Start as an empty store without failures."""
         self.calls: Counter[str] = Counter()
         self.down = False
         self.answers_to_lose = 0
-        """So many of the next writes take effect without an answer."""
+        """The number of next writes that take effect although their answers are lost."""
         self._values: dict[str, StoredValue] = {}
         self._revisions = count(1)
         self._change = trio.Event()
@@ -77,7 +77,7 @@
 
 @dataclass
 class Network:
-    """Who is reachable, and how much was said."""
+    """The reachable members by address, the cut-off addresses, and counts of messages."""
 
     members: dict[Address, Membership] = field(default_factory=dict)
     cut: set[Address] = field(default_factory=set)
@@ -85,7 +85,10 @@
     configurations: list[tuple[Address, ConfigurationOffer]] = field(default_factory=list)
 
     def reach(self, sender: Address, receiver: Address) -> Membership:
-        """The membership at an address. Raises PeerError when there is none or a cut between."""
+        """Return the membership at an address.
+
+        Raises PeerError if there is none or if exactly one of the two addresses is cut off.
+        """
         peer = self.members.get(receiver)
         if peer is None or (sender in self.cut) != (receiver in self.cut):
             raise PeerError("unreachable")
@@ -93,10 +96,10 @@
 
 
 class DirectChannel(GuardChannel):
-    """Calls the other membership after a moment."""
+    """Calls the peer's membership directly, after a delay of 1 ms."""
 
     def __init__(self, network: Network, sender: Address) -> None:
-        """A channel of the member at ``sender``."""
+        """Send for the member at the address ``sender``."""
         self._network = network
         self._sender = sender
 
@@ -133,7 +136,7 @@
     scopes: dict[str, trio.CancelScope] = field(default_factory=dict)
 
     def start(self, name: str, place: str, port: int) -> Membership:
-        """Start a process; later member ids are ``name-2`` and so on."""
+        """Start a membership in the zone ``place``; later member ids are ``name-2`` and so on."""
         region, _, domain = place.partition("/")
         zone = Zone(RegionName(region), FailureDomainName(domain))
         address = Address("127.0.0.1", port)
@@ -156,7 +159,7 @@
         return membership
 
     def kill(self, name: str, port: int) -> None:
-        """End a process without warning."""
+        """Cancel a membership without a hand-over, like a killed process."""
         self.scopes[name].cancel()
         del self.network.members[Address("127.0.0.1", port)]
 
--- a/fireflyfork/programs/tests/builders_processes.py
+++ b/fireflyfork/programs/tests/builders_processes.py
@@ -1,4 +1,4 @@
-"""Runs the real programs and the stand-ins as processes, with callers that record what they saw."""
+"""Runs the real programs and the stand-ins as processes, with callers that record their calls."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 SLOTS = 4
 CONNECTIONS = 2 * SLOTS
-"""As few as leave an owner and its successor enough for all slots."""
+"""The fewest with which an owner and its successor can each use all slots."""
 RUN_SECONDS = 0.03
 LONGEST_RUN_SECONDS = 1.0
 START_SECONDS = 30.0
@@ -51,23 +51,23 @@
 SETTLED_BOOKINGS = 40
 PORTS = range(12_000, 30_000)
 BALANCER_SECONDS = 0.1
-"""Between two looks of the balancer at an entry's readiness."""
+"""The interval at which the balancer checks an entry's readiness."""
 NOTICE_SECONDS = 0.6
-"""How long a stopping entry goes on serving, for the balancer to notice."""
+"""How long a stopping entry reports not ready and still serves, so that the balancer reacts."""
 PEER_KEY = "only-for-tests-on-loopback"
 _LONGEST_ANSWER = 1 << 20
 
 VITI, VANUA = RegionName("viti"), RegionName("vanua")
 ZONES = ((VITI, "suva"), (VITI, "nadi"), (VANUA, "labasa"), (VANUA, "savusavu"))
-"""One entry each."""
+"""The zones; one entry runs in each."""
 EXECUTORS = (VITI, VITI, VITI, VITI, VANUA, VANUA)
-"""One executor each."""
+"""The regions of the executors, one item per executor."""
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports of the loopback that nobody listens on, below those that connections take.
+    """Return free loopback ports below the range of outgoing connections.
 
-    A port from the range of outgoing connections could be taken by one while its entry restarts.
+    A port in that range could be taken by an outgoing connection while its entry restarts.
     """
     ports: list[int] = []
     start = os.getpid() * 101 % (PORTS.stop - PORTS.start)
@@ -82,7 +82,7 @@
 
 @dataclass(slots=True)
 class EntryProcess:
-    """One entry."""
+    """An entry process, its settings file and its addresses."""
 
     name: str
     settings: Path
@@ -90,12 +90,12 @@
     operators: Address
     process: subprocess.Popen[bytes] | None = None
     in_service: bool = False
-    """Whether the balancer sends callers there."""
+    """Whether the balancer sends callers to this entry."""
 
 
 @dataclass(slots=True)
 class ProcessFleet:
-    """The processes of one test, and what was seen."""
+    """The processes of one test, and the calls and freezes recorded so far."""
 
     folder: Path
     store: Address
@@ -105,12 +105,12 @@
     relays: dict[TargetId, Relay] = field(default_factory=dict)
     calls: list[Call] = field(default_factory=list)
     settled_calls: int = 0
-    """Calls made before the scenario proper."""
+    """The number of calls made before the scenario started."""
     freezes: list[Freeze] = field(default_factory=list)
     processes: list[subprocess.Popen[bytes]] = field(default_factory=list)
 
     def launch(self, name: str, *command: str) -> subprocess.Popen[bytes]:
-        """Start a process; its output goes to files in the folder."""
+        """Start a process whose output is appended to files in the folder."""
         with (
             open(self.folder / f"{name}.out", "ab") as out,
             open(self.folder / f"{name}.log", "ab") as log,
@@ -130,7 +130,7 @@
         entry.process.send_signal(number)
 
     async def freeze(self, entry: EntryProcess, seconds: float) -> None:
-        """Let an entry stand still for so long, and take note of it."""
+        """Stop an entry's process for ``seconds`` by SIGSTOP and record the freeze."""
         self.signal_entry(entry, signal.SIGSTOP)
         stopped_at = time.time()
         await trio.sleep(seconds)
@@ -138,7 +138,7 @@
         self.freezes.append(Freeze(entry.name, stopped_at, time.time()))
 
     async def ended(self, entry: EntryProcess) -> int:
-        """Wait for an entry to end, and return its status."""
+        """Wait for an entry's process to end and return its exit status."""
         assert entry.process is not None
         with trio.fail_after(STOP_SECONDS):
             while (status := entry.process.poll()) is None:
@@ -150,15 +150,15 @@
         await _put(address, "/switches", json.dumps(switches).encode())
 
     async def mark(self, target_id: TargetId, state: str) -> None:
-        """Change the platform's list of instances."""
+        """Set the state of an instance in the platform's instance list."""
         await _put(self.instances, f"/v1/instances/{target_id}", state.encode())
 
     async def status(self, entry: EntryProcess) -> dict[str, object]:
-        """An entry's status page."""
+        """Return the answer of an entry's ``/status``."""
         return await _get_json(entry.operators, "/status")
 
     async def ready(self, entry: EntryProcess) -> None:
-        """Wait until an entry says that it is ready."""
+        """Wait until an entry reports ready."""
         while True:
             try:
                 answer = await _get_json(entry.operators, "/readyz")
@@ -169,7 +169,7 @@
             await trio.sleep(0.05)
 
     async def balance(self, entry: EntryProcess) -> None:
-        """Send callers to an entry while it says that it is ready."""
+        """Act as the balancer for an entry: send callers to it while it reports ready."""
         while True:
             try:
                 answer = await _get_json(entry.operators, "/readyz", timeout=1.0)
@@ -179,7 +179,7 @@
             await trio.sleep(BALANCER_SECONDS)
 
     async def all_targets_owned(self) -> None:
-        """Wait until the living entries own all targets between them."""
+        """Wait until each target is owned by exactly one of the running entries."""
         while True:
             owned: list[str] = []
             for entry in self.entries:
@@ -190,13 +190,13 @@
             await trio.sleep(0.1)
 
     async def own_targets(self, entry: EntryProcess) -> list[str]:
-        """The targets that an entry says it owns."""
+        """Return the targets that an entry reports as its own."""
         services = (await self.status(entry)).get("services")
         desk = services.get("desk") if isinstance(services, dict) else None
         return list(desk["own_targets"]) if isinstance(desk, dict) else []
 
     async def history(self) -> History:
-        """All calls so far, and the runs of all executors."""
+        """Return all calls so far and the runs of all executors."""
         runs: list[ExecutorRun] = []
         most_busy = {}
         for target_id, address in self.executors.items():
@@ -221,16 +221,16 @@
 
 
 class Callers:
-    """Callers that book at any entry and repeat what was not answered, under the same key."""
+    """Callers that send bookings to any entry and repeat unanswered ones with the same key."""
 
     def __init__(self, fleet: ProcessFleet, seed: int, timeout: float = 2.0) -> None:
-        """``timeout`` is what each call asks for, in seconds."""
+        """``timeout`` is the request timeout of each call, in seconds."""
         self._fleet = fleet
         self._random = Random(seed)
         self._timeout = timeout
 
     async def settle(self) -> None:
-        """Book at each entry until all have answered everything for a while."""
+        """Send bookings to each entry in turn until ``SETTLED_BOOKINGS`` in a row were answered."""
         answered = 0
         while answered < SETTLED_BOOKINGS:
             for entry in self._fleet.entries:
@@ -239,7 +239,7 @@
             await trio.sleep(0.05)
 
     async def run(self, count: int, seconds: float) -> None:
-        """Let ``count`` callers book one after the other for so long."""
+        """Run ``count`` concurrent callers, each with one booking after the other, for ``seconds``."""
         end = trio.current_time() + seconds
         async with trio.open_nursery() as nursery:
             for number in range(count):
@@ -267,7 +267,7 @@
             await trio.sleep(random.uniform(0.05, 0.4))
 
     async def call(self, entry: EntryProcess, key: IdempotencyKey, body: str) -> Call:
-        """One call, recorded."""
+        """Send one booking and record the call."""
         sent_at = time.time()
         end, status, verdict, retry_after, fields = CallEnd.BROKEN, 0, "", None, {}
         connection = None
@@ -317,7 +317,7 @@
 async def process_fleet(
     relayed: bool = False, run_seconds: float = RUN_SECONDS
 ) -> AsyncIterator[ProcessFleet]:
-    """Start everything; with ``relayed``, executors are reached through relays."""
+    """Start all processes; with ``relayed``, entries reach executors through TCP proxies."""
     with tempfile.TemporaryDirectory(prefix="fireflyfork-test-") as name:
         async with trio.open_nursery() as nursery:
             fleet = _fleet(Path(name))
@@ -430,7 +430,7 @@
 
 
 def _errors_in_logs(folder: Path) -> str:
-    """What went wrong inside the processes, since their logs are gone after the test."""
+    """Return up to 20 error lines from the processes' logs, which are deleted after the test."""
     lines = (
         f"{path.stem}: {line}"
         for path in sorted(folder.glob("*.log"))
--- a/fireflyfork/programs/tests/builders_relays.py
+++ b/fireflyfork/programs/tests/builders_relays.py
@@ -1,4 +1,4 @@
-"""Relays between entries and executors whose connections can be made to go silent."""
+"""TCP proxies between entries and executors whose connections can be silenced."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class Relay:
-    """Passes bytes on to one executor."""
+    """Forwards TCP connections to one executor."""
 
     def __init__(self, behind: Address) -> None:
-        """``behind`` is the executor."""
+        """``upstream`` is the address of the executor."""
         self._behind = behind
         self._lost: list[trio.Event] = []
         self.most_open = 0
-        """The most connections that were ever open at a time."""
+        """The maximum number of connections that were open at the same time."""
 
     def lose_track(self) -> None:
-        """Swallow everything on the connections that are open now, for good."""
+        """Discard all data on the currently open connections permanently."""
         for lost in self._lost:
             lost.set()
 
@@ -57,7 +57,7 @@
 
 
 async def start_relay(nursery: trio.Nursery, behind: Address) -> tuple[Relay, Address]:
-    """Start a relay on a port of its own."""
+    """Start a proxy on a new port and return it with its address."""
     relay = Relay(behind)
     listeners = await listen("127.0.0.1", 0)
     nursery.start_soon(partial(relay.run, listeners))
--- a/fireflyfork/programs/tests/test_configuration_keeper.py
+++ b/fireflyfork/programs/tests/test_configuration_keeper.py
@@ -1,4 +1,4 @@
-"""An accepted configuration is in force at all entries within seconds and never reverts."""
+"""Tests that accepted configurations are applied at all entries within seconds and never revert."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -19,7 +19,7 @@
 
 
 def run_keepers(scenario: Scenario) -> None:
-    """Run a scenario with three members that have settled on version 1."""
+    """Run a scenario with three members that have all applied version 1."""
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
@@ -40,7 +40,7 @@
     """Keepers of three entries in two failure domains."""
 
     def test_an_accepted_configuration_is_in_force_everywhere(self) -> None:
-        """Each entry puts each version in force once, in order."""
+        """Each entry applies each version once, in order."""
 
         async def scenario(keepers: KeeperFleet) -> None:
             for version in (2, 3):
@@ -52,9 +52,10 @@
         run_keepers(scenario)
 
     def test_nothing_is_sent_while_all_hold_the_same(self) -> None:
-        """Members that were told too low a version sent each other the whole configuration.
+        """Guards against entries at rest that send each other the whole configuration.
 
-        It cost 7 KB/s for each entry at rest, and would grow with the number of targets.
+        This happens if a member reports a version lower than the one it holds. It cost 7 KB/s for
+        each entry, and the cost grows with the number of targets.
         """
 
         async def scenario(keepers: KeeperFleet) -> None:
@@ -65,9 +66,10 @@
         run_keepers(scenario)
 
     def test_the_store_fails_right_after_the_acceptance(self) -> None:
-        """Only one entry has heard of the change when the store goes down for long.
+        """Guards against an accepted change that is lost because the store goes down.
 
-        The operator was told that it was accepted, so the others must get it from that entry.
+        Only one entry has read the change when the store fails. The operator was told that it was
+        accepted, so the other entries must get it from that entry.
         """
 
         async def scenario(keepers: KeeperFleet) -> None:
@@ -81,7 +83,10 @@
         run_keepers(scenario)
 
     def test_a_restarted_entry_does_not_take_the_first_word(self) -> None:
-        """It comes back while the store is down; a peer that lags offers an old version first."""
+        """Guards against a restarted entry that applies an older configuration than before.
+
+        It restarts while the store is down, and the first peer that offers a configuration lags.
+        """
 
         async def scenario(keepers: KeeperFleet) -> None:
             await keepers.accept(3)
@@ -97,8 +102,11 @@
         run_keepers(scenario)
 
     def test_a_lower_version_is_never_put_in_force(self) -> None:
-        """A peer that was cut off passes on what it holds, and an operator's tool sets the store
-        back. Targets that were taken away would get bookings again."""
+        """Guards against a return to an older version, which would use removed targets again.
+
+        A peer that was cut off offers its older version, and an operator's tool writes an older
+        version to the store.
+        """
 
         async def scenario(keepers: KeeperFleet) -> None:
             await keepers.accept(5)
--- a/fireflyfork/programs/tests/test_connection_bounds.py
+++ b/fireflyfork/programs/tests/test_connection_bounds.py
@@ -1,6 +1,7 @@
-"""How long the kernel bears bytes that nobody acknowledges, on each kind of connection.
+"""Tests of how long the kernel keeps connections with unacknowledged bytes, for each kind.
 
-The pattern: a link between regions that is full for seconds, so that acknowledgements queue with everything else.
+The failure: a link between regions is saturated for seconds, so acknowledgements are delayed in its
+queue, and the kernel ends connections that are still alive.
 """
 
 import socket
@@ -37,7 +38,7 @@
 
 
 async def _listening(nursery: trio.Nursery) -> Address:
-    """A server that ends each connection at once."""
+    """Start a server that closes each connection immediately, and return its address."""
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
     nursery.start_soon(trio.serve_listeners, _close, listeners)
     host, port = listeners[0].socket.getsockname()[:2]
@@ -45,7 +46,7 @@
 
 
 async def _for_executors() -> list[float]:
-    """The bounds of the connections that a poll opens."""
+    """Return the timeouts, in seconds, of the connections that a poll opens."""
     bounds: list[float] = []
     real_open = HttpClientConnection.open
 
@@ -83,20 +84,26 @@
 
 
 class ConnectionBoundsTest(unittest.TestCase):
-    """Who is cut off by the kernel, and when."""
+    """When the kernel ends connections to executors, to relays and for callers' requests."""
 
     def test_a_connection_to_an_executor_holds_for_as_long_as_its_polls_wait(self) -> None:
-        """Guards against ends that are lost since the kernel cut off an answer that was on its way."""
+        """Guards against ends of runs that are lost because the kernel ended a connection early.
+
+        The answer that reported the ends was delayed on a saturated link.
+        """
         bounds = trio.run(_for_executors)
         self.assertEqual(len(bounds), 1)
         self.assertGreaterEqual(bounds[0], LONGEST_CALL_SECONDS)
 
     def test_a_stream_to_a_relay_holds_for_as_long_as_its_calls_wait(self) -> None:
-        """Guards against a full link that ends all calls of a failure domain at once."""
+        """Guards against a saturated link that ends all calls to a failure domain at the same time."""
         self.assertGreaterEqual(trio.run(_for_relays), LONGEST_CALL_SECONDS)
 
     def test_a_request_can_arrive_only_while_its_slot_is_held(self) -> None:
-        """Guards against an executor that gets more than its slots: bytes of a request that come too late."""
+        """Guards against an executor that gets more requests than it has slots.
+
+        This happens if bytes of a request arrive after its slot was assigned to another request.
+        """
         self.assertLessEqual(
             CONNECT_SECONDS + SEND_SECONDS + trio.run(_for_requests), START_WITHIN_SECONDS
         )
--- a/fireflyfork/programs/tests/test_keyed_requests.py
+++ b/fireflyfork/programs/tests/test_keyed_requests.py
@@ -1,4 +1,4 @@
-"""Requests with idempotency keys, repeated at other entries and around changes of the home."""
+"""Tests of requests that are repeated under an idempotency key at other entries and other homes."""
 
 import time
 import unittest
@@ -20,7 +20,7 @@
 
 
 def run_fleet(body: Callable[[RunningFleet], Awaitable[None]]) -> None:
-    """Run ``body`` with three entries, of which the first owns everything."""
+    """Run ``body`` with three entries, of which the first owns all partitions."""
 
     async def main() -> None:
         with trio.fail_after(GENEROUS_SECONDS):
@@ -31,7 +31,10 @@
 
 
 def run_fleet_with_targets_at_entry_1(body: Callable[[RunningFleet], Awaitable[None]]) -> None:
-    """Run ``body`` with three entries; the second owns the targets and the first the rest."""
+    """Run ``body`` with three entries.
+
+    The second owns the partitions of the targets, and the first owns the other partitions.
+    """
     targets = (partition_of(REGION, f"desk-{n}", PARTITIONS) for n in range(2))
     owned_by = {int(partition.rpartition("/")[2]): 1 for partition in targets}
 
@@ -44,7 +47,7 @@
 
 
 def a_key(age_seconds: float = 0.0) -> str:
-    """A UUIDv7 made so long ago."""
+    """Return a UUIDv7 key that was generated ``age_seconds`` ago."""
     milliseconds = int((time.time() - age_seconds) * 1000)
     return str(uuid.UUID(int=milliseconds << 80 | 7 << 76 | 2 << 62 | uuid.uuid4().int >> 68))
 
@@ -52,19 +55,19 @@
 async def book(
     fleet: RunningFleet, entry: int, key: str, body: bytes = b"room 4"
 ) -> tuple[int, str, bytes]:
-    """One booking: its status, verdict and answer."""
+    """Send one booking and return its status, verdict and answer."""
     headers = ((b"idempotency-key", key.encode()),)
     head, answer = await fleet.entries[entry].call("POST", "/desk/holds", body, headers=headers)
     return head.status, head.header(b"fireflyfork-verdict") or "", answer
 
 
 class RepeatedKeyTest(unittest.TestCase):
-    """Repeats while the home stays where it is."""
+    """Repeats while the key's home does not change."""
 
     def test_a_repeat_at_another_entry_gets_the_first_answer(self) -> None:
-        """A clerk's browser sends a booking again through another entry.
+        """Guards against a booking that runs twice when it is repeated at another entry.
 
-        If it ran again, the room would be booked and invoiced twice.
+        The room would be booked and invoiced twice.
         """
 
         async def body(fleet: RunningFleet) -> None:
@@ -78,7 +81,7 @@
         run_fleet(body)
 
     def test_repeats_at_once_join_the_first(self) -> None:
-        """An impatient clerk clicks many times; one booking runs and all see its answer."""
+        """Guards against concurrent repeats that each run: one booking runs, all get its answer."""
 
         async def body(fleet: RunningFleet) -> None:
             key = a_key()
@@ -97,7 +100,10 @@
         run_fleet(body)
 
     def test_another_request_under_a_used_key(self) -> None:
-        """A faulty client uses one key for two rooms; the second must not pass for the first."""
+        """Guards against a second request that gets the answer of the first one with its key.
+
+        A faulty client uses one key for two different bookings.
+        """
 
         async def body(fleet: RunningFleet) -> None:
             key = a_key()
@@ -109,7 +115,7 @@
         run_fleet(body)
 
     def test_a_repeat_after_a_lost_answer_does_not_run_again(self) -> None:
-        """The executor ran the booking and its answer was lost; the clerk tries again."""
+        """Guards against a second run after the executor ran the booking and its answer was lost."""
 
         async def body(fleet: RunningFleet) -> None:
             for executor in fleet.executors.values():
@@ -122,7 +128,10 @@
         run_fleet(body)
 
     def test_a_key_from_the_future(self) -> None:
-        """A caller's clock is far ahead, so that its keys would outlive the memory of them."""
+        """Guards against keys that stay valid after the home has forgotten them.
+
+        The keys' times are in the future because the caller's clock is far ahead.
+        """
 
         async def body(fleet: RunningFleet) -> None:
             status, verdict, _ = await book(fleet, 0, a_key(-3600))
@@ -133,12 +142,12 @@
 
 
 class LostHomeTest(unittest.TestCase):
-    """Repeats after the home was lost, which its guard has copies for."""
+    """Repeats after the loss of a home whose guard holds copies of its key tables."""
 
     def test_a_key_that_never_started_runs_at_the_new_home(self) -> None:
-        """A clerk books just after the home died, with a key that tells nothing of its age.
+        """Guards against new bookings that are refused for minutes after a home was lost.
 
-        Without a copy of the started keys the booking would be refused for minutes, as one that
+        The key contains no time, so without a copy of the started keys it would count as one that
         may have run.
         """
 
@@ -155,7 +164,7 @@
         run_fleet_with_targets_at_entry_1(body)
 
     def test_two_homes_lost_one_after_the_other(self) -> None:
-        """The second home dies soon after it took over from the first, with the first's keys."""
+        """Guards against the loss of the first home's keys when the second home is lost too."""
 
         async def body(fleet: RunningFleet) -> None:
             fleet.fleet.guards[MemberId("entry-0")] = MemberId("entry-1")
@@ -174,9 +183,10 @@
         run_fleet_with_targets_at_entry_1(body)
 
     def test_a_copy_of_another_term_is_not_trusted(self) -> None:
-        """The home had left its guard for another, started a key there, and came back.
+        """Guards against a stale copy that lets a booking run a second time.
 
-        The guard's copy is stale; taking it for whole would let the booking run a second time.
+        The home changed its guard, started a key, and returned to the first guard, whose copy lacks
+        that key.
         """
 
         async def body(fleet: RunningFleet) -> None:
@@ -195,7 +205,10 @@
         run_fleet_with_targets_at_entry_1(body)
 
     def test_nothing_runs_that_the_guard_does_not_know(self) -> None:
-        """The guard is gone and not replaced yet; the booking waits, and is then refused."""
+        """Guards against bookings that run before the guard has acknowledged their keys.
+
+        The guard is lost and not replaced yet; the booking waits until it is refused.
+        """
 
         async def body(fleet: RunningFleet) -> None:
             fleet.fleet.guards[MemberId("entry-0")] = MemberId("nobody")
@@ -211,10 +224,10 @@
 
 
 class MovedHomeTest(unittest.TestCase):
-    """Repeats after the home has changed."""
+    """Repeats after another entry became the key's home."""
 
     def test_a_planned_move_takes_the_answers_along(self) -> None:
-        """The home restarts as planned between a booking and its repeat; nothing is forgotten."""
+        """Guards against keys and answers that are lost in a planned restart of their home."""
 
         async def body(fleet: RunningFleet) -> None:
             old, new = a_key(), a_key()
@@ -227,9 +240,10 @@
         run_fleet(body)
 
     def test_a_lost_home_leaves_doubt_about_earlier_keys_only(self) -> None:
-        """The home dies after it ran a booking whose answer got lost, and its table with it.
+        """Guards against a second run of a booking after its home and key table were lost.
 
-        The repeat must not run. A key that was made here later was never used and runs.
+        The answer was lost too. The key is older than the loss, so the repeat is refused as one
+        that may have run. A key that the new home generates later was never used and runs.
         """
 
         async def body(fleet: RunningFleet) -> None:
@@ -243,9 +257,10 @@
         run_fleet(body)
 
     def test_after_a_lost_owner_callers_hear_when_its_slots_are_surely_free(self) -> None:
-        """The owner died with unknown work on its executors, so none of their slots is counted on.
+        """Guards against callers that wait in vain for the slots of a lost owner.
 
-        A caller whose deadline comes earlier is refused at once and told when to come back.
+        The lost owner's requests may still run, so its slots count as busy for the longest run
+        time. A caller with an earlier deadline is refused immediately, with the time to retry.
         """
 
         async def body(fleet: RunningFleet) -> None:
@@ -259,7 +274,10 @@
         run_fleet(body)
 
     def test_an_old_home_that_does_not_know_it_yet_runs_nothing(self) -> None:
-        """The home was paused, lost its right and wakes; a booking reaches it before the news."""
+        """Guards against a run at a home that was paused, lost its right and was resumed.
+
+        A booking reaches it before it has received the new fleet record.
+        """
 
         async def body(fleet: RunningFleet) -> None:
             fleet.fleet.without_right.update(fleet.fleet.addresses)
--- a/fireflyfork/programs/tests/test_leaving.py
+++ b/fireflyfork/programs/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""Targets and entries that leave as planned."""
+"""Tests of targets and entries that leave as planned."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -15,7 +15,7 @@
 
 
 def run_fleet(body: Callable[[RunningFleet], Awaitable[None]], **arrangement: object) -> None:
-    """Run ``body`` with a fleet of that arrangement."""
+    """Run ``body`` with a fleet; ``arrangement`` is passed to ``running_fleet``."""
 
     async def main() -> None:
         with trio.fail_after(GENEROUS_SECONDS):
@@ -28,7 +28,7 @@
 async def book_all_at_entry_1(
     fleet: RunningFleet, meanwhile: Callable[[], Awaitable[None]]
 ) -> list[int]:
-    """The statuses of four bookings during which ``meanwhile`` happens."""
+    """Return the statuses of four bookings, during which ``action`` is called."""
     statuses: list[int] = []
 
     async def one() -> None:
@@ -44,12 +44,12 @@
 
 
 class LeavingTargetTest(unittest.TestCase):
-    """A target that the platform takes away."""
+    """A target that the platform reports as leaving."""
 
     def test_it_gets_nothing_new_once_a_peer_has_told_the_owner(self) -> None:
-        """Only one entry has seen the new list; the owner's copy of it lags.
+        """Guards against bookings that are sent to a leaving target and end with its instance.
 
-        If the owner went on sending, bookings would be cut off when the instance stops.
+        Only one entry has the new instance list; the owner's list lags.
         """
 
         async def body(fleet: RunningFleet) -> None:
@@ -66,7 +66,7 @@
         run_fleet(body)
 
     def test_what_runs_on_it_is_not_cut_off(self) -> None:
-        """The news comes while bookings run on the target; they are answered all the same."""
+        """Guards against running bookings that are not answered because their target is leaving."""
 
         async def body(fleet: RunningFleet) -> None:
             async def lose_all() -> None:
@@ -83,7 +83,7 @@
     """An entry that is restarted as planned."""
 
     def test_requests_in_flight_are_answered(self) -> None:
-        """The entry is told to stop while clerks wait for their answers from it."""
+        """Guards against unanswered requests when an entry is stopped while callers wait."""
 
         async def body(fleet: RunningFleet) -> None:
             async def stop() -> None:
@@ -95,10 +95,9 @@
         run_fleet(body, run_seconds=0.4)
 
     def test_a_kept_connection_is_told_before_it_is_closed(self) -> None:
-        """A caller sends one request after another on one connection while the entry stops.
+        """Guards against a stopping entry that closes a kept connection without notice.
 
-        A connection closed without notice could meet a request on its way, and the caller would
-        not know whether it ran.
+        A request could already be on its way, and its caller could not tell whether it ran.
         """
 
         async def body(fleet: RunningFleet) -> None:
@@ -120,9 +119,10 @@
         run_fleet(body)
 
     def test_a_planned_move_under_load_loses_and_doubles_nothing(self) -> None:
-        """Ownership of all targets moves while bookings run and wait at the old owner.
+        """Guards against lost or repeated bookings when the ownership of all targets moves.
 
-        Those that wait go to the new owner; what runs is counted there as busy.
+        Bookings that wait at the old owner are redirected to the new one, which counts the slots of
+        running bookings as busy.
         """
 
         async def body(fleet: RunningFleet) -> None:
--- a/fireflyfork/programs/tests/test_membership.py
+++ b/fireflyfork/programs/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Several memberships against one store in memory, on a clock that jumps."""
+"""Tests of several memberships with one in-memory store and a mock clock."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -15,11 +15,11 @@
 
 
 _SETTLED_SECONDS = 25
-"""Long enough for joins, moves and the change to better guards."""
+"""Time for joins, moves and the change to better guards to complete."""
 
 
 def _with_fleet(scenario: Callable[[Fleet, list[Membership]], Awaitable[None]]) -> None:
-    """Run a scenario with three members that have settled."""
+    """Run a scenario with three members after ``_SETTLED_SECONDS``."""
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
@@ -33,10 +33,10 @@
 
 
 class MembershipTest(unittest.TestCase):
-    """Joining, serving through an outage, taking over and leaving."""
+    """Joins, store outages, takeovers and planned stops."""
 
     def test_members_share_evenly_and_agree(self) -> None:
-        """After the start each partition has one owner who may dispatch."""
+        """After the start each partition has exactly one owner that may dispatch."""
 
         async def scenario(fleet: Fleet, members: list[Membership]) -> None:
             self.assertEqual(sorted(len(one.owned_partitions) for one in members), [10, 11, 11])
@@ -47,7 +47,7 @@
         _with_fleet(scenario)
 
     def test_idle_fleet_leaves_the_store_alone(self) -> None:
-        """A fleet that wrote heartbeats would use up the store's calls as it grows."""
+        """Guards against regular store calls, whose number would grow with the fleet."""
 
         async def scenario(fleet: Fleet, members: list[Membership]) -> None:
             fleet.store.calls.clear()
@@ -58,7 +58,7 @@
         _with_fleet(scenario)
 
     def test_store_outage_stops_nobody(self) -> None:
-        """The store is away for ten minutes, and requests go on being served by all."""
+        """Guards against members that stop serving while the store is down, here for 10 minutes."""
 
         async def scenario(fleet: Fleet, members: list[Membership]) -> None:
             fleet.store.down = True
@@ -71,7 +71,7 @@
         _with_fleet(scenario)
 
     def test_dead_member_is_replaced(self) -> None:
-        """An instance dies. Its targets would be refused until others own them."""
+        """Guards against targets without an owner after the owner's instance was lost."""
 
         async def scenario(fleet: Fleet, members: list[Membership]) -> None:
             lost = members[1].owned_partitions
@@ -86,7 +86,7 @@
         _with_fleet(scenario)
 
     def test_cut_member_stops_and_joins_anew(self) -> None:
-        """Guards against targets with two owners, one of them cut off from peers and store."""
+        """Guards against targets with two owners, one of which is cut off from peers and store."""
 
         async def scenario(fleet: Fleet, members: list[Membership]) -> None:
             cut = members[1]
@@ -104,7 +104,10 @@
         _with_fleet(scenario)
 
     def test_fenced_member_joins_anew(self) -> None:
-        """A process was frozen for longer than its right lasts, and wakes as a stranger."""
+        """Guards against a fenced member that never rejoins.
+
+        A process that was frozen for longer than its right lasts is fenced while it is frozen.
+        """
 
         async def scenario(fleet: Fleet, members: list[Membership]) -> None:
             members[0].declare_gone(members[1].member_id)
@@ -119,7 +122,10 @@
         _with_fleet(scenario)
 
     def test_unreachable_member_does_not_come_back_every_few_seconds(self) -> None:
-        """Guards against targets that change owners every few seconds for a member without peers."""
+        """Guards against targets that change owners every few seconds.
+
+        A member that reaches the store but not its peers would rejoin and be fenced repeatedly.
+        """
 
         async def scenario(fleet: Fleet, members: list[Membership]) -> None:
             fleet.network.cut.add(Address("127.0.0.1", 2))
@@ -133,7 +139,10 @@
         _with_fleet(scenario)
 
     def test_planned_stop_hands_over_occupied_slots(self) -> None:
-        """An entry is replaced. Its requests in flight still hold slots that the next must count."""
+        """Guards against overloaded executors after a planned stop.
+
+        Requests in flight at the old owner hold slots that the new owner must count as busy.
+        """
 
         async def scenario(fleet: Fleet, members: list[Membership]) -> None:
             given = members[0].owned_partitions
@@ -148,7 +157,7 @@
         _with_fleet(scenario)
 
     def test_planned_stop_during_an_outage(self) -> None:
-        """The hand-over can't be written, so the entry goes on serving until its time is up."""
+        """Guards against a gap in service: the hand-over can't be written, so the entry serves on."""
 
         async def scenario(fleet: Fleet, members: list[Membership]) -> None:
             fleet.store.down = True
@@ -158,7 +167,10 @@
         _with_fleet(scenario)
 
     def test_lost_answers_change_nothing(self) -> None:
-        """Every write takes effect without an answer while a fourth entry joins."""
+        """Guards against wrong conclusions from a write that took effect although its answer was lost.
+
+        The answers to four writes are lost while a fourth entry joins.
+        """
 
         async def scenario(fleet: Fleet, members: list[Membership]) -> None:
             fleet.store.answers_to_lose = 4
@@ -172,7 +184,7 @@
         _with_fleet(scenario)
 
     def test_changes_can_be_followed(self) -> None:
-        """The request path must learn of a new owner, or it would forward to the old one."""
+        """Guards against a request path that forwards to a former owner."""
 
         async def scenario(fleet: Fleet, members: list[Membership]) -> None:
             async for view in members[0].changes():
@@ -185,5 +197,5 @@
         _with_fleet(scenario)
 
     def test_clock_goes_on_in_suspension(self) -> None:
-        """The default clock is one that counts the time that a machine was suspended."""
+        """The default clock, which includes the time of suspension, is available."""
         self.assertGreater(boot_time(), 0)
--- a/fireflyfork/programs/tests/test_process_history.py
+++ b/fireflyfork/programs/tests/test_process_history.py
@@ -1,4 +1,4 @@
-"""Failures of whole processes, judged by the history that callers and executors recorded."""
+"""Tests of failures of whole processes, checked on the history of callers and executors."""
 
 import signal
 import time
@@ -18,7 +18,7 @@
 
 
 def run_scenario(scenario: Scenario, relayed: bool = False, settled: bool = True) -> None:
-    """Run a scenario against a fleet of its own, by default once its joins are over."""
+    """Run a scenario with a new fleet, by default after all entries answer bookings."""
 
     async def main() -> None:
         with trio.fail_after(LONGEST_SECONDS):
@@ -31,20 +31,21 @@
     try:
         trio.run(main)
     except BaseExceptionGroup as group:
-        # A nursery wraps what a check raises, and the runner would report an error of its own.
+        # A nursery wraps a failed check in a group, which the test runner would report as an error
+        # instead of a failure.
         if len(group.exceptions) == 1:
             raise group.exceptions[0] from None
         raise
 
 
 async def owner_of_most(fleet: ProcessFleet) -> EntryProcess:
-    """The entry that owns most targets."""
+    """Return the entry that owns the most targets."""
     owned = [(len(await fleet.own_targets(entry)), entry.name, entry) for entry in fleet.entries]
     return max(owned)[2]
 
 
 class ProcessHistoryTest(unittest.TestCase):
-    """Each promise that holds under every failure is checked after each scenario."""
+    """After each scenario, all guarantees that hold under every failure are checked."""
 
     async def _judge(self, fleet: ProcessFleet, least_answered: int) -> None:
         history = await fleet.history()
@@ -55,7 +56,7 @@
         )
 
     def test_nothing_fails(self) -> None:
-        """The harness itself: all bookings are answered."""
+        """Without failures all bookings are answered, so the harness itself loses none."""
 
         async def scenario(fleet: ProcessFleet) -> None:
             await Callers(fleet, seed=1).run(CALLERS, 3.0)
@@ -65,7 +66,10 @@
         run_scenario(scenario)
 
     def test_an_owner_dies_under_load(self) -> None:
-        """Guards against second runs and a false "not run" when an owner dies with bookings under way."""
+        """Guards against second runs and a false "not run" when an owner is killed.
+
+        Bookings are running at the owner when its process is killed.
+        """
 
         async def scenario(fleet: ProcessFleet) -> None:
             victim = await owner_of_most(fleet)
@@ -80,7 +84,7 @@
         run_scenario(scenario, relayed=True)
 
     def test_an_owner_is_paused_and_resumed(self) -> None:
-        """Guards against executors with more than their slots after a paused owner wakes replaced."""
+        """Guards against overloaded executors when an owner is paused, replaced and resumed."""
 
         async def scenario(fleet: ProcessFleet) -> None:
             victim = await owner_of_most(fleet)
@@ -93,7 +97,7 @@
         run_scenario(scenario, relayed=True)
 
     def test_the_store_is_down_under_load(self) -> None:
-        """The platform's store answers nothing for six seconds; no caller notices."""
+        """Guards against unanswered bookings while the platform's store is down for 6 seconds."""
 
         async def scenario(fleet: ProcessFleet) -> None:
             async with trio.open_nursery() as nursery:
@@ -108,7 +112,7 @@
         run_scenario(scenario)
 
     def test_store_answers_are_lost_while_an_entry_joins(self) -> None:
-        """An entry is killed and restarted, and the store's answers to its changes are lost."""
+        """Guards against false conclusions from lost store answers when a killed entry rejoins."""
 
         async def scenario(fleet: ProcessFleet) -> None:
             victim = fleet.entries[1]
@@ -125,7 +129,11 @@
         run_scenario(scenario)
 
     def test_failures_come_together_and_twice(self) -> None:
-        """Guards against false words to callers when entries fail while nobody can be fenced."""
+        """Guards against wrong verdicts when entries fail while the store is down.
+
+        No member can be fenced during the outage. Then store answers are lost and another entry is
+        paused.
+        """
 
         async def scenario(fleet: ProcessFleet) -> None:
             dies, pauses = fleet.entries[1], fleet.entries[2]
@@ -144,7 +152,7 @@
         run_scenario(scenario, relayed=True)
 
     def test_a_planned_restart_cuts_nothing_off(self) -> None:
-        """An owner is restarted for an update while clerks book; none of them may notice."""
+        """Guards against cut-off or doubtful bookings when an owner is restarted as planned."""
 
         async def scenario(fleet: ProcessFleet) -> None:
             victim = await owner_of_most(fleet)
@@ -165,7 +173,10 @@
         run_scenario(scenario, relayed=True)
 
     def test_a_leaving_executor_gets_nothing_new(self) -> None:
-        """The lagging list says that an executor leaves; work sent to it later would be cut off."""
+        """Guards against bookings that are sent to a leaving executor and end with its instance.
+
+        The entries read the change from an instance list that lags.
+        """
 
         async def scenario(fleet: ProcessFleet) -> None:
             leaving = TargetId("t0")
@@ -183,7 +194,7 @@
         run_scenario(scenario)
 
     def test_connections_go_silent_for_good(self) -> None:
-        """Guards against calls that go on over connections which have gone silent."""
+        """Guards against requests that are sent on connections that have gone silent."""
 
         async def scenario(fleet: ProcessFleet) -> None:
             async with trio.open_nursery() as nursery:
--- a/fireflyfork/programs/tests/test_request_path.py
+++ b/fireflyfork/programs/tests/test_request_path.py
@@ -1,4 +1,4 @@
-"""The whole way of requests through entries, on real sockets."""
+"""Tests of the whole path of requests through entries, on loopback sockets."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -16,7 +16,7 @@
 
 
 def run_fleet(body: Body, **arrangement: object) -> None:
-    """Run ``body`` with a fleet of that arrangement."""
+    """Run ``body`` with a fleet; ``arrangement`` is passed to ``running_fleet``."""
 
     async def main() -> None:
         with trio.fail_after(GENEROUS_SECONDS):
@@ -27,10 +27,10 @@
 
 
 class RequestPathTest(unittest.TestCase):
-    """Requests that go well, and bad input at the door."""
+    """Requests that succeed, and invalid input that is refused."""
 
     def test_a_booking_through_an_entry_that_owns_nothing(self) -> None:
-        """It is answered whole, runs once, and leaves a span for every hop of one trace."""
+        """The booking is answered completely, runs once, and each hop writes a span of one trace."""
 
         async def body(fleet: RunningFleet) -> None:
             caller = fleet.entries[2]
@@ -46,7 +46,7 @@
         run_fleet(body)
 
     def test_only_traces_that_were_sampled_are_written(self) -> None:
-        """A caller's trace context says so itself; every hop heeds it."""
+        """Each hop follows the sampling flag of the caller's trace context."""
 
         async def body(fleet: RunningFleet) -> None:
             trace = (b"traceparent", b"00-" + b"1" * 32 + b"-" + b"2" * 16 + b"-00")
@@ -58,7 +58,7 @@
         run_fleet(body)
 
     def test_bodies_stream_whole_through_two_hops(self) -> None:
-        """A body far larger than any buffer on the way comes back unchanged."""
+        """A body much larger than any buffer on the path is echoed unchanged."""
 
         async def body(fleet: RunningFleet) -> None:
             sent = b"0123456789abcdef" * 50_000
@@ -69,7 +69,10 @@
         run_fleet(body)
 
     def test_many_callers_each_get_their_own_answer(self) -> None:
-        """Answers come back in another order than requests went out, on the same peer stream."""
+        """Guards against swapped answers on a peer stream.
+
+        Answers arrive there in another order than the requests were sent.
+        """
 
         async def body(fleet: RunningFleet) -> None:
             async def one(number: int) -> None:
@@ -89,7 +92,7 @@
         run_fleet(body, owned_by={0: 0, 1: 1, 2: 2, 3: 1})
 
     def test_bad_input_is_refused_with_a_reason(self) -> None:
-        """Each mistake gets a clear status and the verdict, nothing runs, and the entry lives on."""
+        """Each invalid request gets its status, a reason and the verdict "not-run", and none runs."""
         key = b"idempotency-key"
         cases = [
             ("GET", "/nothing/x", "100", (), 404, "no service"),
@@ -120,7 +123,10 @@
         run_fleet(body)
 
     def test_what_is_not_http_is_refused_and_ends_only_its_connection(self) -> None:
-        """Scanners and broken clients send what no parser takes; clerks beside them book on."""
+        """Guards against malformed input that disturbs other callers.
+
+        Port scanners and broken clients send bytes that are not valid HTTP.
+        """
         cases = [
             (b"\x16\x03\x01\x02\x00\x01\x00", b"400"),
             (b"GET /desk/x HTTP/1.1\r\nno colon\r\n\r\n", b"400"),
@@ -149,7 +155,10 @@
         run_fleet(body)
 
     def test_a_caller_that_sends_half_a_head_and_stops(self) -> None:
-        """Its connection is ended after a while, and the entry serves others meanwhile."""
+        """Guards against connections that are held open by an incomplete request.
+
+        The connection is closed after a timeout, and other callers are served in the meantime.
+        """
 
         async def body(fleet: RunningFleet) -> None:
             address = fleet.entries[0].caller_address
@@ -163,7 +172,7 @@
         run_fleet(body)
 
     def test_an_oversized_body_is_refused(self) -> None:
-        """A caller sends more than the service takes; it is told so and nothing runs."""
+        """A body longer than the service's limit is refused with status 413, and nothing runs."""
 
         async def body(fleet: RunningFleet) -> None:
             fleet.reconfigure(longest_body_bytes=1000)
@@ -175,12 +184,12 @@
 
 
 class VerdictOfFailureTest(unittest.TestCase):
-    """What callers are told when something fails."""
+    """The verdicts that callers get when a part of the path fails."""
 
     def test_an_answer_lost_after_the_run(self) -> None:
-        """The executor runs a booking and the connection breaks before the answer.
+        """Guards against a repeated run after an executor's connection broke before the answer.
 
-        The caller must hear that it may have run, at once, and it must not run again elsewhere.
+        The caller must get the verdict "may-have-run" immediately.
         """
 
         async def body(fleet: RunningFleet) -> None:
@@ -195,7 +204,7 @@
         run_fleet(body)
 
     def test_a_silent_executor_costs_no_more_than_the_deadline(self) -> None:
-        """The executor never answers. The caller hears so at the deadline, not later."""
+        """Guards against callers that wait past their deadline for an executor that never answers."""
 
         async def body(fleet: RunningFleet) -> None:
             for executor in fleet.executors.values():
@@ -207,7 +216,10 @@
         run_fleet(body)
 
     def test_an_owner_without_the_right_runs_nothing(self) -> None:
-        """The owner was paused and can't know whether it was replaced; callers hear "not run"."""
+        """Guards against runs at an owner that was paused and may have been replaced.
+
+        Callers get the verdict "not-run".
+        """
 
         async def body(fleet: RunningFleet) -> None:
             fleet.fleet.without_right.add(MemberId("entry-0"))
@@ -220,7 +232,10 @@
         run_fleet(body)
 
     def test_overload_is_refused_at_once(self) -> None:
-        """Far more callers come than there is room for; the surplus hears when to come back."""
+        """Guards against an overloaded entry that lets all requests wait past their deadlines.
+
+        Requests that can't be served in time are refused with the time to retry.
+        """
 
         async def body(fleet: RunningFleet) -> None:
             statuses: list[int] = []
