--- a/fireflyfork/programs/_target_group.py
+++ b/fireflyfork/programs/_target_group.py
@@ -99,7 +99,7 @@
     def __init__(self, contract: ServiceContract, released: Callable[[RequestId], None]) -> None:
         """Start without targets.
 
-        ``released`` is called with each attempt that is proved to have ended.
+        ``on_ended`` is called with each attempt that is proved to have ended.
         """
         self._contract = contract
         self._released = released
--- a/fireflyfork/programs/_time_left.py
+++ b/fireflyfork/programs/_time_left.py
@@ -37,10 +37,10 @@
             wait.deadline = self._until
 
     async def wait(self, work: Awaitable[_Result], verdict: Verdict) -> _Result:
-        """Await ``work`` and return its result.
+        """Await ``operation`` and return its result.
 
-        Raises StoppingError if the deadline passes first. Its ``verdict`` tells whether the work
-        may have had effects.
+        Raises StoppingError if the deadline passes first. Its ``verdict`` tells whether the
+        operation may have had effects.
         """
         scope = trio.CancelScope(deadline=self._until)
         self._waits.add(scope)
--- a/fireflyfork/programs/tests/builders_processes.py
+++ b/fireflyfork/programs/tests/builders_processes.py
@@ -317,7 +317,7 @@
 async def process_fleet(
     relayed: bool = False, run_seconds: float = RUN_SECONDS
 ) -> AsyncIterator[ProcessFleet]:
-    """Start all processes; with ``relayed``, entries reach executors through TCP proxies."""
+    """Start all processes; with ``proxied``, entries reach executors through TCP proxies."""
     with tempfile.TemporaryDirectory(prefix="fireflyfork-test-") as name:
         async with trio.open_nursery() as nursery:
             fleet = _fleet(Path(name))
