--- a/fireflyfork/programs/_bodies.py
+++ b/fireflyfork/programs/_bodies.py
@@ -6,7 +6,7 @@
 
 from .._errors import BadRequestError
 
-REPLAYABLE_BYTES = 64 * 1024
+MAX_REPLAYABLE_BYTES = 64 * 1024
 
 
 class RequestBody:
@@ -17,24 +17,24 @@
     repeated.
     """
 
-    def __init__(self, source: AsyncIterator[bytes], longest: int) -> None:
+    def __init__(self, source: AsyncIterator[bytes], max_bytes: int) -> None:
         """Read from ``source``; a body of more than ``max_bytes`` raises BadRequestError."""
         self._source = source
-        self._longest = longest
+        self._max_bytes = max_bytes
         self._head: list[bytes] = []
         self._length = 0
-        self._whole = False
-        self._rest_taken = False
+        self._complete = False
+        self._streamed = False
 
     @property
     def replayable(self) -> bool:
         """Whether ``chunks`` can be called again."""
-        return self._whole or not self._rest_taken
+        return self._complete or not self._streamed
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the entire body is in the buffer."""
-        return self._whole
+        return self._complete
 
     @property
     def buffered(self) -> tuple[bytes, ...]:
@@ -48,25 +48,25 @@
 
     async def fill(self) -> None:
         """Fill the buffer. Raises BadRequestError, and the errors of the source."""
-        while not self._whole and self._length < REPLAYABLE_BYTES:
+        while not self._complete and self._length < MAX_REPLAYABLE_BYTES:
             chunk = await anext(self._source, None)
             if chunk is None:
-                self._whole = True
+                self._complete = True
                 return
-            self._head.append(self._counted(chunk))
+            self._head.append(self._checked(chunk))
 
     async def chunks(self) -> AsyncIterator[bytes]:
         """Yield all chunks from the start of the body."""
         for chunk in self._head:
             yield chunk
-        if self._whole:
+        if self._complete:
             return
-        self._rest_taken = True
+        self._streamed = True
         async for chunk in self._source:
-            yield self._counted(chunk)
+            yield self._checked(chunk)
 
-    def _counted(self, chunk: bytes) -> bytes:
+    def _checked(self, chunk: bytes) -> bytes:
         self._length += len(chunk)
-        if self._length > self._longest:
-            raise BadRequestError(f"body over {self._longest} bytes", status=413)
+        if self._length > self._max_bytes:
+            raise BadRequestError(f"body over {self._max_bytes} bytes", status=413)
         return chunk
--- a/fireflyfork/programs/_caller_requests.py
+++ b/fireflyfork/programs/_caller_requests.py
@@ -23,7 +23,7 @@
 _METHODS = IDEMPOTENT_METHODS - {"TRACE"} | {"POST", "PATCH"}
 _KEY = re.compile(r"[\x21-\x7e]{1,128}")
 _TARGET = re.compile(r"/([^/?#]+)([^#]*)")
-_NOT_PASSED_ON = frozenset({b"host", TIMEOUT_HEADER, KEY_HEADER, REQUEST_ID_HEADER, TRACE_HEADER})
+_DROPPED_HEADERS = frozenset({b"host", TIMEOUT_HEADER, KEY_HEADER, REQUEST_ID_HEADER, TRACE_HEADER})
 
 
 def read_request(
@@ -52,7 +52,7 @@
         service=contract.name,
         method=head.method,
         path=match[2] if match[2].startswith("/") else f"/{match[2]}",
-        headers=_passed_on(head),
+        headers=_forwarded_headers(head),
         deadline=now + _timeout(head, contract),
         trace=_trace(head, sampled),
         key=_key(head),
@@ -101,6 +101,6 @@
         raise BadRequestError(f"body over {contract.longest_body_bytes} bytes", status=413)
 
 
-def _passed_on(head: RequestHead) -> tuple[tuple[bytes, bytes], ...]:
+def _forwarded_headers(head: RequestHead) -> tuple[tuple[bytes, bytes], ...]:
     kept = end_to_end(head.headers)
-    return tuple((name, value) for name, value in kept if name not in _NOT_PASSED_ON)
+    return tuple((name, value) for name, value in kept if name not in _DROPPED_HEADERS)
--- a/fireflyfork/programs/_caller_service.py
+++ b/fireflyfork/programs/_caller_service.py
@@ -47,10 +47,10 @@
 
     async def handle(self, exchange: Exchange) -> None:
         """Answer one request."""
-        begun = trio.current_time()
+        started_at = trio.current_time()
         sink = CallerSink(exchange)
         try:
-            await self._serve(exchange, sink, begun)
+            await self._serve(exchange, sink, started_at)
         except RequestError as error:
             await sink.fail(error)
             self._count(sink, error.verdict, error.status)
@@ -69,18 +69,18 @@
         self._metrics.count("fireflyfork_malformed_total")
         await CallerSink(exchange).fail(BadRequestError(reason, status))
 
-    async def _serve(self, exchange: Exchange, sink: CallerSink, begun: float) -> None:
+    async def _serve(self, exchange: Exchange, sink: CallerSink, started_at: float) -> None:
         request, contract = read_request(
-            exchange.head, self._configuration(), begun, self._is_sampled()
+            exchange.head, self._configuration(), started_at, self._is_sampled()
         )
         if not request.idempotent:
             request = self._keyed.with_key(request)
         sink.request = request
-        with self._spans.span("request", request.trace, **_described(request)) as span:
+        with self._spans.span("request", request.trace, **_span_attributes(request)) as span:
             await self._run(exchange, sink, replace(request, trace=span.context), contract)
             span.attributes["status"] = "answered"
         self._count(sink, Verdict.ANSWERED, 200)
-        elapsed = trio.current_time() - begun
+        elapsed = trio.current_time() - started_at
         self._metrics.observe("fireflyfork_request_seconds", elapsed, service=request.service)
 
     async def _run(
@@ -117,6 +117,6 @@
         )
 
 
-def _described(request: ServiceRequest) -> dict[str, str]:
-    described = {"service": request.service, "request_id": request.request_id}
-    return {**described, "key": request.key} if request.key else {**described}
+def _span_attributes(request: ServiceRequest) -> dict[str, str]:
+    attributes = {"service": request.service, "request_id": request.request_id}
+    return {**attributes, "key": request.key} if request.key else {**attributes}
--- a/fireflyfork/programs/_configuration_keeper.py
+++ b/fireflyfork/programs/_configuration_keeper.py
@@ -37,12 +37,12 @@
 
 WATCH_SECONDS = 60.0
 RETRY_SECONDS = 0.5
-LONGEST_RETRY_SECONDS = 5.0
+MAX_RETRY_SECONDS = 5.0
 
-InForce = Callable[[Configuration], None]
+ApplyConfiguration = Callable[[Configuration], None]
 
 
-_PEERS_AT_THE_START = MemberId("peers at the start")
+_STARTUP_PEERS = MemberId("peers at the start")
 
 TRUST_PEERS_SECONDS = 5.0
 """Time as an active member after which guard and wards have sent the highest version they hold."""
@@ -51,11 +51,11 @@
 class ConfigurationKeeper:
     """Follows the configuration for one entry and applies new versions."""
 
-    def __init__(self, store: Store, in_force: InForce) -> None:
+    def __init__(self, store: Store, apply: ApplyConfiguration) -> None:
         """``apply`` is called with each configuration that comes into force."""
         self._store = store
-        self._in_force = in_force
-        self._state = begin_register((_PEERS_AT_THE_START,))
+        self._apply = apply
+        self._state = begin_register((_STARTUP_PEERS,))
         self._revision = Revision(0)
         self._version_in_force = ConfigurationVersion(0)
         self._channel: GuardChannel | None = None
@@ -79,15 +79,15 @@
         self._channel = channel
         self._membership = membership
 
-    def offered(self, member: MemberId, offer: ConfigurationOffer) -> None:
+    def handle_offer(self, member: MemberId, offer: ConfigurationOffer) -> None:
         """Handle a configuration that a peer sent."""
-        self._consider(offer, OfferSource.PEER)
+        self._process_offer(offer, OfferSource.PEER)
 
-    def peer_holds(self, member: MemberId, version: ConfigurationVersion) -> None:
+    def handle_peer_version(self, member: MemberId, version: ConfigurationVersion) -> None:
         """Handle a peer's version: send it the held configuration if that is newer."""
         held = self._state.held
         if held is not None and version < held.version:
-            self._pass_on(member, held)
+            self._send_offer(member, held)
 
     async def run(self, is_watcher: Callable[[], bool]) -> None:
         """Follow the store until cancelled; watch it while ``is_watcher`` returns True."""
@@ -108,8 +108,8 @@
         while self._membership is None or self._membership.phase is not MemberPhase.ACTIVE:
             await trio.sleep(RETRY_SECONDS)
         await trio.sleep(TRUST_PEERS_SECONDS)
-        self._state = record_peer_finished(self._state, _PEERS_AT_THE_START)
-        self._put_in_force()
+        self._state = record_peer_finished(self._state, _STARTUP_PEERS)
+        self._apply_held()
 
     async def _read_first(self) -> None:
         # Until the store has answered once, the configurations that peers offer may be outdated;
@@ -117,34 +117,34 @@
         wait = RETRY_SECONDS
         while not self._state.store_answered:
             try:
-                self._stored(await self._store.read(CONFIGURATION_KEY))
+                self._handle_stored(await self._store.read(CONFIGURATION_KEY))
             except (StoreError, SettingsError) as error:
                 logger.info("configuration could not be read", error=str(error))
                 await trio.sleep(wait)
-                wait = min(2 * wait, LONGEST_RETRY_SECONDS)
+                wait = min(2 * wait, MAX_RETRY_SECONDS)
 
     async def _watch(self) -> None:
         try:
             stored = await self._store.wait(CONFIGURATION_KEY, self._revision, WATCH_SECONDS)
         except StoreError as error:
             logger.info("configuration watch failed", error=str(error))
-            await trio.sleep(LONGEST_RETRY_SECONDS)
+            await trio.sleep(MAX_RETRY_SECONDS)
             return
         if stored is not None:
-            self._stored(stored)
+            self._handle_stored(stored)
 
-    def _stored(self, stored: StoredValue | None) -> None:
+    def _handle_stored(self, stored: StoredValue | None) -> None:
         if stored is None:
             self._state = record_empty_store(self._state)
             return
         self._revision = stored.revision
         offer = decode_configuration(stored.value)
-        self._consider(offer, OfferSource.STORE)
+        self._process_offer(offer, OfferSource.STORE)
         if self._membership is not None:
-            for mate in self._membership.zone_mates:
-                self._pass_on(mate.member_id, offer)
+            for peer in self._membership.zone_peers:
+                self._send_offer(peer.member_id, offer)
 
-    def _consider(self, offer: ConfigurationOffer, source: OfferSource) -> None:
+    def _process_offer(self, offer: ConfigurationOffer, source: OfferSource) -> None:
         self._state, outcome = merge_offer(self._state, offer, source)
         if outcome is OfferOutcome.CONFLICT:
             logger.error("two configuration changes have the same version", version=offer.version)
@@ -156,9 +156,9 @@
             # A peer replies to a version lower than its own with the whole configuration, so the
             # reported version must be current.
             self._membership.configuration_version = self.version
-        self._put_in_force()
+        self._apply_held()
 
-    def _put_in_force(self) -> None:
+    def _apply_held(self) -> None:
         held = self._state.held
         if held is None or not self._state.ready or held.version <= self._version_in_force:
             return
@@ -171,9 +171,9 @@
             return
         self._version_in_force = held.version
         logger.info("configuration in force", version=held.version)
-        self._in_force(configuration)
+        self._apply(configuration)
 
-    def _pass_on(self, member: MemberId, offer: ConfigurationOffer) -> None:
+    def _send_offer(self, member: MemberId, offer: ConfigurationOffer) -> None:
         if self._membership is None or self._nursery is None:
             return
         peer = self._membership.record.members.get(member)
--- a/fireflyfork/programs/_control_handler.py
+++ b/fireflyfork/programs/_control_handler.py
@@ -26,7 +26,7 @@
     def __init__(
         self,
         content_type: type[Content],
-        take: Callable[[MemberId, Content], object | None],
+        callback: Callable[[MemberId, Content], object | None],
         reply_topic: str = "",
     ) -> None:
         """``callback`` is called with the sender and the decoded content.
@@ -34,12 +34,12 @@
         A result other than None is sent back as a message of ``reply_topic``.
         """
         self._content_type = content_type
-        self._take = take
+        self._callback = callback
         self._reply_topic = reply_topic
 
     def handle(self, member: MemberId, content: bytes) -> Control | None:
         """See ControlHandler."""
-        reply = self._take(member, decode_content(content, self._content_type))
+        reply = self._callback(member, decode_content(content, self._content_type))
         if reply is None:
             return None
         return Control(self._reply_topic, encode_content(reply))
--- a/fireflyfork/programs/_entry.py
+++ b/fireflyfork/programs/_entry.py
@@ -17,7 +17,7 @@
 from ._forwarding import Forwarder
 from ._key_copies import KEY_COPIED, KeyCopyHolder, KeyCopySender
 from ._key_home import KeyHome
-from ._key_tables import KEY_TABLE, KeyTables
+from ._key_table_transfer import KEY_TABLE, KeyTableTransfer
 from ._keyed_requests import KeyedRequests
 from ._metrics import Metrics
 from ._operator_service import OperatorService
@@ -31,7 +31,7 @@
 from ._target_group import TargetGroup
 from ._target_groups import TargetGroups
 
-START_SECONDS = 5.0
+REGION_WAIT_SECONDS = 5.0
 """How long a starting entry waits for owners of partitions in every region to become known."""
 
 
@@ -67,7 +67,9 @@
         self.drain_requested = trio.Event()
         self._figures = PeerFigures()
         self.peer_service = PeerService(ownership, self._figures, spans)
-        self.peers = Peers(lambda: ownership.own, peer_key, self.peer_service, ownership.address_of)
+        self.peers = Peers(
+            lambda: ownership.member_id, peer_key, self.peer_service, ownership.address_of
+        )
         self._releases = SlotReleases(ownership, self.peers)
         self._targets = TargetGroups(ownership, self._releases)
         self._attempts = TargetAttempts(ownership, spans)
@@ -81,22 +83,24 @@
         for topic, handler in self._copy_holder.handlers().items():
             self.peer_service.subscribe(topic, handler)
         self._key_home = KeyHome(ownership, self._flow.dispatch, copies)
-        keyed = KeyedRequests(ownership, self._key_home, forwarder, self._in_force)
+        keyed = KeyedRequests(ownership, self._key_home, forwarder, self._current_configuration)
         self.peer_service.attach(PeerParts(self._targets, self._flow, keyed))
         self.peer_service.subscribe(SLOTS_RELEASED, self._releases)
-        self._key_tables = KeyTables(ownership, self.peers, self._key_home)
+        self._key_tables = KeyTableTransfer(ownership, self.peers, self._key_home)
         self.peer_service.subscribe(KEY_TABLE, self._key_tables)
         callers = CallerService(
             self._flow,
             keyed,
-            self._in_force,
+            self._current_configuration,
             spans,
             self.metrics,
             lambda: random.random() < trace_share,
         )
         self._callers = HttpServer(callers)
         self._operators = HttpServer(
-            OperatorService(self.metrics, self._unready, self.status, self.drain_requested.set)
+            OperatorService(
+                self.metrics, self._unready_reason, self.status, self.drain_requested.set
+            )
         )
         self._add_gauges()
 
@@ -113,7 +117,7 @@
     def configure(self, configuration: Configuration) -> None:
         """Apply a new configuration."""
         self._configuration = configuration
-        region = self._ownership.region_of(self._ownership.own)
+        region = self._ownership.region_of(self._ownership.member_id)
         self._flow.set_links(dict(_link_budgets(configuration, region)))
         self.refresh()
 
@@ -122,7 +126,7 @@
         if self._configuration is not None:
             self._configured_at = min(self._configured_at, trio.current_time())
             self._targets.refresh(self._configuration)
-        self._key_tables.follow()
+        self._key_tables.apply_ownership()
         members = self._ownership.other_members()
         self._figures.keep_only(frozenset(members))
         self.peers.forget_all_but(frozenset(members))
@@ -130,16 +134,18 @@
 
     def follow_fleet(self, record: FleetRecord) -> None:
         """Apply a change of the fleet record."""
-        lost = self._copy_holder.follow(record)
+        lost = self._copy_holder.apply_record(record)
         self.refresh()
-        self._key_tables.send_lost(lost)
+        self._key_tables.send_copies(lost)
 
     def note_instances(self, changes: Iterable[InstanceChange]) -> None:
         """Apply changes of the platform's instance list: stop using targets that leave."""
         leaving = self._targets.leaving
         changes = tuple(changes)
-        going = [c.target_id for c in changes if c.state is not InstanceState.LIVE]
-        self._targets.note_leaving(leaving.mark_seen(going, trio.current_time()))
+        leaving_ids = [
+            change.target_id for change in changes if change.state is not InstanceState.LIVE
+        ]
+        self._targets.note_leaving(leaving.mark_seen(leaving_ids, trio.current_time()))
 
     def occupied(
         self, partitions: tuple[PartitionId, ...]
@@ -151,7 +157,7 @@
         """Serve until cancelled. Call ``stop_callers`` first for a graceful stop."""
         async with trio.open_nursery() as nursery:
             self._attempts.attach(nursery)
-            self._releases.attach(nursery, self._targets.inherited_released)
+            self._releases.attach(nursery, self._targets.release_inherited)
             self._key_home.attach(nursery)
             self._key_tables.attach(nursery)
             nursery.start_soon(self.peers.run, listeners.peers)
@@ -182,13 +188,15 @@
         """Return the answer of ``/status``."""
         configuration = self._configuration
         return EntryStatus(
-            member=self._ownership.own,
-            region=self._ownership.region_of(self._ownership.own),
+            member=self._ownership.member_id,
+            region=self._ownership.region_of(self._ownership.member_id),
             draining=bool(self._stopping),
             in_flight=self._callers.connection_count + self.peer_service.in_flight,
             configuration_version=configuration.version if configuration else NO_VERSION,
             other_members=self._ownership.other_members(),
-            services={group.contract.name: _status(group) for group in self._targets.groups()},
+            services={
+                group.contract.name: _service_status(group) for group in self._targets.groups()
+            },
         )
 
     async def _keep_streams_open(self) -> None:
@@ -196,23 +204,27 @@
             self.peers.keep_open(self._ownership.other_members())
             await trio.sleep(1.0)
 
-    def _in_force(self) -> Configuration | None:
+    def _current_configuration(self) -> Configuration | None:
         return self._configuration
 
-    def _unready(self) -> str:
+    def _unready_reason(self) -> str:
         if self._stopping:
             return self._stopping
         if self._configuration is None:
             return "no configuration yet"
-        known = {region_of(partition) for partition in self._ownership.owners()}
-        if self._ownership.region_of(self._ownership.own) not in known:
+        regions_with_owners = {region_of(partition) for partition in self._ownership.owners()}
+        if self._ownership.region_of(self._ownership.member_id) not in regions_with_owners:
             return "no owners known in the own region"
         # A caller's key may have its home in any region. An entry that reported ready before it had
         # these homes in its record would refuse its first callers. The loss of a whole region must
         # not make the other regions unready, so this applies only to the first
         # `REGION_WAIT_SECONDS`.
-        missing = [one.name for one in self._configuration.regions if one.name not in known]
-        if missing and trio.current_time() - self._configured_at < START_SECONDS:
+        missing = [
+            region.name
+            for region in self._configuration.regions
+            if region.name not in regions_with_owners
+        ]
+        if missing and trio.current_time() - self._configured_at < REGION_WAIT_SECONDS:
             return f"no owners known in {', '.join(missing)}"
         return ""
 
@@ -221,7 +233,7 @@
         self.metrics.gauge("fireflyfork_caller_connections", lambda: self._callers.connection_count)
 
 
-def _status(group: TargetGroup) -> ServiceStatus:
+def _service_status(group: TargetGroup) -> ServiceStatus:
     return ServiceStatus(tuple(sorted(group.targets)), group.figures().free_slots, group.queued)
 
 
@@ -230,5 +242,5 @@
 ) -> Iterator[tuple[RegionName, LinkBudget]]:
     for link in configuration.links:
         if region in link.regions:
-            far = link.regions[0] if link.regions[1] == region else link.regions[1]
-            yield far, LinkBudget(link.bytes_per_second * link.spill_share)
+            remote_region = link.regions[0] if link.regions[1] == region else link.regions[1]
+            yield remote_region, LinkBudget(link.bytes_per_second * link.spill_share)
--- a/fireflyfork/programs/_entry_messages.py
+++ b/fireflyfork/programs/_entry_messages.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RefusedAnswer:
+class CallerErrorBody:
     """The body of an answer that the entry gives itself because no executor answered."""
 
     error: str
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OperatorError:
+class OperatorErrorBody:
     """The body of an answer that refuses an operator's call."""
 
     error: str
--- a/fireflyfork/programs/_entry_settings.py
+++ b/fireflyfork/programs/_entry_settings.py
@@ -8,7 +8,7 @@
 from .._ids import FailureDomainName, RegionName
 from .._links import Address
 
-SHORTEST_PEER_KEY = 16
+MIN_PEER_KEY_LENGTH = 16
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,8 +47,8 @@
             "instance_list_address",
         ):
             _check_address(field, getattr(self, field))
-        if len(self.peer_key) < SHORTEST_PEER_KEY:
-            raise SettingsError(f"$.peer_key: expected {SHORTEST_PEER_KEY} characters or more")
+        if len(self.peer_key) < MIN_PEER_KEY_LENGTH:
+            raise SettingsError(f"$.peer_key: expected {MIN_PEER_KEY_LENGTH} characters or more")
         if not 0.0 <= self.trace_share <= 1.0:
             raise SettingsError(f"$.trace_share: value {self.trace_share}: expected 0 to 1")
         if not self.drain_notice_seconds >= 0.0:
--- a/fireflyfork/programs/_forwarding.py
+++ b/fireflyfork/programs/_forwarding.py
@@ -26,8 +26,8 @@
 from ._sinks import AnswerSink
 from ._span_writer import SpanWriter
 
-NEAR_MARGIN_SECONDS = 0.01
-FAR_MARGIN_SECONDS = 0.06
+SAME_REGION_MARGIN_SECONDS = 0.01
+OTHER_REGION_MARGIN_SECONDS = 0.06
 """The peer's deadline is earlier by the margin, so that its verdict arrives before our deadline."""
 
 
@@ -60,10 +60,10 @@
             raise OverloadedError(503, "the deadline can't be made", Verdict.NOT_RUN, 1.0)
         with self._spans.span("forward", request.trace, peer=member, role=role.value) as span:
             stream = await self._stream(member)
-            self._figures.sent(member, request.service)
+            self._figures.count_forwarded(member, request.service)
             number, call = stream.open_call()
-            forward = _message(number, role, request, span.context.traceparent, margin)
-            await self._carry(stream, call, forward, request, body, sink)
+            forward = _forward_message(number, role, request, span.context.traceparent, margin)
+            await self._run_call(stream, call, forward, request, body, sink)
 
     async def _stream(self, member: MemberId) -> PeerConnection:
         try:
@@ -71,7 +71,7 @@
         except PeerError as error:
             raise RequestError(503, str(error), Verdict.NOT_RUN, retry_after=1.0) from error
 
-    async def _carry(
+    async def _run_call(
         self,
         stream: PeerConnection,
         call: OutgoingCall,
@@ -98,7 +98,7 @@
     async def _exchange(
         self, call: OutgoingCall, body: RequestBody, sink: AnswerSink, request: ServiceRequest
     ) -> None:
-        if body.whole:
+        if body.is_complete:
             await _send_body(call, body)
             await self._receive(call, sink, request)
             return
@@ -130,20 +130,24 @@
             raise refused(event)
         if not isinstance(event, AnswerHead):
             raise PeerError("a body without a head")
-        self._note(call.member, request, event.figures)
+        self._record_figures(call.member, request, event.figures)
         await sink.start(ResponseHead(event.status, tuple(event.headers)))
         async for data in call.body():
             await sink.send(data)
         await sink.end()
 
-    def _note(self, member: MemberId, request: ServiceRequest, figures: ServiceFigures) -> None:
+    def _record_figures(
+        self, member: MemberId, request: ServiceRequest, figures: ServiceFigures
+    ) -> None:
         region = self._ownership.region_of(member)
         if region is not None:
-            self._figures.heard(member, region, request.service, figures)
+            self._figures.update(member, region, request.service, figures)
 
     def _margin(self, member: MemberId) -> float:
-        near = self._ownership.region_of(member) == self._ownership.region_of(self._ownership.own)
-        return NEAR_MARGIN_SECONDS if near else FAR_MARGIN_SECONDS
+        same_region = self._ownership.region_of(member) == self._ownership.region_of(
+            self._ownership.member_id
+        )
+        return SAME_REGION_MARGIN_SECONDS if same_region else OTHER_REGION_MARGIN_SECONDS
 
 
 async def _send_body(call: OutgoingCall, body: RequestBody) -> None:
@@ -152,7 +156,7 @@
     await call.send(b"", end=True)
 
 
-def _message(
+def _forward_message(
     number: int, role: Role, request: ServiceRequest, traceparent: str, margin: float
 ) -> Forward:
     remaining = request.deadline - margin - trio.current_time()
--- a/fireflyfork/programs/_guard_messages.py
+++ b/fireflyfork/programs/_guard_messages.py
@@ -14,7 +14,7 @@
 from ._guard_channel import FleetOffer, GuardChannel, GuardQuestion, GuardReply
 from ._membership import Membership
 
-ASK_SECONDS = 0.5
+REPLY_TIMEOUT_SECONDS = 0.5
 """How long a member waits for the reply to a question.
 
 The right is counted from when the question was sent, so a later reply would extend it too little.
@@ -33,7 +33,7 @@
         """Call ``attach`` before use, and subscribe the channel to the topic ``REPLY``."""
         self._peers = peers
         self._keeper: ConfigurationKeeper | None = None
-        self._waiting: dict[tuple[MemberId, int], trio.Event] = {}
+        self._reply_events: dict[tuple[MemberId, int], trio.Event] = {}
         self._replies: dict[tuple[MemberId, int], GuardReply] = {}
 
     def attach(self, keeper: ConfigurationKeeper) -> None:
@@ -43,16 +43,16 @@
     async def ask(self, peer: Member, question: GuardQuestion) -> GuardReply:
         """See GuardChannel."""
         key = (peer.member_id, question.nonce)
-        arrived = self._waiting[key] = trio.Event()
+        arrived = self._reply_events[key] = trio.Event()
         try:
-            with trio.fail_after(ASK_SECONDS):
+            with trio.fail_after(REPLY_TIMEOUT_SECONDS):
                 await self._send(peer, QUESTION, question)
                 await arrived.wait()
             return self._replies.pop(key)
         except trio.TooSlowError as error:
             raise PeerError(f"{peer.member_id} did not reply in time") from error
         finally:
-            del self._waiting[key]
+            del self._reply_events[key]
 
     async def offer_fleet(self, peer: Member, offer: FleetOffer) -> None:
         """See GuardChannel."""
@@ -66,11 +66,11 @@
         """Handle a reply. A reply whose question has timed out is dropped."""
         reply = decode_content(content, GuardReply)
         key = (member, reply.nonce)
-        if key in self._waiting:
+        if key in self._reply_events:
             if self._keeper is not None:
-                self._keeper.peer_holds(member, reply.configuration_version)
+                self._keeper.handle_peer_version(member, reply.configuration_version)
             self._replies[key] = reply
-            self._waiting[key].set()
+            self._reply_events[key].set()
         return None
 
     async def _send(self, peer: Member, topic: str, content: object) -> None:
@@ -87,12 +87,12 @@
         if question.asker != member:
             logger.warning("guard question with a wrong sender", member=member)
             return None
-        keeper.peer_holds(member, question.configuration_version)
-        return membership.asked(question)
+        keeper.handle_peer_version(member, question.configuration_version)
+        return membership.answer_question(question)
 
     def offered_fleet(member: MemberId, offer: FleetOffer) -> None:
         try:
-            membership.offered(offer)
+            membership.handle_fleet_offer(offer)
         except FireflyforkError as error:
             logger.warning(
                 "fleet record from peer could not be decoded", member=member, error=str(error)
@@ -102,5 +102,5 @@
         REPLY: channel,
         QUESTION: TypedHandler(GuardQuestion, asked, REPLY),
         FLEET: TypedHandler(FleetOffer, offered_fleet),
-        CONFIGURATION: TypedHandler(ConfigurationOffer, keeper.offered),
+        CONFIGURATION: TypedHandler(ConfigurationOffer, keeper.handle_offer),
     }
--- a/fireflyfork/programs/_job_service.py
+++ b/fireflyfork/programs/_job_service.py
@@ -15,7 +15,7 @@
 from ._clocks import Clock
 from ._job_requests import JobRequests
 from ._metrics import Metrics
-from ._time_left import TimeLeft
+from ._stop_deadline import StopDeadline
 
 MAX_BODY_BYTES = 262_144
 """Maximum body size that the platform's configuration allows callers to send."""
@@ -47,7 +47,7 @@
         self._metrics = metrics
         self._queues = queues
         self._is_current = is_current
-        self._time_left = TimeLeft()
+        self._time_left = StopDeadline()
 
     def end_in(self, seconds: float) -> None:
         """Refuse new requests from now on, and answer the requests in progress within ``seconds``.
@@ -55,7 +55,7 @@
         The store may answer only after the process has ended. A request that is still waiting at
         that point would lose its connection, and its caller would never learn the outcome.
         """
-        self._time_left.end_in(seconds)
+        self._time_left.expire_in(seconds)
 
     async def handle(self, exchange: Exchange) -> None:
         """See HttpHandler."""
--- a/fireflyfork/programs/_key_copies.py
+++ b/fireflyfork/programs/_key_copies.py
@@ -36,7 +36,7 @@
 
 REPLY_SECONDS = 0.3
 RETRY_SECONDS = 0.05
-KEEP_SECONDS = 0.5
+COPY_CHECK_SECONDS = 0.5
 """The interval between checks for partitions whose copies are missing."""
 
 
@@ -96,7 +96,7 @@
     table: KeyTable
 
 
-TableOf = Callable[[PartitionId], HomeTable | None]
+ReadHomeTable = Callable[[PartitionId], HomeTable | None]
 
 
 class KeyCopySender(ControlHandler):
@@ -106,16 +106,16 @@
         """Call ``attach`` before use."""
         self._ownership = ownership
         self._peers = peers
-        self._table_of: TableOf = lambda partition: None
+        self._read_table: ReadHomeTable = lambda partition: None
         self._sequence = itertools.count(1)
-        self._held: dict[PartitionId, tuple[MemberId, CopyTerm]] = {}
+        self._guard_copies: dict[PartitionId, tuple[MemberId, CopyTerm]] = {}
         self._locks: defaultdict[PartitionId, trio.Lock] = defaultdict(trio.Lock)
-        self._waiting: dict[int, trio.Event] = {}
+        self._reply_events: dict[int, trio.Event] = {}
         self._replies: dict[int, KeyCopied] = {}
 
-    def attach(self, table_of: TableOf) -> None:
+    def attach(self, read_table: ReadHomeTable) -> None:
         """``read_table`` returns a partition's current table, or None if its home isn't here."""
-        self._table_of = table_of
+        self._read_table = read_table
 
     async def keep(self, partitions: Callable[[], tuple[PartitionId, ...]]) -> None:
         """Keep a copy of each partition at the guard until cancelled, also of empty tables.
@@ -126,15 +126,15 @@
         while True:
             guard = self._ownership.guard()
             for partition in partitions():
-                home = self._table_of(partition)
+                home = self._read_table(partition)
                 if guard is not None and home is not None:
                     term = CopyTerm(partition, home.since, guard.since)
                     async with self._locks[partition]:
-                        if self._held.get(partition) != (guard.member_id, term):
+                        if self._guard_copies.get(partition) != (guard.member_id, term):
                             await self._send_snapshot(guard, term)
-            await trio.sleep(KEEP_SECONDS)
+            await trio.sleep(COPY_CHECK_SECONDS)
 
-    async def started(
+    async def announce_start(
         self, partition: PartitionId, key: IdempotencyKey, fingerprint: int, deadline: float
     ) -> None:
         """Return once the guard, if there is one, has acknowledged that the key is started.
@@ -147,16 +147,16 @@
                 guard = self._ownership.guard()
                 if guard is None:
                     return
-                copied = await self._copy(guard, partition, key, fingerprint)
+                copied = await self._replicate_key(guard, partition, key, fingerprint)
                 if copied and self._ownership.guard() == guard:
                     return
                 if not copied:
                     await trio.sleep(RETRY_SECONDS)
         raise RequestError(503, "the guard of the key's home is silent", Verdict.NOT_RUN, 1.0)
 
-    async def not_run(self, partition: PartitionId, key: IdempotencyKey) -> None:
+    async def announce_not_run(self, partition: PartitionId, key: IdempotencyKey) -> None:
         """Notify the guard, if it is reachable, that the key may be used again."""
-        held = self._held.get(partition)
+        held = self._guard_copies.get(partition)
         if held is None:
             return
         member, term = held
@@ -170,20 +170,20 @@
     def handle(self, member: MemberId, content: bytes) -> Control | None:
         """Handle a guard's reply. A reply whose request has timed out is dropped."""
         reply = decode_content(content, KeyCopied)
-        if reply.sequence in self._waiting:
+        if reply.sequence in self._reply_events:
             self._replies[reply.sequence] = reply
-            self._waiting[reply.sequence].set()
+            self._reply_events[reply.sequence].set()
         return None
 
-    async def _copy(
+    async def _replicate_key(
         self, guard: Guard, partition: PartitionId, key: IdempotencyKey, fingerprint: int
     ) -> bool:
-        home = self._table_of(partition)
+        home = self._read_table(partition)
         if home is None:
             return True
         term = CopyTerm(partition, home.since, guard.since)
         async with self._locks[partition]:
-            if self._held.get(partition) != (guard.member_id, term):
+            if self._guard_copies.get(partition) != (guard.member_id, term):
                 return await self._send_snapshot(guard, term)
         sent = await self._ask(
             guard.member_id,
@@ -191,19 +191,19 @@
             lambda sequence: KeyStarted(sequence, term, key, fingerprint),
         )
         if not sent:
-            self._held.pop(partition, None)
+            self._guard_copies.pop(partition, None)
         return sent
 
     async def _send_snapshot(self, guard: Guard, term: CopyTerm) -> bool:
         # The table is read when it is sent, so that it holds every key started until then.
         def message(sequence: int) -> KeySnapshot:
-            home = self._table_of(term.partition)
+            home = self._read_table(term.partition)
             table = home.table if home is not None else KeyTable(KeyTerms())
             return KeySnapshot(sequence, term, table.without_answers())
 
         sent = await self._ask(guard.member_id, KEY_SNAPSHOT, message)
         if sent:
-            self._held[term.partition] = (guard.member_id, term)
+            self._guard_copies[term.partition] = (guard.member_id, term)
         return sent
 
     async def _ask(
@@ -215,13 +215,13 @@
             with trio.move_on_after(REPLY_SECONDS):
                 stream = await self._peers.stream(member)
                 sequence = next(self._sequence)
-                self._waiting[sequence] = arrived
+                self._reply_events[sequence] = arrived
                 stream.send(Control(topic, encode_content(message(sequence))))
                 await arrived.wait()
         except PeerError:
             return False
         finally:
-            self._waiting.pop(sequence, None)
+            self._reply_events.pop(sequence, None)
         reply = self._replies.pop(sequence, None)
         return reply is not None and reply.held
 
@@ -259,7 +259,7 @@
         """The number of keys in all copies."""
         return sum(copy.table.keys for copy in self._copies.values())
 
-    def snapshot(self, member: MemberId, message: KeySnapshot) -> KeyCopied:
+    def store_snapshot(self, member: MemberId, message: KeySnapshot) -> KeyCopied:
         """Store a whole table as the copy, unless a newer message has arrived before."""
         key = (member, message.term.partition)
         copy = self._copies.get(key)
@@ -268,7 +268,7 @@
             self._copies[key] = copy
         return KeyCopied(message.sequence, held=copy.term == message.term)
 
-    def started(self, member: MemberId, message: KeyStarted) -> KeyCopied:
+    def add_key(self, member: MemberId, message: KeyStarted) -> KeyCopied:
         """Add a started key to its copy."""
         copy = self._copies.get((member, message.term.partition))
         if copy is None or copy.term != message.term:
@@ -280,7 +280,7 @@
         self._copies[member, message.term.partition] = _Copy(copy.term, table, latest)
         return KeyCopied(message.sequence, held=True)
 
-    def not_run(self, member: MemberId, message: KeyNotRun) -> None:
+    def remove_key(self, member: MemberId, message: KeyNotRun) -> None:
         """Remove a key from its copy, unless the key may have been started again since."""
         copy = self._copies.get((member, message.term.partition))
         if copy is None or copy.term != message.term or message.sequence < copy.sequence:
@@ -291,12 +291,12 @@
     def handlers(self) -> dict[str, ControlHandler]:
         """Return the handlers to subscribe, by topic."""
         return {
-            KEY_SNAPSHOT: TypedHandler(KeySnapshot, self.snapshot, KEY_COPIED),
-            KEY_STARTED: TypedHandler(KeyStarted, self.started, KEY_COPIED),
-            KEY_NOT_RUN: TypedHandler(KeyNotRun, self.not_run),
+            KEY_SNAPSHOT: TypedHandler(KeySnapshot, self.store_snapshot, KEY_COPIED),
+            KEY_STARTED: TypedHandler(KeyStarted, self.add_key, KEY_COPIED),
+            KEY_NOT_RUN: TypedHandler(KeyNotRun, self.remove_key),
         }
 
-    def follow(self, record: FleetRecord) -> tuple[LostTable, ...]:
+    def apply_record(self, record: FleetRecord) -> tuple[LostTable, ...]:
         """Apply a new fleet record and return the tables to send to new owners.
 
         After a gap in the epochs no tables are returned.
@@ -305,9 +305,9 @@
         if before is None or before.epoch + 1 != record.epoch:
             self._forget_all_but(record)
             return ()
-        found = tuple(self._lost_tables(before, record))
+        lost_tables = tuple(self._lost_tables(before, record))
         self._forget_all_but(record)
-        return found
+        return lost_tables
 
     def _lost_tables(self, before: FleetRecord, record: FleetRecord) -> Iterator[LostTable]:
         for partition, ownership in record.owners.items():
@@ -318,7 +318,7 @@
                 continue
             fenced = before.fenced.get(earlier.owner)
             lost = fenced.member if fenced is not None else before.members.get(earlier.owner)
-            if lost is None or lost.guard != self._ownership.own:
+            if lost is None or lost.guard != self._ownership.member_id:
                 continue
             term = CopyTerm(partition, earlier.since, lost.guarded_since)
             copy = self._copies.get((lost.member_id, partition))
@@ -329,5 +329,5 @@
         self._copies = {
             (member, partition): copy
             for (member, partition), copy in self._copies.items()
-            if member in record.fenced or record.guard_of(member) == self._ownership.own
+            if member in record.fenced or record.guard_of(member) == self._ownership.member_id
         }
--- a/fireflyfork/programs/_key_home.py
+++ b/fireflyfork/programs/_key_home.py
@@ -64,7 +64,7 @@
 
 
 @dataclass(slots=True)
-class _First:
+class _RunningRequest:
     """The first request with a key, while it runs; repeats wait for its end."""
 
     partition: PartitionId
@@ -74,7 +74,7 @@
 
 
 @dataclass(slots=True)
-class _Home:
+class _HomePartition:
     """The state of one partition whose home is this entry."""
 
     since: Epoch
@@ -82,7 +82,7 @@
     table: KeyTable
     ready: trio.Event = field(default_factory=trio.Event)
     """Set when the table of the previous home has arrived or is no longer awaited."""
-    running: dict[IdempotencyKey, _First] = field(default_factory=dict)
+    running: dict[IdempotencyKey, _RunningRequest] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,8 +104,8 @@
         self._dispatch = dispatch
         self._copies = copies
         copies.attach(self._home_table)
-        self._homes: dict[PartitionId, _Home] = {}
-        self._moved: dict[PartitionId, tuple[float, _Home]] = {}
+        self._homes: dict[PartitionId, _HomePartition] = {}
+        self._moved: dict[PartitionId, tuple[float, _HomePartition]] = {}
         self._nursery: trio.Nursery | None = None
 
     def attach(self, nursery: trio.Nursery) -> None:
@@ -117,32 +117,39 @@
         """The number of keys in all tables."""
         return sum(home.table.keys for home in self._homes.values())
 
-    def own(self, partitions: Iterable[PartitionId]) -> HomeChange:
+    def set_partitions(self, partitions: Iterable[PartitionId]) -> HomeChange:
         """Set the owned partitions and return the tables to send and to await.
 
         Requests to an awaited partition wait until ``adopt_table`` or ``proceed_without_table`` is
         called for it.
         """
-        acquired = {one: self._ownership.ownership_of(one) for one in partitions}
-        owned = {one: ownership for one, ownership in acquired.items() if ownership is not None}
+        acquired = {partition: self._ownership.ownership_of(partition) for partition in partitions}
+        owned = {
+            partition: ownership
+            for partition, ownership in acquired.items()
+            if ownership is not None
+        }
         lost = self._drop_lost(owned)
         added = sorted(owned.keys() - self._homes.keys())
         for partition in added:
-            self._homes[partition] = _first_home(owned[partition])
-        return HomeChange(lost, tuple(one for one in added if not self._homes[one].ready.is_set()))
+            self._homes[partition] = _new_home(owned[partition])
+        return HomeChange(
+            lost,
+            tuple(partition for partition in added if not self._homes[partition].ready.is_set()),
+        )
 
-    def hand_out(self, partition: PartitionId) -> KeyTable | None:
+    def table_to_send(self, partition: PartitionId) -> KeyTable | None:
         """Return the table of a partition that recently moved away, or None if it isn't kept."""
         moved = self._moved.get(partition)
         return moved[1].table.handed_over() if moved is not None else None
 
-    async def wait_settled(self, partition: PartitionId) -> None:
+    async def wait_drained(self, partition: PartitionId) -> None:
         """Wait until no request of a partition that recently moved away is running."""
         moved = self._moved.get(partition)
         while moved is not None and moved[1].running:
             await next(iter(moved[1].running.values())).ended.wait()
 
-    def adopt(self, partition: PartitionId, since: Epoch, table: KeyTable | None) -> bool:
+    def adopt_table(self, partition: PartitionId, since: Epoch, table: KeyTable | None) -> bool:
         """Merge the previous home's table and serve the partition; None means there is no table.
 
         Has no effect if the table is no longer awaited. Returns False if this entry has not owned
@@ -157,7 +164,7 @@
             home.ready.set()
         return True
 
-    def go_on_without(self, partition: PartitionId) -> bool:
+    def proceed_without_table(self, partition: PartitionId) -> bool:
         """Serve the partition although no table arrived; earlier keys count as may have run.
 
         Returns whether the table was still awaited.
@@ -189,7 +196,7 @@
         if not request.key_is_new:
             await self._wait_for_table(partition, request)
         while True:
-            home = self._home(partition, request)
+            home = self._usable_home(partition, request)
             assert request.key
             home.table, decision = home.table.begin(
                 request.key, fingerprint, time.time(), request.key_is_new
@@ -198,16 +205,16 @@
                 await self._run_first(home, partition, fingerprint, request, body, sink)
                 return
             if decision.kind is not KeyDecisionKind.JOIN:
-                await _settle(decision, sink)
+                await _answer_repeat(decision, sink)
                 return
-            await _wait(home.running[request.key], request)
+            await _wait_for_end(home.running[request.key], request)
 
     def _drop_lost(self, owned: Mapping[PartitionId, Ownership]) -> tuple[PartitionId, ...]:
         now = time.time()
         lost = tuple(
-            one
-            for one, home in self._homes.items()
-            if one not in owned or owned[one].since != home.since
+            partition
+            for partition, home in self._homes.items()
+            if partition not in owned or owned[partition].since != home.since
         )
         for partition in lost:
             self._moved[partition] = (now, self._homes.pop(partition))
@@ -224,12 +231,12 @@
             with trio.move_on_at(request.deadline):
                 await home.ready.wait()
 
-    def _home(self, partition: PartitionId, request: ServiceRequest) -> _Home:
+    def _usable_home(self, partition: PartitionId, request: ServiceRequest) -> _HomePartition:
         # The right is checked without an await between this check and the use of the table. A home
         # that lost the right unnoticed could otherwise run a key that its successor has run.
         home = self._homes.get(partition)
-        known = home is not None and (request.key_is_new or home.ready.is_set())
-        if home is None or not known or not self._ownership.may_dispatch(partition):
+        usable = home is not None and (request.key_is_new or home.ready.is_set())
+        if home is None or not usable or not self._ownership.may_dispatch(partition):
             raise MisdirectedError("the key's home is elsewhere")
         return home
 
@@ -243,7 +250,7 @@
 
     async def _run_first(
         self,
-        home: _Home,
+        home: _HomePartition,
         partition: PartitionId,
         fingerprint: int,
         request: ServiceRequest,
@@ -251,16 +258,16 @@
         sink: AnswerSink,
     ) -> None:
         assert request.key and self._nursery is not None
-        first = home.running[request.key] = _First(partition, fingerprint)
-        self._nursery.start_soon(self._carry_out, home, first, request, body, sink)
-        await _wait(first, request)
-        if first.error is not None:
-            raise first.error
+        running = home.running[request.key] = _RunningRequest(partition, fingerprint)
+        self._nursery.start_soon(self._carry_out, home, running, request, body, sink)
+        await _wait_for_end(running, request)
+        if running.error is not None:
+            raise running.error
 
     async def _carry_out(
         self,
-        home: _Home,
-        first: _First,
+        home: _HomePartition,
+        running: _RunningRequest,
         request: ServiceRequest,
         body: RequestBody,
         sink: AnswerSink,
@@ -268,43 +275,43 @@
         assert request.key
         recording = RecordingSink(sink, home.table.terms.longest_answer_bytes)
         try:
-            await self._copies.started(
-                first.partition,
+            await self._copies.announce_start(
+                running.partition,
                 request.key,
-                first.fingerprint,
+                running.fingerprint,
                 request.deadline - COPY_MARGIN_SECONDS,
             )
             await self._dispatch(request, body, recording)
         except RequestError as error:
-            first.error = error
+            running.error = error
         except FireflyforkError as error:
-            first.error = RequestError(502, str(error), Verdict.MAY_HAVE_RUN, 1.0)
+            running.error = RequestError(502, str(error), Verdict.MAY_HAVE_RUN, 1.0)
         finally:
-            home.table = _settled(home.table, request.key, first.error, recording)
+            home.table = _with_outcome(home.table, request.key, running.error, recording)
             del home.running[request.key]
-            first.ended.set()
-        if first.error is not None and first.error.verdict is Verdict.NOT_RUN:
-            await self._copies.not_run(first.partition, request.key)
+            running.ended.set()
+        if running.error is not None and running.error.verdict is Verdict.NOT_RUN:
+            await self._copies.announce_not_run(running.partition, request.key)
 
 
-def _first_home(ownership: Ownership) -> _Home:
+def _new_home(ownership: Ownership) -> _HomePartition:
     if ownership.acquired is Acquisition.FIRST:
-        home = _Home(ownership.since, KeyTable(TERMS))
+        home = _HomePartition(ownership.since, KeyTable(TERMS))
     else:
-        home = _Home(ownership.since, KeyTable.after_lost_home(TERMS, time.time()))
+        home = _HomePartition(ownership.since, KeyTable.after_lost_home(TERMS, time.time()))
     if ownership.acquired is Acquisition.FIRST:
         home.ready.set()
     return home
 
 
-async def _wait(first: _First, request: ServiceRequest) -> None:
+async def _wait_for_end(running: _RunningRequest, request: ServiceRequest) -> None:
     with trio.move_on_at(request.deadline):
-        await first.ended.wait()
-    if not first.ended.is_set():
+        await running.ended.wait()
+    if not running.ended.is_set():
         raise RequestError(504, "the deadline passed", Verdict.MAY_HAVE_RUN, 1.0)
 
 
-async def _settle(decision: KeyDecision, sink: AnswerSink) -> None:
+async def _answer_repeat(decision: KeyDecision, sink: AnswerSink) -> None:
     if decision.kind is KeyDecisionKind.REPLAY:
         await _replay(decision.answer, sink)
         return
@@ -316,14 +323,14 @@
 
 async def _replay(answer: bytes, sink: AnswerSink) -> None:
     status, headers, body = msgpack.unpackb(answer)
-    kept: list[Header] = [(name, value) for name, value in headers]
-    await sink.start(ResponseHead(status, tuple(kept)))
+    answer_headers: list[Header] = [(name, value) for name, value in headers]
+    await sink.start(ResponseHead(status, tuple(answer_headers)))
     if body:
         await sink.send(body)
     await sink.end()
 
 
-def _settled(
+def _with_outcome(
     table: KeyTable, key: IdempotencyKey, error: RequestError | None, recording: RecordingSink
 ) -> KeyTable:
     if error is None and recording.ended:
--- a/fireflyfork/programs/_key_tables.py
+++ b/fireflyfork/programs/_key_table_transfer.py
@@ -22,7 +22,7 @@
 
 KEY_TABLE = "key-table"
 
-WAIT_SECONDS = 3.0
+TABLE_WAIT_SECONDS = 3.0
 """How long a new owner waits for a table; then the partition is treated as after a lost home."""
 
 SETTLE_SECONDS = 0.25
@@ -31,12 +31,12 @@
 SEND_ATTEMPTS = 8
 SEND_PAUSE_SECONDS = 0.25
 
-KEPT_SECONDS = 10.0
+EARLY_TABLE_SECONDS = 10.0
 """How long a table is kept that arrives before the record that makes this member the owner."""
 
 
 @dataclass(frozen=True, slots=True)
-class HandedTable:
+class TransferredTable:
     """A message with the key table of one partition, sent to its new owner."""
 
     partition: PartitionId
@@ -46,7 +46,7 @@
     """None if the sender has no valid table; the partition is treated as after a lost home."""
 
 
-class KeyTables(ControlHandler):
+class KeyTableTransfer(ControlHandler):
     """Sends key tables of partitions that have moved away, and receives those of acquired ones."""
 
     def __init__(self, ownership: OwnershipView, peers: Peers, home: KeyHome) -> None:
@@ -54,8 +54,8 @@
         self._ownership = ownership
         self._peers = peers
         self._home = home
-        self._early: dict[PartitionId, tuple[float, HandedTable]] = {}
-        self._sending = 0
+        self._early: dict[PartitionId, tuple[float, TransferredTable]] = {}
+        self._pending_sends = 0
         self._sent = trio.Event()
         self._nursery: trio.Nursery | None = None
 
@@ -63,72 +63,72 @@
         """Run transfers and timeouts in ``nursery``."""
         self._nursery = nursery
 
-    def follow(self) -> None:
+    def apply_ownership(self) -> None:
         """Apply a change of ownership: send the tables of lost partitions, await the others."""
-        change = self._home.own(self._ownership.owned_partitions())
+        change = self._home.set_partitions(self._ownership.owned_partitions())
         for partition in change.lost:
             self._hand_over(partition)
         for partition in change.awaited:
-            self._await(partition)
+            self._expect(partition)
 
     async def wait_sent(self) -> None:
         """Wait until no transfer to another member is in progress."""
-        while self._sending:
+        while self._pending_sends:
             await self._sent.wait()
 
     def handle(self, member: MemberId, content: bytes) -> Control | None:
         """See ControlHandler."""
-        self._take(decode_content(content, HandedTable))
+        self._adopt_or_keep(decode_content(content, TransferredTable))
         return None
 
-    def send_lost(self, lost: tuple[LostTable, ...]) -> None:
+    def send_copies(self, copies: tuple[LostTable, ...]) -> None:
         """Send the copies that this member held as the guard of a lost home to the new owners."""
-        for one in lost:
-            handed = HandedTable(one.partition, one.since, one.table)
-            if one.owner == self._ownership.own:
-                self._take(handed)
+        for copy in copies:
+            handed = TransferredTable(copy.partition, copy.since, copy.table)
+            if copy.owner == self._ownership.member_id:
+                self._adopt_or_keep(handed)
             elif self._nursery is not None:
-                self._nursery.start_soon(self._try_to_send, one.owner, handed)
+                self._nursery.start_soon(self._try_to_send, copy.owner, handed)
 
-    def _take(self, handed: HandedTable) -> None:
-        if not self._home.adopt(handed.partition, handed.since, handed.table):
+    def _adopt_or_keep(self, handed: TransferredTable) -> None:
+        if not self._home.adopt_table(handed.partition, handed.since, handed.table):
             self._early[handed.partition] = (trio.current_time(), handed)
 
     def _hand_over(self, partition: PartitionId) -> None:
         ownership = self._ownership.ownership_of(partition)
-        if ownership is None or ownership.owner in (None, self._ownership.own):
+        if ownership is None or ownership.owner in (None, self._ownership.member_id):
             return
         if ownership.acquired is Acquisition.MOVED and self._nursery is not None:
             assert ownership.owner is not None
-            self._sending += 1
+            self._pending_sends += 1
             self._nursery.start_soon(self._send, partition, ownership.since, ownership.owner)
 
-    def _await(self, partition: PartitionId) -> None:
-        came, handed = self._early.pop(partition, (0.0, None))
-        if handed is not None and trio.current_time() - came < KEPT_SECONDS:
-            self._home.adopt(partition, handed.since, handed.table)
+    def _expect(self, partition: PartitionId) -> None:
+        received_at, handed = self._early.pop(partition, (0.0, None))
+        if handed is not None and trio.current_time() - received_at < EARLY_TABLE_SECONDS:
+            self._home.adopt_table(partition, handed.since, handed.table)
         if self._nursery is not None:
             self._nursery.start_soon(self._give_up_later, partition)
 
     async def _give_up_later(self, partition: PartitionId) -> None:
-        with trio.move_on_after(WAIT_SECONDS):
+        with trio.move_on_after(TABLE_WAIT_SECONDS):
             await self._home.wait_ready(partition)
-        if self._home.go_on_without(partition):
+        if self._home.proceed_without_table(partition):
             logger.warning("no key table received", partition=partition)
 
     async def _send(self, partition: PartitionId, since: Epoch, owner: MemberId) -> None:
         try:
             with trio.move_on_after(SETTLE_SECONDS):
-                await self._home.wait_settled(partition)
-            table = self._home.hand_out(partition)
+                await self._home.wait_drained(partition)
+            table = self._home.table_to_send(partition)
             if table is not None:
-                await self._try_to_send(owner, HandedTable(partition, since, table))
+                await self._try_to_send(owner, TransferredTable(partition, since, table))
         finally:
-            self._sending -= 1
+            self._pending_sends -= 1
             self._sent.set()
             self._sent = trio.Event()
 
-    async def _try_to_send(self, owner: MemberId, handed: HandedTable) -> None:
+    async def _try_to_send(self, owner: MemberId, handed: TransferredTable) -> None:
         control = Control(KEY_TABLE, encode_content(handed))
         for _ in range(SEND_ATTEMPTS):
             try:
--- a/fireflyfork/programs/_keyed_requests.py
+++ b/fireflyfork/programs/_keyed_requests.py
@@ -26,7 +26,7 @@
 from ._redirects import Redirects
 from ._sinks import AnswerSink
 
-_MOST_DRAWN = 32
+_MAX_KEY_DRAWS = 32
 """At most this many keys are generated to find a key whose home is this entry.
 
 An entry that owns a tenth of its region's partitions finds none for one request in thirty.
@@ -34,7 +34,7 @@
 
 _SEPARATOR = "."
 
-ConfigurationInForce = Callable[[], Configuration | None]
+CurrentConfiguration = Callable[[], Configuration | None]
 
 
 class KeyedRequests:
@@ -45,7 +45,7 @@
         ownership: OwnershipView,
         home: KeyHome,
         forwarder: Forwarder,
-        configuration: ConfigurationInForce,
+        configuration: CurrentConfiguration,
     ) -> None:
         """``configuration`` returns the configuration in force, or None before the first."""
         self._ownership = ownership
@@ -65,7 +65,7 @@
                 return
             except RequestError as error:
                 if not body.replayable or not await redirects.follow(error):
-                    raise redirects.final(error) from error
+                    raise redirects.final_error(error) from error
 
     async def run_as_home(
         self, request: ServiceRequest, body: RequestBody, sink: AnswerSink
@@ -85,11 +85,11 @@
         """
         if request.key:
             return request
-        region = self._ownership.region_of(self._ownership.own) or RegionName("")
-        draws = (_mint(region) for _ in range(_MOST_DRAWN))
+        region = self._ownership.region_of(self._ownership.member_id) or RegionName("")
+        draws = (_new_key(region) for _ in range(_MAX_KEY_DRAWS))
         key = next(draws)
         for drawn in draws:
-            if self._ownership.owner_of(self.partition(key)) == self._ownership.own:
+            if self._ownership.owner_of(self.partition(key)) == self._ownership.member_id:
                 break
             key = drawn
         return replace(request, key=key, key_is_new=True)
@@ -105,7 +105,7 @@
         home = self._ownership.owner_of(partition)
         if home is None:
             raise RequestError(503, "the key has no home now", Verdict.NOT_RUN, retry_after=1.0)
-        if home == self._ownership.own:
+        if home == self._ownership.member_id:
             await self._home.run(partition, request, body, sink)
         else:
             await self._forwarder.forward(home, Role.HOME, request, body, sink)
@@ -119,7 +119,7 @@
         return regions[0] if regions else named
 
 
-def _mint(region: RegionName) -> IdempotencyKey:
+def _new_key(region: RegionName) -> IdempotencyKey:
     """Return a new key of the region and a UUIDv7, whose first 48 bits are the Unix time in ms."""
     milliseconds = time.time_ns() // 1_000_000
     random = secrets.randbits(74)
--- a/fireflyfork/programs/_membership.py
+++ b/fireflyfork/programs/_membership.py
@@ -49,11 +49,11 @@
 from ._guard_channel import FleetOffer, GuardChannel, GuardQuestion, GuardReply
 from ._stored_record import StoredRecord
 
-Occupied = Mapping[PartitionId, tuple[OccupiedSlots, ...]]
+OccupiedByPartition = Mapping[PartitionId, tuple[OccupiedSlots, ...]]
 
 _STABLE_SECONDS = 120.0
 """A fence this long after joining is not counted as a repetition of the previous fence."""
-_LONGEST_REJOIN_SECONDS = 63.0
+_MAX_REJOIN_SECONDS = 63.0
 
 
 def boot_time() -> float:
@@ -105,7 +105,7 @@
         store: Store,
         channel: GuardChannel,
         new_member_id: Callable[[], MemberId],
-        occupied: Callable[[tuple[PartitionId, ...]], Occupied],
+        occupied: Callable[[tuple[PartitionId, ...]], OccupiedByPartition],
         changed: Callable[[FleetView], None] = lambda view: None,
         settings: MembershipSettings | None = None,
         clock: Callable[[], float] = boot_time,
@@ -119,13 +119,13 @@
         self._listener = changed
         self._clock = clock
         self._configuration_version = ConfigurationVersion(0)
-        self._state = self._begin(me)
+        self._state = self._new_state(me)
         self._nursery: trio.Nursery | None = None
         self._change_event = trio.Event()
         self._leaving = False
         self._rejoin_at: float | None = None
         self._joined_at = float("-inf")
-        self._soon_fenced = 0
+        self._repeated_fences = 0
         self._random = random.Random(me.member_id)
 
     @property
@@ -164,7 +164,7 @@
         return self.phase is MemberPhase.ACTIVE and is_watcher(self._state)
 
     @property
-    def zone_mates(self) -> tuple[Member, ...]:
+    def zone_peers(self) -> tuple[Member, ...]:
         """The other members of the failure domain, to which a watcher forwards changes."""
         members = self._state.record.members
         return tuple(members[name] for name in zone_peers(self._state))
@@ -202,10 +202,12 @@
             else:
                 await self._change_event.wait()
 
-    def asked(self, question: GuardQuestion) -> GuardReply:
+    def answer_question(self, question: GuardQuestion) -> GuardReply:
         """Answer a peer's guard question, and compare fleet records with the peer."""
-        asked = GuardAsked(question.asker, question.nonce, question.revision)
-        answers = [one for one in self._feed(asked) if isinstance(one, AnswerAsker)]
+        event = GuardAsked(question.asker, question.nonce, question.revision)
+        answers = [
+            command for command in self._handle_event(event) if isinstance(command, AnswerAsker)
+        ]
         return GuardReply(
             question.nonce,
             answers[0].answer,
@@ -213,17 +215,17 @@
             self._configuration_version,
         )
 
-    def offered(self, offer: FleetOffer) -> None:
+    def handle_fleet_offer(self, offer: FleetOffer) -> None:
         """Apply a peer's fleet record if it is newer. Raises SettingsError if it can't be decoded."""
         if offer.revision > self._state.revision:
-            self._feed(RecordReceived(decode_fleet(offer.record), offer.revision))
+            self._handle_event(RecordReceived(decode_fleet(offer.record), offer.revision))
 
-    def declare_gone(self, member_id: MemberId) -> None:
+    def report_terminated(self, member_id: MemberId) -> None:
         """Report that a member's instance is terminated permanently.
 
         The report comes from an operator or from the instance list.
         """
-        self._feed(MemberTerminated(member_id))
+        self._handle_event(MemberTerminated(member_id))
 
     async def run(self) -> None:
         """Take part in the fleet until cancelled. Call ``leave`` first for a planned stop."""
@@ -241,7 +243,7 @@
         If it did not, this member may go on dispatching.
         """
         self._leaving = True
-        self._feed(LeaveRequested())
+        self._handle_event(LeaveRequested())
         with trio.move_on_after(seconds):
             while self.phase not in (MemberPhase.LEFT, MemberPhase.FENCED):
                 await self._change_event.wait()
@@ -249,7 +251,7 @@
 
     async def _keep_ticking(self) -> None:
         while True:
-            self._feed(Tick())
+            self._handle_event(Tick())
             self._rejoin_if_fenced()
             await trio.sleep(self._settings.tick_seconds)
 
@@ -263,9 +265,9 @@
         if now < self._rejoin_at:
             return
         before = self._state
-        anew = self._begin(replace(before.me, member_id=self._new_member_id(), guard=None))
+        new_state = self._new_state(replace(before.me, member_id=self._new_member_id(), guard=None))
         self._state = replace(
-            anew,
+            new_state,
             record=before.record,
             revision=before.revision,
             # A reply to a question of the old id must not match a question of the new id.
@@ -282,11 +284,11 @@
         reaches the store but not its peers is fenced repeatedly. Each time its partitions change
         owners twice, and callers of these partitions are refused.
         """
-        soon = now - self._joined_at < _STABLE_SECONDS
-        self._soon_fenced = self._soon_fenced + 1 if soon else 0
-        return min(_LONGEST_REJOIN_SECONDS, float(2**self._soon_fenced - 1))
+        is_repeated = now - self._joined_at < _STABLE_SECONDS
+        self._repeated_fences = self._repeated_fences + 1 if is_repeated else 0
+        return min(_MAX_REJOIN_SECONDS, float(2**self._repeated_fences - 1))
 
-    def _begin(self, me: Member) -> MembershipState:
+    def _new_state(self, me: Member) -> MembershipState:
         settings = self._settings
         return begin_membership(me, settings.timing, settings.partitions_per_region)
 
@@ -311,17 +313,17 @@
         if stored is None or stored.revision <= self.revision:
             return
         offer = FleetOffer(stored.value, stored.revision)
-        self.offered(offer)
-        for mate in self.zone_mates:
-            self._start(partial(self._offer, mate, offer))
+        self.handle_fleet_offer(offer)
+        for peer in self.zone_peers:
+            self._start(partial(self._offer, peer, offer))
 
-    def _feed(self, event: Event) -> tuple[Command, ...]:
+    def _handle_event(self, event: Event) -> tuple[Command, ...]:
         before = self._view()
         self._state, commands = step(self._state, event, self._clock())
         if self._view() != before:
             self._announce()
         for command in commands:
-            self._carry_out(command)
+            self._execute(command)
         return commands
 
     def _view(self) -> FleetView:
@@ -333,7 +335,7 @@
         self._change_event.set()
         self._change_event = trio.Event()
 
-    def _carry_out(self, command: Command) -> None:
+    def _execute(self, command: Command) -> None:
         match command:
             case AskGuard():
                 self._start(partial(self._ask, command))
@@ -342,9 +344,9 @@
             case WriteRecord():
                 self._start(partial(self._write, command))
             case CollectOccupied():
-                self._feed(OccupiedCollected(self._occupied(command.partitions)))
+                self._handle_event(OccupiedCollected(self._occupied(command.partitions)))
             case OfferRecord():
-                self._offer_to(command)
+                self._start_offers(command)
             case AnswerAsker():
                 pass
 
@@ -354,7 +356,7 @@
         if self._nursery is not None:
             self._nursery.start_soon(task)
 
-    def _offer_to(self, command: OfferRecord) -> None:
+    def _start_offers(self, command: OfferRecord) -> None:
         offer = FleetOffer(encode_fleet(command.record), command.revision)
         for name in command.members:
             peer = self._peer(name)
@@ -387,16 +389,16 @@
             logger.debug("no reply to guard question", peer=peer.member_id, error=str(error))
             return
         if asker == self.member_id:
-            self._feed(GuardAnswered(reply.nonce, reply.answer, reply.revision))
+            self._handle_event(GuardAnswered(reply.nonce, reply.answer, reply.revision))
 
     async def _read(self) -> None:
         asker = self.member_id
         event = await self._stored.read()
         if asker == self.member_id:
-            self._feed(event)
+            self._handle_event(event)
 
     async def _write(self, command: WriteRecord) -> None:
         asker = self.member_id
         event = await self._stored.write(command)
         if asker == self.member_id:
-            self._feed(event)
+            self._handle_event(event)
--- a/fireflyfork/programs/_membership_view.py
+++ b/fireflyfork/programs/_membership_view.py
@@ -23,26 +23,26 @@
         self._membership = membership
 
     @property
-    def own(self) -> MemberId:
+    def member_id(self) -> MemberId:
         """See OwnershipView."""
-        return self._running.member_id
+        return self._backing.member_id
 
     @property
     def partitions_per_region(self) -> int:
         """See OwnershipView."""
-        return self._running.record.partitions_per_region
+        return self._backing.record.partitions_per_region
 
     def ownership_of(self, partition: PartitionId) -> Ownership | None:
         """See OwnershipView."""
-        return self._running.record.owners.get(partition)
+        return self._backing.record.owners.get(partition)
 
     def may_dispatch(self, partition: PartitionId) -> bool:
         """See OwnershipView."""
-        return self._running.may_dispatch(partition)
+        return self._backing.may_dispatch(partition)
 
     def region_of(self, member: MemberId) -> RegionName | None:
         """See OwnershipView."""
-        if member == self.own:
+        if member == self.member_id:
             return self._zone.region
         known = self._member(member)
         return known.zone.region if known is not None else None
@@ -54,24 +54,28 @@
 
     def other_members(self) -> tuple[MemberId, ...]:
         """See OwnershipView."""
-        return tuple(member for member in self._running.record.members if member != self.own)
+        return tuple(member for member in self._backing.record.members if member != self.member_id)
 
     def owners(self) -> dict[PartitionId, MemberId]:
         """See OwnershipView."""
-        owners = self._running.record.owners.items()
-        return {one: ownership.owner for one, ownership in owners if ownership.owner is not None}
+        owners = self._backing.record.owners.items()
+        return {
+            partition: ownership.owner
+            for partition, ownership in owners
+            if ownership.owner is not None
+        }
 
     def guard(self) -> Guard | None:
         """See OwnershipView."""
-        own = self._member(self.own)
+        own = self._member(self.member_id)
         if own is None or own.guard is None:
             return None
         return Guard(own.guard, own.guarded_since)
 
     def _member(self, member: MemberId) -> Member | None:
-        return self._running.record.members.get(member)
+        return self._backing.record.members.get(member)
 
     @property
-    def _running(self) -> Membership:
+    def _backing(self) -> Membership:
         assert self._membership is not None
         return self._membership
--- a/fireflyfork/programs/_operator_service.py
+++ b/fireflyfork/programs/_operator_service.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from ..adapters import Exchange, HttpHandler
-from ._entry_messages import EntryStatus, OperatorError, Readiness
+from ._entry_messages import EntryStatus, OperatorErrorBody, Readiness
 from ._metrics import METRICS_TEXT, Metrics
 
 StatusOf = Callable[[], EntryStatus]
@@ -46,11 +46,11 @@
             case "/metrics":
                 await exchange.answer(200, self._metrics.text().encode("utf-8"), (METRICS_TEXT,))
             case _:
-                await exchange.answer_json(404, OperatorError("no such path"))
+                await exchange.answer_json(404, OperatorErrorBody("no such path"))
 
     async def _handle_drain(self, exchange: Exchange) -> None:
         if exchange.head.method != "POST":
-            await exchange.answer_json(405, OperatorError("use POST"))
+            await exchange.answer_json(405, OperatorErrorBody("use POST"))
             return
         self._drain()
         await exchange.answer_json(202, {"draining": True})
--- a/fireflyfork/programs/_ownership.py
+++ b/fireflyfork/programs/_ownership.py
@@ -24,7 +24,7 @@
 
     @property
     @abstractmethod
-    def own(self) -> MemberId:
+    def member_id(self) -> MemberId:
         """The id of this member."""
 
     @property
@@ -61,8 +61,8 @@
 
     def owned_partitions(self) -> tuple[PartitionId, ...]:
         """Return the partitions that this member owns."""
-        own = self.own
-        return tuple(one for one, owner in self.owners().items() if owner == own)
+        member_id = self.member_id
+        return tuple(partition for partition, owner in self.owners().items() if owner == member_id)
 
     @abstractmethod
     def guard(self) -> Guard | None:
--- a/fireflyfork/programs/_peer_figures.py
+++ b/fireflyfork/programs/_peer_figures.py
@@ -19,13 +19,13 @@
 
     def __init__(self) -> None:
         """Start without figures."""
-        self._known: dict[tuple[ServiceName, MemberId], MemberLoad] = {}
+        self._latest: dict[tuple[ServiceName, MemberId], MemberLoad] = {}
 
-    def heard(
+    def update(
         self, member: MemberId, region: RegionName, service: ServiceName, figures: ServiceFigures
     ) -> None:
         """Store the figures that a member has reported for a service."""
-        self._known[service, member] = MemberLoad(
+        self._latest[service, member] = MemberLoad(
             member,
             region,
             figures.free_slots,
@@ -34,13 +34,13 @@
             measured_at=trio.current_time(),
         )
 
-    def sent(self, member: MemberId, service: ServiceName) -> None:
+    def count_forwarded(self, member: MemberId, service: ServiceName) -> None:
         """Count a request that was forwarded after the member's latest figures were measured."""
-        known = self._known.get((service, member))
+        known = self._latest.get((service, member))
         if known is not None:
-            self._known[service, member] = replace(known, sent_since=known.sent_since + 1)
+            self._latest[service, member] = replace(known, sent_since=known.sent_since + 1)
 
-    def of(
+    def for_members(
         self, service: ServiceName, members: Iterable[tuple[MemberId, RegionName]]
     ) -> Iterator[MemberLoad]:
         """Yield the figures of these members.
@@ -48,9 +48,9 @@
         A member that has reported none gets zeros that were measured infinitely long ago.
         """
         for member, region in members:
-            known = self._known.get((service, member))
+            known = self._latest.get((service, member))
             yield known or MemberLoad(member, region, 0, 0, 0.0, measured_at=_NEVER)
 
     def keep_only(self, members: frozenset[MemberId]) -> None:
         """Remove the figures of all members that aren't in ``members``."""
-        self._known = {key: value for key, value in self._known.items() if key[1] in members}
+        self._latest = {key: value for key, value in self._latest.items() if key[1] in members}
--- a/fireflyfork/programs/_peer_service.py
+++ b/fireflyfork/programs/_peer_service.py
@@ -24,7 +24,7 @@
 from ._span_writer import SpanWriter
 from ._target_groups import TargetGroups
 
-USED_SECONDS = 5.0
+FIGURES_SECONDS = 5.0
 """A peer gets the figures of a service until this long after its last request to the service."""
 
 
@@ -52,7 +52,7 @@
         self._spans = spans
         self._topics: dict[str, ControlHandler] = {}
         self._attached: PeerParts | None = None
-        self._used: dict[tuple[MemberId, ServiceName], float] = {}
+        self._last_used: dict[tuple[MemberId, ServiceName], float] = {}
         self._in_flight = 0
         self._idle = trio.Event()
 
@@ -100,8 +100,12 @@
         With hundreds of services, the figures of all would cost more than the heartbeat itself.
         """
         now = trio.current_time()
-        self._used = {key: at for key, at in self._used.items() if now - at < USED_SECONDS}
-        used = (service for by, service in self._used if by == member)
+        self._last_used = {
+            key: used_at
+            for key, used_at in self._last_used.items()
+            if now - used_at < FIGURES_SECONDS
+        }
+        used = (service for peer, service in self._last_used if peer == member)
         targets = self._parts.targets
         groups = (targets.group(service) for service in used)
         return Pong(
@@ -115,7 +119,7 @@
         region = self._ownership.region_of(member)
         if region is not None:
             for service, figures in pong.figures.items():
-                self._figures.heard(member, region, ServiceName(service), figures)
+                self._figures.update(member, region, ServiceName(service), figures)
         marks = [LeavingMark(TargetId(name), age) for name, age in pong.leaving.items()]
         targets = self._parts.targets
         leaving = targets.leaving.merge_marks(marks, trio.current_time())
@@ -143,7 +147,7 @@
 
     async def _serve(self, call: IncomingCall) -> None:
         request = _request(call.forward)
-        self._used[call.member, request.service] = trio.current_time()
+        self._last_used[call.member, request.service] = trio.current_time()
         group = self._parts.targets.group(request.service)
         if group is None:
             raise RequestError(503, "the service is not known here yet", Verdict.NOT_RUN, 1.0)
--- a/fireflyfork/programs/_planner_settings.py
+++ b/fireflyfork/programs/_planner_settings.py
@@ -9,7 +9,7 @@
 from .._ids import FailureDomainName, RegionName
 from .._links import Address
 from ..decisions import PlanningRules
-from ._entry_settings import SHORTEST_PEER_KEY
+from ._entry_settings import MIN_PEER_KEY_LENGTH
 from ._partition_plan import PlannerPace
 
 MOST_PARTITIONS = 64
@@ -52,8 +52,8 @@
         """Check what the types don't. Raises SettingsError with path, value and rule."""
         for name in ("operator_address", "peer_address", "store_address", "platform_address"):
             _check_address(name, getattr(self, name))
-        if len(self.peer_key) < SHORTEST_PEER_KEY:
-            raise SettingsError(f"$.peer_key: expected {SHORTEST_PEER_KEY} characters or more")
+        if len(self.peer_key) < MIN_PEER_KEY_LENGTH:
+            raise SettingsError(f"$.peer_key: expected {MIN_PEER_KEY_LENGTH} characters or more")
         if not self.regions or len(set(self.regions)) < len(self.regions):
             raise SettingsError(f"$.regions: value {self.regions}: expected one or more, each once")
         if not 1 <= self.partitions <= MOST_PARTITIONS:
--- a/fireflyfork/programs/_recording_sink.py
+++ b/fireflyfork/programs/_recording_sink.py
@@ -5,16 +5,16 @@
 import msgpack
 
 from ..adapters import ResponseHead
-from ._sinks import AnswerSink, RelaySink
+from ._sinks import AnswerSink, DetachableSink
 
 
-class RecordingSink(RelaySink):
+class RecordingSink(DetachableSink):
     """Passes an answer on and records it, also after the receiver has been detached."""
 
-    def __init__(self, waiting: AnswerSink, longest: int) -> None:
+    def __init__(self, receiver: AnswerSink, max_bytes: int) -> None:
         """Pass on to ``receiver``; an answer of more than ``max_bytes`` is not recorded."""
-        super().__init__(waiting)
-        self._longest = longest
+        super().__init__(receiver)
+        self._max_bytes = max_bytes
         self._head: ResponseHead | None = None
         self._body = b""
         self._too_long = False
@@ -31,7 +31,7 @@
         await super()._start(head)
 
     async def _send(self, data: bytes) -> None:
-        if len(self._body) + len(data) > self._longest:
+        if len(self._body) + len(data) > self._max_bytes:
             self._too_long = True
             self._body = b""
         elif not self._too_long:
--- a/fireflyfork/programs/_redirects.py
+++ b/fireflyfork/programs/_redirects.py
@@ -11,9 +11,9 @@
 
 from .._errors import MISDIRECTED_STATUS, RequestError
 
-MOST_REDIRECTS = 5
+MAX_REDIRECTS = 5
 FIRST_PAUSE_SECONDS = 0.02
-_SHOWN_STATUS = 503
+_CALLER_STATUS = 503
 
 
 class Redirects:
@@ -30,7 +30,7 @@
         Returns False at once for an error other than a misdirection, after ``MAX_REDIRECTS``
         redirects, or if the deadline would pass during the pause.
         """
-        if error.status != MISDIRECTED_STATUS or self._followed >= MOST_REDIRECTS:
+        if error.status != MISDIRECTED_STATUS or self._followed >= MAX_REDIRECTS:
             return False
         pause = FIRST_PAUSE_SECONDS * 2**self._followed
         if trio.current_time() + pause >= self._deadline:
@@ -39,11 +39,11 @@
         await trio.sleep(pause)
         return True
 
-    def final(self, error: RequestError) -> RequestError:
+    def final_error(self, error: RequestError) -> RequestError:
         """Return the error to raise if ``follow`` returned False.
 
         Callers don't get the internal status of a misdirection.
         """
         if error.status != MISDIRECTED_STATUS:
             return error
-        return RequestError(_SHOWN_STATUS, error.reason, error.verdict, error.retry_after)
+        return RequestError(_CALLER_STATUS, error.reason, error.verdict, error.retry_after)
--- a/fireflyfork/programs/_request_flow.py
+++ b/fireflyfork/programs/_request_flow.py
@@ -81,7 +81,7 @@
             except RequestError as error:
                 if not sink.started and body.replayable and await redirects.follow(error):
                     continue
-                error = redirects.final(error)
+                error = redirects.final_error(error)
                 verdict = error.verdict.after(verdict)
                 failed = FailedAttempt(
                     verdict,
@@ -123,7 +123,7 @@
         chosen = self._route(group, request, body)
         match chosen.kind:
             case RouteKind.OWN_TARGET | RouteKind.QUEUE:
-                await self._attempts.run(group, request, body, sink, self._ownership.own)
+                await self._attempts.run(group, request, body, sink, self._ownership.member_id)
             case RouteKind.FORWARD | RouteKind.SPILL:
                 assert chosen.member_id is not None
                 await self._forwarder.forward(chosen.member_id, Role.OWNER, request, body, sink)
@@ -133,16 +133,20 @@
 
     def _route(self, group: TargetGroup, request: ServiceRequest, body: RequestBody) -> Route:
         now = trio.current_time()
-        region = self._ownership.region_of(self._ownership.own)
+        region = self._ownership.region_of(self._ownership.member_id)
         owners = self._targets.other_owners(request.service)
         regions = ((member, self._ownership.region_of(member)) for member in owners)
-        known = [(member, at) for member, at in regions if at is not None]
+        located = [
+            (member, member_region)
+            for member, member_region in regions
+            if member_region is not None
+        ]
         question = RouteInput(
             region=region or RegionName(""),
             own=tuple(group.own_targets()),
             queued=group.queued,
             drain_per_second=group.drain_per_second,
-            peers=tuple(self._figures.of(request.service, known)),
+            peers=tuple(self._figures.for_members(request.service, located)),
             time_left=request.deadline - now - group.expected_run_seconds,
             request_bytes=body.length + _TYPICAL_ANSWER_BYTES,
             forwarded=False,
--- a/fireflyfork/programs/_sinks.py
+++ b/fireflyfork/programs/_sinks.py
@@ -19,7 +19,7 @@
     end_to_end,
 )
 from ._caller_requests import KEY_HEADER, REQUEST_ID_HEADER, VERDICT_HEADER
-from ._entry_messages import RefusedAnswer
+from ._entry_messages import CallerErrorBody
 
 
 class AnswerSink(ABC):
@@ -79,7 +79,7 @@
             self._exchange.abort()
             return
         self._started = True
-        body = RefusedAnswer(error.reason, error.verdict, error.retry_after)
+        body = CallerErrorBody(error.reason, error.verdict, error.retry_after)
         headers = [*self._own_headers(error.verdict)]
         if error.retry_after is not None:
             seconds = max(1, math.ceil(error.retry_after))
@@ -125,41 +125,41 @@
         await self._call.send(b"", end=True)
 
 
-class RelaySink(AnswerSink):
+class DetachableSink(AnswerSink):
     """Passes an answer on until the receiver is detached or fails, and discards the rest.
 
     An executor's answer is read to its end even if no receiver is left, since the executor's slot
     is busy until then.
     """
 
-    def __init__(self, waiting: AnswerSink) -> None:
+    def __init__(self, receiver: AnswerSink) -> None:
         """Pass the answer on to ``receiver``."""
         super().__init__()
-        self._waiting: AnswerSink | None = waiting
+        self._receiver: AnswerSink | None = receiver
 
     def detach(self) -> None:
         """Discard the rest of the answer."""
-        self._waiting = None
+        self._receiver = None
 
     async def _start(self, head: ResponseHead) -> None:
-        if self._waiting is not None:
-            await self._pass(self._waiting.start(head))
+        if self._receiver is not None:
+            await self._deliver(self._receiver.start(head))
 
     async def _send(self, data: bytes) -> None:
-        if self._waiting is not None:
-            await self._pass(self._waiting.send(data))
+        if self._receiver is not None:
+            await self._deliver(self._receiver.send(data))
 
     async def _end(self) -> None:
-        if self._waiting is not None:
-            await self._pass(self._waiting.end())
+        if self._receiver is not None:
+            await self._deliver(self._receiver.end())
 
-    async def _pass(self, taking: Awaitable[None]) -> None:
+    async def _deliver(self, delivery: Awaitable[None]) -> None:
         try:
-            await taking
+            await delivery
         except (HttpError, PeerError):
             self.detach()
 
 
-def answer_broke_off(reason: str) -> TargetLostError:
+def incomplete_answer_error(reason: str) -> TargetLostError:
     """Return the error for an answer that ended prematurely."""
     return TargetLostError(502, reason, Verdict.MAY_HAVE_RUN, None)
--- a/fireflyfork/programs/_slot_releases.py
+++ b/fireflyfork/programs/_slot_releases.py
@@ -24,7 +24,7 @@
 
 SLOTS_RELEASED = "slots-released"
 
-KEPT_SECONDS = 10.0
+EARLY_NOTICE_SECONDS = 10.0
 """How long a notice is kept that arrives before the record that makes this member the owner."""
 
 
@@ -46,8 +46,8 @@
         """Call ``attach`` before use."""
         self._ownership = ownership
         self._peers = peers
-        self._handed: dict[RequestId, tuple[TargetId, PartitionId]] = {}
-        self._unsent: dict[tuple[TargetId, PartitionId], int] = {}
+        self._handed_over: dict[RequestId, tuple[TargetId, PartitionId]] = {}
+        self._pending: dict[tuple[TargetId, PartitionId], int] = {}
         self._early: list[tuple[float, SlotsReleased]] = []
         self._apply: Callable[[SlotsReleased], bool] | None = None
         self._nursery: trio.Nursery | None = None
@@ -60,30 +60,34 @@
         self._nursery = nursery
         self._apply = apply
 
-    def handed(
+    def note_handed_over(
         self, target_id: TargetId, partition: PartitionId, attempts: tuple[RequestId, ...]
     ) -> None:
         """Record the attempts in the list of busy slots that is sent to the target's next owner."""
         key = (target_id, partition)
-        self._handed = {one: at for one, at in self._handed.items() if at != key}
-        self._handed.update(dict.fromkeys(attempts, key))
-        self._unsent.pop(key, None)
-
-    def released(self, attempt: RequestId) -> None:
+        self._handed_over = {
+            attempt: target_key
+            for attempt, target_key in self._handed_over.items()
+            if target_key != key
+        }
+        self._handed_over.update(dict.fromkeys(attempts, key))
+        self._pending.pop(key, None)
+
+    def note_ended(self, attempt: RequestId) -> None:
         """Report that an attempt is proved to have ended."""
-        key = self._handed.pop(attempt, None)
+        key = self._handed_over.pop(attempt, None)
         if key is not None:
-            self._unsent[key] = self._unsent.get(key, 0) + 1
-            self.send()
+            self._pending[key] = self._pending.get(key, 0) + 1
+            self.send_pending()
 
-    def send(self) -> None:
+    def send_pending(self) -> None:
         """Send the pending notices whose targets have a new owner."""
-        for key, count in tuple(self._unsent.items()):
+        for key, count in tuple(self._pending.items()):
             target_id, partition = key
             ownership = self._ownership.ownership_of(partition)
-            if ownership is None or ownership.owner in (None, self._ownership.own):
+            if ownership is None or ownership.owner in (None, self._ownership.member_id):
                 continue
-            del self._unsent[key]
+            del self._pending[key]
             if ownership.owner is not None and self._nursery is not None:
                 notice = SlotsReleased(target_id, partition, ownership.since, count)
                 self._nursery.start_soon(self._send, ownership.owner, notice)
@@ -92,18 +96,18 @@
         """Apply the notices that arrived before the change of ownership; call it after a change."""
         now = trio.current_time()
         early, self._early = self._early, []
-        for came, notice in early:
-            if now - came < KEPT_SECONDS:
-                self._take(notice, came)
+        for received_at, notice in early:
+            if now - received_at < EARLY_NOTICE_SECONDS:
+                self._apply_or_keep(notice, received_at)
 
     def handle(self, member: MemberId, content: bytes) -> Control | None:
         """See ControlHandler."""
-        self._take(decode_content(content, SlotsReleased), trio.current_time())
+        self._apply_or_keep(decode_content(content, SlotsReleased), trio.current_time())
         return None
 
-    def _take(self, notice: SlotsReleased, came: float) -> None:
+    def _apply_or_keep(self, notice: SlotsReleased, received_at: float) -> None:
         if self._apply is not None and not self._apply(notice):
-            self._early.append((came, notice))
+            self._early.append((received_at, notice))
 
     async def _send(self, owner: MemberId, notice: SlotsReleased) -> None:
         try:
--- a/fireflyfork/programs/_span_writer.py
+++ b/fireflyfork/programs/_span_writer.py
@@ -40,7 +40,7 @@
         The span is written only if ``parent`` is sampled.
         """
         span = OpenSpan(parent.child(), dict(attributes))
-        start, begun = time.time(), time.perf_counter()
+        start, started = time.time(), time.perf_counter()
         token = trace_of_task.set(parent.trace_id)
         try:
             yield span
@@ -50,7 +50,7 @@
         finally:
             trace_of_task.reset(token)
             if parent.sampled:
-                self._write(name, parent, span, start, time.perf_counter() - begun)
+                self._write(name, parent, span, start, time.perf_counter() - started)
 
     def _write(
         self, name: str, parent: TraceContext, span: OpenSpan, start: float, duration: float
--- a/fireflyfork/programs/_time_left.py
+++ b/fireflyfork/programs/_stop_deadline.py
@@ -17,36 +17,36 @@
 _Result = TypeVar("_Result")
 
 
-class TimeLeft:
+class StopDeadline:
     """A deadline for all waits; there is none until the instance stops."""
 
     def __init__(self) -> None:
         """Start without a deadline."""
-        self._until = math.inf
+        self._deadline = math.inf
         self._waits: set[trio.CancelScope] = set()
 
     @property
     def is_ending(self) -> bool:
         """Whether a deadline is set, so that no further work should be started."""
-        return self._until < math.inf
+        return self._deadline < math.inf
 
-    def end_in(self, seconds: float) -> None:
+    def expire_in(self, seconds: float) -> None:
         """Set the deadline of all current and later waits to ``seconds`` from now."""
-        self._until = trio.current_time() + seconds
+        self._deadline = trio.current_time() + seconds
         for wait in self._waits:
-            wait.deadline = self._until
+            wait.deadline = self._deadline
 
-    async def wait(self, work: Awaitable[_Result], verdict: Verdict) -> _Result:
+    async def wait(self, operation: Awaitable[_Result], verdict: Verdict) -> _Result:
         """Await ``operation`` and return its result.
 
         Raises StoppingError if the deadline passes first. Its ``verdict`` tells whether the
         operation may have had effects.
         """
-        scope = trio.CancelScope(deadline=self._until)
+        scope = trio.CancelScope(deadline=self._deadline)
         self._waits.add(scope)
         try:
             with scope:
-                return await work
+                return await operation
         finally:
             self._waits.discard(scope)
         raise StoppingError(verdict)
--- a/fireflyfork/programs/_stored_record.py
+++ b/fireflyfork/programs/_stored_record.py
@@ -18,7 +18,7 @@
     encode_fleet,
 )
 
-_SLACK_SECONDS = 5.0
+_WATCH_GRACE_SECONDS = 5.0
 """Time beyond its own timeout after which a watch call counts as unanswered."""
 
 
@@ -58,7 +58,7 @@
 
         Returns None if there was none in time or no answer. Raises StoreError.
         """
-        with trio.move_on_after(seconds + _SLACK_SECONDS):
+        with trio.move_on_after(seconds + _WATCH_GRACE_SECONDS):
             return await self._store.wait(self._key, after, seconds)
         return None
 
--- a/fireflyfork/programs/_target_attempts.py
+++ b/fireflyfork/programs/_target_attempts.py
@@ -18,7 +18,7 @@
 from ._bodies import RequestBody
 from ._caller_requests import KEY_HEADER, REQUEST_ID_HEADER, TIMEOUT_HEADER, TRACE_HEADER
 from ._ownership import OwnershipView
-from ._sinks import AnswerSink, RelaySink, answer_broke_off
+from ._sinks import AnswerSink, DetachableSink, incomplete_answer_error
 from ._span_writer import SpanWriter
 from ._target_group import OwnedTarget, TargetGroup
 
@@ -46,19 +46,19 @@
     attempt_id: RequestId
     request: ServiceRequest
     body: RequestBody
-    relay: RelaySink
+    sink: DetachableSink
     trace: TraceContext
     ended: trio.Event = field(default_factory=trio.Event)
     error: RequestError | None = None
-    given_up: bool = False
-    left: bool = False
+    abandoned: bool = False
+    may_have_been_sent: bool = False
     """Whether any byte of the request may have been sent."""
     answered: bool = False
     """Whether the executor's whole answer was received."""
 
     @property
     def verdict(self) -> Verdict:
-        return Verdict.MAY_HAVE_RUN if self.left else Verdict.NOT_RUN
+        return Verdict.MAY_HAVE_RUN if self.may_have_been_sent else Verdict.NOT_RUN
 
 
 class TargetAttempts:
@@ -94,7 +94,7 @@
         with self._spans.span(
             "target", request.trace, target=target.contract.target_id, attempt=attempt_id
         ) as span:
-            attempt = _Attempt(attempt_id, request, body, RelaySink(sink), span.context)
+            attempt = _Attempt(attempt_id, request, body, DetachableSink(sink), span.context)
             assert self._nursery is not None
             self._nursery.start_soon(self._carry_out, group, target, attempt)
             await self._wait(attempt)
@@ -104,8 +104,8 @@
             with trio.move_on_at(attempt.request.deadline):
                 await attempt.ended.wait()
         finally:
-            attempt.given_up = True
-            attempt.relay.detach()
+            attempt.abandoned = True
+            attempt.sink.detach()
         if not attempt.ended.is_set():
             raise RequestError(504, "the deadline passed", attempt.verdict, retry_after=1.0)
         if attempt.error is not None:
@@ -123,10 +123,10 @@
             attempt.error = RequestError(error.status, error.reason, verdict, error.retry_after)
         finally:
             if not attempt.answered and attempt.error is None:
-                attempt.error = answer_broke_off("no answer within the longest run time")
+                attempt.error = incomplete_answer_error("no answer within the longest run time")
             if attempt.answered:
-                group.ran(trio.current_time() - started)
-            if attempt.answered or not attempt.left:
+                group.record_run_time(trio.current_time() - started)
+            if attempt.answered or not attempt.may_have_been_sent:
                 group.release(target, attempt.attempt_id)
             attempt.ended.set()
 
@@ -150,13 +150,13 @@
         # then exceed the executor's slots.
         if not self._ownership.may_dispatch(target.partition):
             raise MisdirectedError("ownership of the target is in doubt")
-        if attempt.given_up or trio.current_time() >= attempt.request.deadline:
+        if attempt.abandoned or trio.current_time() >= attempt.request.deadline:
             raise RequestError(504, "the deadline passed before sending", Verdict.NOT_RUN, 1.0)
 
     async def _exchange(
         self, connection: HttpClientConnection, attempt: _Attempt, longest_run: float
     ) -> None:
-        attempt.left = True
+        attempt.may_have_been_sent = True
         await self._send(connection, attempt)
         # By then the executor has ended the request, so an answer that has not started won't arrive
         # on this connection. Waiting longer would let more requests use the same dead path.
@@ -165,11 +165,11 @@
                 head = await connection.receive_head()
         except trio.TooSlowError as error:
             raise _SilentConnectionError("no answer within the longest run time") from error
-        await attempt.relay.start(head)
+        await attempt.sink.start(head)
         async for chunk in connection.receive_body():
-            await attempt.relay.send(chunk)
+            await attempt.sink.send(chunk)
         attempt.answered = True
-        await attempt.relay.end()
+        await attempt.sink.end()
 
     @staticmethod
     async def _send(connection: HttpClientConnection, attempt: _Attempt) -> None:
@@ -207,8 +207,8 @@
         if isinstance(counted, SlotRefusal):
             raise RequestError(503, "no connection to the target left", Verdict.NOT_RUN, 1.0)
         target.ledger = counted
-        target.newest = ConnectionId(target.newest + 1)
-        number = target.newest
+        target.last_connection_id = ConnectionId(target.last_connection_id + 1)
+        number = target.last_connection_id
         try:
             address = Address.parse(target.contract.address)
             connection = await HttpClientConnection.open(address, CONNECT_SECONDS)
@@ -232,7 +232,7 @@
         connection.close()
         target.ledger = target.ledger.close_connection()
         if silent:
-            target.pool, suspected = target.pool.silent(number, target.newest, now)
+            target.pool, suspected = target.pool.silent(number, target.last_connection_id, now)
             target.close_connections(suspected)
 
 
@@ -255,7 +255,7 @@
 def _framing(body: RequestBody, headers: list[Header]) -> Iterator[Header]:
     if any(name == b"content-length" for name, _ in headers):
         return
-    if not body.whole:
+    if not body.is_complete:
         yield (b"transfer-encoding", b"chunked")
     elif body.length:
         yield (b"content-length", str(body.length).encode("ascii"))
--- a/fireflyfork/programs/_target_group.py
+++ b/fireflyfork/programs/_target_group.py
@@ -30,13 +30,13 @@
     WaitingRequest,
 )
 
-FIRST_GUESS = ServiceTime(0.05, 0.02)
+INITIAL_SERVICE_TIME = ServiceTime(0.05, 0.02)
 """The assumed service time of an executor before any request was measured."""
 
-LONGEST_NAP_SECONDS = 1.0
+MAX_CHECK_INTERVAL_SECONDS = 1.0
 """The longest interval at which a waiting request checks for slots that became free by time."""
 
-SHORTEST_RETRY_SECONDS = 0.1
+MIN_RETRY_AFTER_SECONDS = 0.1
 
 
 @dataclass(slots=True)
@@ -47,20 +47,20 @@
     partition: PartitionId
     since: Epoch
     """The epoch of acquisition. If the partition was lost and regained, the ledger is stale."""
-    after_fence: bool
+    previous_owner_lost: bool
     """Whether the previous owner was lost, so that no notices of its requests' ends arrive."""
     ledger: SlotLedger
     pool: ConnectionPool
-    newest: ConnectionId
+    last_connection_id: ConnectionId
     """The id of the connection opened last; ids count up from 1."""
     connections: dict[ConnectionId, HttpClientConnection] = field(default_factory=dict)
     """The idle connections by id."""
 
-    def free(self, now: float) -> int:
+    def free_slots(self, now: float) -> int:
         """Return the number of slots that can be assigned now."""
         return self.ledger.free(now)
 
-    def usable(self, now: float) -> int:
+    def usable_slots(self, now: float) -> int:
         """Return the number of slots that become free as requests are answered.
 
         Slots occupied by a lost owner's requests are always held for the longest run time. If they
@@ -69,7 +69,7 @@
         """
         if self.ledger.leaving:
             return 0
-        if not self.after_fence:
+        if not self.previous_owner_lost:
             return self.contract.slots
         blocked = sum(s.attempt is None and s.until > now for s in self.ledger.occupied)
         return max(0, self.contract.slots - blocked)
@@ -96,15 +96,15 @@
 class TargetGroup:
     """The owned targets of one service, with a bounded queue of requests for their slots."""
 
-    def __init__(self, contract: ServiceContract, released: Callable[[RequestId], None]) -> None:
+    def __init__(self, contract: ServiceContract, on_ended: Callable[[RequestId], None]) -> None:
         """Start without targets.
 
         ``on_ended`` is called with each attempt that is proved to have ended.
         """
         self._contract = contract
-        self._released = released
+        self._on_ended = on_ended
         self._targets: dict[TargetId, OwnedTarget] = {}
-        self._queue = AdmissionQueue(contract.longest_queue, FIRST_GUESS)
+        self._queue = AdmissionQueue(contract.longest_queue, INITIAL_SERVICE_TIME)
         self._waiters: dict[RequestId, _Waiter] = {}
 
     @property
@@ -125,7 +125,7 @@
     @property
     def drain_per_second(self) -> float:
         """The requests per second that the owned targets complete when all slots are busy."""
-        return self._queue.drain_per_second(self._usable(), trio.current_time())
+        return self._queue.drain_per_second(self._usable_slots(), trio.current_time())
 
     @property
     def expected_run_seconds(self) -> float:
@@ -142,7 +142,7 @@
         now = trio.current_time()
         for target_id, target in self._targets.items():
             if not target.ledger.leaving:
-                yield OwnTarget(target_id, target.free(now))
+                yield OwnTarget(target_id, target.free_slots(now))
 
     def update_contract(self, contract: ServiceContract) -> None:
         """Apply a changed contract to subsequent requests."""
@@ -175,14 +175,14 @@
             ConnectionPool(terms),
             ConnectionId(0),
         )
-        self.wake()
+        self.assign_slots()
 
     def remove(self, target_id: TargetId) -> None:
         """Remove a target that this entry no longer owns; requests running on it continue."""
         target = self._targets.pop(target_id)
         target.close_connections(tuple(target.connections))
         if not self._targets:
-            self._send_elsewhere()
+            self._redirect_waiters()
 
     async def acquire(
         self, request: ServiceRequest, attempt: RequestId, entry: MemberId
@@ -197,7 +197,9 @@
             raise MisdirectedError("no target of the service is here")
         now = trio.current_time()
         waiting = WaitingRequest(attempt, entry, request.deadline)
-        self._queue, decision = self._queue.offer(waiting, self._free(now), self._usable(), now)
+        self._queue, decision = self._queue.offer(
+            waiting, self._free_slots(now), self._usable_slots(), now
+        )
         if decision.kind is AdmissionKind.RUN:
             target = self._try_acquire(attempt)
             if target is None:
@@ -214,19 +216,19 @@
     def release(self, target: OwnedTarget, attempt: RequestId) -> None:
         """Free the slot of an attempt that is proved to have ended, and assign it to a request."""
         target.ledger = target.ledger.release(attempt)
-        self._released(attempt)
-        self.wake()
+        self._on_ended(attempt)
+        self.assign_slots()
 
-    def ran(self, seconds: float) -> None:
+    def record_run_time(self, seconds: float) -> None:
         """Update the expected run time with the run time of an answered request."""
         self._queue = self._queue.answered(seconds, trio.current_time())
 
-    def wake(self) -> None:
+    def assign_slots(self) -> None:
         """Assign free slots to waiting requests, and refuse those that can't be served in time."""
         now = trio.current_time()
         self._queue, refused = self._queue.expire(now)
         self._settle_refused(refused)
-        while self._queue.waiting and self._free(now) > 0:
+        while self._queue.waiting and self._free_slots(now) > 0:
             target = self._try_acquire(self._queue.waiting[0].request_id)
             if target is None:
                 return
@@ -239,10 +241,10 @@
     async def _wait(self, attempt: RequestId, waiter: _Waiter) -> OwnedTarget:
         try:
             while not waiter.settled.is_set():
-                with trio.move_on_after(self._nap_seconds()):
+                with trio.move_on_after(self._check_interval()):
                     await waiter.settled.wait()
                 if not waiter.settled.is_set():
-                    self.wake()
+                    self.assign_slots()
         except trio.Cancelled:
             # A slot may have been assigned to this request just before it was cancelled.
             if waiter.target is not None:
@@ -251,11 +253,11 @@
         if waiter.target is None and waiter.retry_after is None:
             raise MisdirectedError("the targets have moved")
         if waiter.target is None:
-            retry_after = max(waiter.retry_after or 0.0, SHORTEST_RETRY_SECONDS)
+            retry_after = max(waiter.retry_after or 0.0, MIN_RETRY_AFTER_SECONDS)
             raise OverloadedError(503, "no room in time", Verdict.NOT_RUN, retry_after)
         return waiter.target
 
-    def _nap_seconds(self) -> float:
+    def _check_interval(self) -> float:
         # A slot that becomes free by time and a deadline that passes do not set any event, so a
         # waiting request must check for them.
         now = trio.current_time()
@@ -263,16 +265,16 @@
         expiry = self._queue.next_expiry()
         if expiry is not None:
             moments.append(expiry)
-        return min(max(min(moments, default=now) - now, 0.01), LONGEST_NAP_SECONDS)
+        return min(max(min(moments, default=now) - now, 0.01), MAX_CHECK_INTERVAL_SECONDS)
 
     def _settle_refused(self, refused: tuple[RefusedRequest, ...]) -> None:
-        for one in refused:
-            waiter = self._waiters.get(one.request.request_id)
+        for refusal in refused:
+            waiter = self._waiters.get(refusal.request.request_id)
             if waiter is not None:
-                waiter.retry_after = max(one.retry_after, self.seconds_to_first_slot())
+                waiter.retry_after = max(refusal.retry_after, self.seconds_to_first_slot())
                 waiter.settled.set()
 
-    def _send_elsewhere(self) -> None:
+    def _redirect_waiters(self) -> None:
         # Another member owns the targets now, and no slot here will become free for the waiting
         # requests.
         self._queue = replace(self._queue, waiting=())
@@ -285,16 +287,18 @@
 
         It is 0 while any slot becomes free as requests are answered.
         """
-        if self._usable() > 0:
+        if self._usable_slots() > 0:
             return 0.0
         now = trio.current_time()
-        ends = (one.ledger.next_free_at(now) for one in self._targets.values())
+        ends = (target.ledger.next_free_at(now) for target in self._targets.values())
         return min(ends, default=now) - now
 
     def _try_acquire(self, attempt: RequestId) -> OwnedTarget | None:
         now = trio.current_time()
-        target = max(self._targets.values(), key=lambda one: one.free(now), default=None)
-        if target is None or target.free(now) <= 0:
+        target = max(
+            self._targets.values(), key=lambda candidate: candidate.free_slots(now), default=None
+        )
+        if target is None or target.free_slots(now) <= 0:
             return None
         taken = target.ledger.acquire(attempt, now)
         if isinstance(taken, SlotRefusal):
@@ -302,9 +306,9 @@
         target.ledger = taken
         return target
 
-    def _free(self, now: float) -> int:
-        return sum(target.free(now) for target in self._targets.values())
+    def _free_slots(self, now: float) -> int:
+        return sum(target.free_slots(now) for target in self._targets.values())
 
-    def _usable(self) -> int:
+    def _usable_slots(self) -> int:
         now = trio.current_time()
-        return sum(target.usable(now) for target in self._targets.values())
+        return sum(target.usable_slots(now) for target in self._targets.values())
--- a/fireflyfork/programs/_target_groups.py
+++ b/fireflyfork/programs/_target_groups.py
@@ -60,22 +60,22 @@
         now = trio.current_time()
         for group in self._groups.values():
             for target_id, target in group.targets.items():
-                self._mark(target, leaving.includes(target_id, now))
-            group.wake()
+                self._set_leaving(target, leaving.includes(target_id, now))
+            group.assign_slots()
 
     def refresh(self, configuration: Configuration) -> None:
         """Apply a change of the configuration or of ownership."""
-        wanted = self._wanted(configuration)
+        owned = self._owned_contracts(configuration)
         for contract in configuration.services:
             if contract.name not in self._groups:
-                self._groups[contract.name] = TargetGroup(contract, self._releases.released)
+                self._groups[contract.name] = TargetGroup(contract, self._releases.note_ended)
             group = self._groups[contract.name]
             group.update_contract(contract)
-            self._refresh_group(group, wanted[contract.name])
+            self._refresh_group(group, owned[contract.name])
         for name in self._groups.keys() - {contract.name for contract in configuration.services}:
             del self._groups[name]
         self.note_leaving(self._leaving)
-        self._releases.send()
+        self._releases.send_pending()
         self._releases.apply_early()
 
     def occupied(
@@ -83,16 +83,18 @@
     ) -> dict[PartitionId, tuple[OccupiedSlots, ...]]:
         """Return the slots of owned targets in ``partitions`` that may still be busy."""
         now = trio.current_time()
-        found: dict[PartitionId, list[OccupiedSlots]] = defaultdict(list)
+        occupied: dict[PartitionId, list[OccupiedSlots]] = defaultdict(list)
         for group in self._groups.values():
             for target in group.targets.values():
                 if target.partition in partitions and target.ledger.busy(now):
-                    found[target.partition].append(_occupied(target, now))
+                    occupied[target.partition].append(_occupied_slots(target, now))
                     attempts = target.ledger.attempts()
-                    self._releases.handed(target.contract.target_id, target.partition, attempts)
-        return {partition: tuple(slots) for partition, slots in found.items()}
+                    self._releases.note_handed_over(
+                        target.contract.target_id, target.partition, attempts
+                    )
+        return {partition: tuple(slots) for partition, slots in occupied.items()}
 
-    def inherited_released(self, notice: SlotsReleased) -> bool:
+    def release_inherited(self, notice: SlotsReleased) -> bool:
         """Free slots that the previous owner's requests occupied.
 
         Returns False if this entry has not owned the target since the notice's epoch.
@@ -102,22 +104,26 @@
             if target is not None and target.since == notice.since:
                 for _ in range(notice.count):
                     target.ledger = target.ledger.release_inherited()
-                group.wake()
+                group.assign_slots()
                 return True
         return False
 
-    def _wanted(self, configuration: Configuration) -> dict[ServiceName, list[TargetContract]]:
-        wanted: dict[ServiceName, list[TargetContract]] = defaultdict(list)
-        others: dict[ServiceName, set[MemberId]] = defaultdict(set)
+    def _owned_contracts(
+        self, configuration: Configuration
+    ) -> dict[ServiceName, list[TargetContract]]:
+        owned: dict[ServiceName, list[TargetContract]] = defaultdict(list)
+        other_owners: dict[ServiceName, set[MemberId]] = defaultdict(set)
         for target in configuration.targets:
             partition = self._partition(target)
             owner = self._ownership.owner_of(partition)
-            if owner == self._ownership.own:
-                wanted[target.service].append(target)
+            if owner == self._ownership.member_id:
+                owned[target.service].append(target)
             elif owner is not None:
-                others[target.service].add(owner)
-        self._owners = {service: tuple(sorted(members)) for service, members in others.items()}
-        return wanted
+                other_owners[target.service].add(owner)
+        self._owners = {
+            service: tuple(sorted(members)) for service, members in other_owners.items()
+        }
+        return owned
 
     def _partition(self, target: TargetContract) -> PartitionId:
         count = self._ownership.partitions_per_region
@@ -125,8 +131,8 @@
         self._partition_of[target.target_id] = partition
         return partition
 
-    def _refresh_group(self, group: TargetGroup, wanted: list[TargetContract]) -> None:
-        by_id = {target.target_id: target for target in wanted}
+    def _refresh_group(self, group: TargetGroup, contracts: list[TargetContract]) -> None:
+        by_id = {target.target_id: target for target in contracts}
         for target_id in group.targets.keys() - by_id.keys():
             group.remove(target_id)
         for target_id, contract in by_id.items():
@@ -138,7 +144,7 @@
                 group.remove(target_id)
                 owned = None
             if owned is None:
-                ledger = _first_ledger(group, contract, ownership)
+                ledger = _new_ledger(group, contract, ownership)
                 group.add(contract, partition, ownership, ledger)
             elif owned.contract != contract:
                 owned.contract = contract
@@ -146,12 +152,12 @@
                 owned.ledger = owned.ledger.with_terms(terms)
 
     @staticmethod
-    def _mark(target: OwnedTarget, leaving: bool) -> None:
+    def _set_leaving(target: OwnedTarget, leaving: bool) -> None:
         if leaving != target.ledger.leaving:
             target.ledger = target.ledger.leave() if leaving else target.ledger.rejoin()
 
 
-def _first_ledger(group: TargetGroup, contract: TargetContract, ownership: Ownership) -> SlotLedger:
+def _new_ledger(group: TargetGroup, contract: TargetContract, ownership: Ownership) -> SlotLedger:
     terms = SlotTerms.from_contracts(contract, group.contract)
     now = trio.current_time()
     if ownership.acquired is Acquisition.FIRST:
@@ -174,7 +180,7 @@
     return SlotHandover(handed, terms.own_connections, leaving=False)
 
 
-def _occupied(target: OwnedTarget, now: float) -> OccupiedSlots:
+def _occupied_slots(target: OwnedTarget, now: float) -> OccupiedSlots:
     ledger = target.ledger
     last = max(slot.until for slot in ledger.occupied)
     return OccupiedSlots(target.contract.target_id, ledger.busy(now), last - now)
--- a/fireflyfork/programs/entry.py
+++ b/fireflyfork/programs/entry.py
@@ -27,7 +27,7 @@
 from ._settings import load_settings_or_exit
 from ._span_writer import SpanWriter
 
-LONGEST_LEAVE_SECONDS = 20.0
+MAX_LEAVE_SECONDS = 20.0
 INSTANCE_WAIT_SECONDS = 20.0
 RETRY_SECONDS = 1.0
 FLUSH_SECONDS = 0.2
@@ -86,10 +86,10 @@
 
     async def _stop(self) -> None:
         await self._entry.stop_callers(self._settings.drain_notice_seconds)
-        left = await self._membership.leave(LONGEST_LEAVE_SECONDS)
+        handed_over = await self._membership.leave(MAX_LEAVE_SECONDS)
         await self._entry.wait_for_calls()
         await trio.sleep(FLUSH_SECONDS)
-        logger.info("stopped", handed_over=left)
+        logger.info("stopped", handed_over=handed_over)
 
     async def _follow_instances(self) -> None:
         instances: InstanceList = HttpInstanceList(
@@ -123,7 +123,7 @@
             Address.parse,
             (settings.caller_address, settings.peer_address, settings.operator_address),
         )
-        return EntryListeners(*[await listen(one.host, one.port) for one in addresses])
+        return EntryListeners(*[await listen(address.host, address.port) for address in addresses])
 
     def _member(self) -> Member:
         zone = Zone(self._settings.region, self._settings.failure_domain)
--- a/fireflyfork/programs/planner.py
+++ b/fireflyfork/programs/planner.py
@@ -42,7 +42,7 @@
         self._view = MembershipView(zone)
         service = PlannerPeerService()
         key = settings.peer_key.encode("utf-8")
-        self._peers = Peers(lambda: self._view.own, key, service, self._view.address_of)
+        self._peers = Peers(lambda: self._view.member_id, key, service, self._view.address_of)
         self._directory = PlannerDirectory(Address.parse(settings.operator_address))
         rights = MembershipRights(self._directory)
         store = HttpStore(Address.parse(settings.store_address))
--- a/fireflyfork/programs/tests/builders_entries.py
+++ b/fireflyfork/programs/tests/builders_entries.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True)
-class FleetOfTest:
+class FleetState:
     """The fleet state that all entries of a test share; tests change it."""
 
     ownerships: dict[PartitionId, Ownership] = field(default_factory=dict)
@@ -62,7 +62,7 @@
     guarded_since: dict[MemberId, Epoch] = field(default_factory=dict)
     without_right: set[MemberId] = field(default_factory=set)
 
-    def give(
+    def set_owner(
         self,
         partition: PartitionId,
         owner: MemberId,
@@ -78,12 +78,12 @@
 class FixedOwnership(OwnershipView):
     """An ownership view of the shared fleet state, as seen by one member."""
 
-    def __init__(self, own: MemberId, fleet: FleetOfTest) -> None:
+    def __init__(self, own: MemberId, fleet: FleetState) -> None:
         self._own = own
         self._fleet = fleet
 
     @property
-    def own(self) -> MemberId:
+    def member_id(self) -> MemberId:
         return self._own
 
     @property
@@ -104,7 +104,9 @@
 
     def owners(self) -> dict[PartitionId, MemberId]:
         ownerships = self._fleet.ownerships.items()
-        return {one: owned.owner for one, owned in ownerships if owned.owner is not None}
+        return {
+            partition: owned.owner for partition, owned in ownerships if owned.owner is not None
+        }
 
     def guard(self) -> Guard | None:
         member = self._fleet.guards.get(self._own)
@@ -150,7 +152,7 @@
 class RunningFleet:
     """Entries and executors under test."""
 
-    fleet: FleetOfTest
+    state: FleetState
     entries: list[RunningEntry]
     executors: dict[TargetId, ExecutorHandler]
     configuration: Configuration
@@ -176,30 +178,34 @@
 
     def move_all(self, to: int, acquired: Acquisition) -> None:
         """Make one entry the owner of all partitions. The other entries are refreshed first."""
-        partitions = tuple(self.fleet.ownerships)
+        partitions = tuple(self.state.ownerships)
         occupied: dict[PartitionId, tuple[OccupiedSlots, ...]] = {}
         if acquired is Acquisition.MOVED:
             for running in self.entries:
                 occupied.update(running.entry.occupied(partitions))
         for partition in partitions:
             owner = MemberId(f"entry-{to}")
-            self.fleet.give(partition, owner, acquired, occupied.get(partition, ()))
-        for running in sorted(self.entries, key=lambda one: one is self.entries[to]):
+            self.state.set_owner(partition, owner, acquired, occupied.get(partition, ()))
+        for running in sorted(self.entries, key=lambda entry: entry is self.entries[to]):
             running.entry.refresh()
 
-    def lose(self, lost: int, to: int, epoch: int = 1) -> None:
+    def fence_entry(self, lost: int, to: int, epoch: int = 1) -> None:
         """Fence entry ``lost`` and assign its partitions to entry ``to``."""
-        known = [one for one in self.fleet.addresses if one not in self.fleet.without_right]
+        known = [
+            member_id
+            for member_id in self.state.addresses
+            if member_id not in self.state.without_right
+        ]
         before = self._record(epoch=epoch, members=tuple(known))
         for running in self.entries:
             running.entry.follow_fleet(before)
-        gone = MemberId(f"entry-{lost}")
-        for partition, ownership in tuple(self.fleet.ownerships.items()):
-            if ownership.owner == gone:
-                self.fleet.give(partition, MemberId(f"entry-{to}"), Acquisition.TAKEN_OVER)
-        self.fleet.without_right.add(gone)
-        living = tuple(member for member in known if member != gone)
-        after = self._record(epoch=epoch + 1, members=living)
+        fenced_member = MemberId(f"entry-{lost}")
+        for partition, ownership in tuple(self.state.ownerships.items()):
+            if ownership.owner == fenced_member:
+                self.state.set_owner(partition, MemberId(f"entry-{to}"), Acquisition.TAKEN_OVER)
+        self.state.without_right.add(fenced_member)
+        remaining = tuple(member for member in known if member != fenced_member)
+        after = self._record(epoch=epoch + 1, members=remaining)
         for running in self.entries:
             if running is not self.entries[lost]:
                 running.entry.follow_fleet(after)
@@ -210,23 +216,23 @@
             epoch=Epoch(epoch),
             partitions_per_region=PARTITIONS,
             members={
-                one: Member(
-                    one,
-                    self.fleet.addresses[one],
+                member_id: Member(
+                    member_id,
+                    self.state.addresses[member_id],
                     zone,
-                    self.fleet.guards.get(one),
-                    self.fleet.guarded_since.get(one, Epoch(1)),
+                    self.state.guards.get(member_id),
+                    self.state.guarded_since.get(member_id, Epoch(1)),
                 )
-                for one in members
+                for member_id in members
             },
-            owners=dict(self.fleet.ownerships),
+            owners=dict(self.state.ownerships),
         )
 
-    def a_key_at(self, entry: int) -> str:
+    def key_at(self, entry: int) -> str:
         """Return a key that contains no time and whose home is that entry."""
         while True:
             key = str(uuid.uuid4())
-            home = self.fleet.ownerships[partition_of(REGION, key, PARTITIONS)].owner
+            home = self.state.ownerships[partition_of(REGION, key, PARTITIONS)].owner
             if home == f"entry-{entry}":
                 return key
 
@@ -270,14 +276,14 @@
             services=(a_service(),),
             targets=targets,
         )
-        fleet = FleetOfTest()
+        fleet = FleetState()
         members = [MemberId(f"entry-{number}") for number in range(entries)]
         for number in range(PARTITIONS):
             owner = members[(owned_by or {}).get(number, 0)]
-            fleet.give(PartitionId(f"{REGION}/{number}"), owner, Acquisition.FIRST)
+            fleet.set_owner(PartitionId(f"{REGION}/{number}"), owner, Acquisition.FIRST)
         running = [await _start_entry(nursery, member, fleet) for member in members]
-        for one in running:
-            one.entry.configure(configuration)
+        for running_entry in running:
+            running_entry.entry.configure(configuration)
         yield RunningFleet(fleet, running, handlers, configuration)
         nursery.cancel_scope.cancel()
 
@@ -306,7 +312,7 @@
     return _address(listeners)
 
 
-async def _start_entry(nursery: trio.Nursery, member: MemberId, fleet: FleetOfTest) -> RunningEntry:
+async def _start_entry(nursery: trio.Nursery, member: MemberId, fleet: FleetState) -> RunningEntry:
     listeners = EntryListeners(
         callers=await listen("127.0.0.1", 0),
         peers=await listen("127.0.0.1", 0),
--- a/fireflyfork/programs/tests/builders_keepers.py
+++ b/fireflyfork/programs/tests/builders_keepers.py
@@ -29,7 +29,7 @@
     fleet: Fleet
     keepers: dict[Address, ConfigurationKeeper] = field(default_factory=dict)
     in_force: dict[Address, list[int]] = field(default_factory=dict)
-    passed_on: int = 0
+    offers_sent: int = 0
     """The number of configurations that members sent to each other."""
 
     def keep(self, membership: Membership, address: Address) -> ConfigurationKeeper:
@@ -51,9 +51,11 @@
             guard_name = membership.record.guard_of(membership.member_id)
             guard = membership.record.members.get(guard_name) if guard_name else None
             if guard is not None and not self._cut(address, guard):
-                keeper, other = self.keepers[address], self.keepers[guard.address]
-                other.peer_holds(membership.member_id, membership.configuration_version)
-                keeper.peer_holds(guard.member_id, other.version)
+                keeper, guard_keeper = self.keepers[address], self.keepers[guard.address]
+                guard_keeper.handle_peer_version(
+                    membership.member_id, membership.configuration_version
+                )
+                keeper.handle_peer_version(guard.member_id, guard_keeper.version)
             await trio.sleep(0.5)
 
     def _cut(self, address: Address, guard: Member) -> bool:
@@ -83,9 +85,9 @@
     async def offer_configuration(self, peer: Member, offer: ConfigurationOffer) -> None:
         """See ``GuardChannel``."""
         await self._reach("configuration", peer)
-        self._keepers.passed_on += 1
+        self._keepers.offers_sent += 1
         sender = self._keepers.fleet.network.members[self._own].member_id
-        self._keepers.keepers[peer.address].offered(sender, offer)
+        self._keepers.keepers[peer.address].handle_offer(sender, offer)
 
 
 def an_offer(version: int) -> ConfigurationOffer:
--- a/fireflyfork/programs/tests/builders_membership.py
+++ b/fireflyfork/programs/tests/builders_membership.py
@@ -106,12 +106,12 @@
     async def ask(self, peer: Member, question: GuardQuestion) -> GuardReply:
         """See ``GuardChannel``."""
         receiver = await self._reach("ask", peer)
-        return receiver.asked(question)
+        return receiver.answer_question(question)
 
     async def offer_fleet(self, peer: Member, offer: FleetOffer) -> None:
         """See ``GuardChannel``."""
         receiver = await self._reach("offer", peer)
-        receiver.offered(offer)
+        receiver.handle_fleet_offer(offer)
 
     async def offer_configuration(self, peer: Member, offer: ConfigurationOffer) -> None:
         """See ``GuardChannel``."""
--- a/fireflyfork/programs/tests/builders_processes.py
+++ b/fireflyfork/programs/tests/builders_processes.py
@@ -38,7 +38,7 @@
 )
 from ...adapters import HttpClient, HttpClientConnection, HttpError, HttpStore, RequestHead
 from .._ctl_store import ConfigurationStore
-from .builders_relays import Relay, start_relay
+from .builders_proxies import TcpProxy, start_proxy
 from .history_checks import Call, CallEnd, ExecutorRun, Freeze, History
 
 SLOTS = 4
@@ -102,7 +102,7 @@
     instances: Address
     executors: dict[TargetId, Address]
     entries: list[EntryProcess]
-    relays: dict[TargetId, Relay] = field(default_factory=dict)
+    proxies: dict[TargetId, TcpProxy] = field(default_factory=dict)
     calls: list[Call] = field(default_factory=list)
     settled_calls: int = 0
     """The number of calls made before the scenario started."""
@@ -215,7 +215,7 @@
             most_busy,
             SLOTS,
             tuple(self.freezes),
-            {target_id: relay.most_open for target_id, relay in self.relays.items()},
+            {target_id: relay.max_open for target_id, relay in self.proxies.items()},
             CONNECTIONS,
         )
 
@@ -234,7 +234,7 @@
         answered = 0
         while answered < SETTLED_BOOKINGS:
             for entry in self._fleet.entries:
-                call = await self.call(entry, _mint(self._random), "settling")
+                call = await self.call(entry, _new_key(self._random), "settling")
                 answered = answered + 1 if call.status == 200 else 0
             await trio.sleep(0.05)
 
@@ -253,7 +253,7 @@
             await trio.sleep(random.uniform(0.0, 0.1))
 
     async def _book(self, random: Random, body: str) -> None:
-        key = _mint(random)
+        key = _new_key(random)
         tried: list[EntryProcess] = []
         for _ in range(3):
             entries = [entry for entry in self._fleet.entries if entry.in_service]
@@ -315,7 +315,7 @@
 
 @asynccontextmanager
 async def process_fleet(
-    relayed: bool = False, run_seconds: float = RUN_SECONDS
+    proxied: bool = False, run_seconds: float = RUN_SECONDS
 ) -> AsyncIterator[ProcessFleet]:
     """Start all processes; with ``proxied``, entries reach executors through TCP proxies."""
     with tempfile.TemporaryDirectory(prefix="fireflyfork-test-") as name:
@@ -323,7 +323,7 @@
             fleet = _fleet(Path(name))
             try:
                 with trio.fail_after(START_SECONDS):
-                    await _start(fleet, nursery, relayed, run_seconds)
+                    await _start(fleet, nursery, proxied, run_seconds)
                 yield fleet
             except BaseException as error:
                 error.add_note(_errors_in_logs(fleet.folder))
@@ -364,7 +364,7 @@
 
 
 async def _start(
-    fleet: ProcessFleet, nursery: trio.Nursery, relayed: bool, run_seconds: float
+    fleet: ProcessFleet, nursery: trio.Nursery, proxied: bool, run_seconds: float
 ) -> None:
     python, standins = sys.executable, "fireflyfork_standins"
     fleet.launch("store", python, "-m", f"{standins}.store", str(fleet.store))
@@ -378,9 +378,9 @@
     path.write_text(json.dumps(settings), "utf-8")
     fleet.launch("executors", python, "-m", f"{standins}.executor", str(path))
     reached = dict(fleet.executors)
-    if relayed:
+    if proxied:
         for target_id, address in fleet.executors.items():
-            fleet.relays[target_id], reached[target_id] = await start_relay(nursery, address)
+            fleet.proxies[target_id], reached[target_id] = await start_proxy(nursery, address)
     await _configure(fleet.store, reached)
     for entry in fleet.entries:
         fleet.start_entry(entry)
@@ -440,7 +440,7 @@
     return "\n".join(islice(lines, 20))
 
 
-def _mint(random: Random) -> IdempotencyKey:
+def _new_key(random: Random) -> IdempotencyKey:
     value = time.time_ns() // 1_000_000 << 80 | 7 << 76 | 2 << 62 | random.getrandbits(62)
     region = random.choice(("", f"{VITI}.", f"{VANUA}."))
     return IdempotencyKey(f"{region}{uuid.UUID(int=value)}")
--- a/fireflyfork/programs/tests/builders_relays.py
+++ b/fireflyfork/programs/tests/builders_proxies.py
@@ -12,54 +12,54 @@
 _CHUNK_BYTES = 65_536
 
 
-class Relay:
+class TcpProxy:
     """Forwards TCP connections to one executor."""
 
-    def __init__(self, behind: Address) -> None:
+    def __init__(self, upstream: Address) -> None:
         """``upstream`` is the address of the executor."""
-        self._behind = behind
-        self._lost: list[trio.Event] = []
-        self.most_open = 0
+        self._upstream = upstream
+        self._silence_events: list[trio.Event] = []
+        self.max_open = 0
         """The maximum number of connections that were open at the same time."""
 
-    def lose_track(self) -> None:
+    def silence(self) -> None:
         """Discard all data on the currently open connections permanently."""
-        for lost in self._lost:
-            lost.set()
+        for silenced in self._silence_events:
+            silenced.set()
 
     async def run(self, listeners: list[trio.SocketListener]) -> None:
         """Serve until cancelled."""
         await trio.serve_listeners(self._serve, listeners)
 
-    async def _serve(self, near: trio.SocketStream) -> None:
-        lost = trio.Event()
-        self._lost.append(lost)
-        self.most_open = max(self.most_open, len(self._lost))
+    async def _serve(self, client: trio.SocketStream) -> None:
+        silenced = trio.Event()
+        self._silence_events.append(silenced)
+        self.max_open = max(self.max_open, len(self._silence_events))
         try:
-            far = await trio.open_tcp_stream(self._behind.host, self._behind.port)
-            async with far, near, trio.open_nursery() as nursery:
-                nursery.start_soon(_pump, near, far, lost)
-                nursery.start_soon(_pump, far, near, lost)
+            server = await trio.open_tcp_stream(self._upstream.host, self._upstream.port)
+            async with server, client, trio.open_nursery() as nursery:
+                nursery.start_soon(_pump, client, server, silenced)
+                nursery.start_soon(_pump, server, client, silenced)
         except* (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         finally:
-            self._lost.remove(lost)
+            self._silence_events.remove(silenced)
 
 
-async def _pump(source: trio.SocketStream, sink: trio.SocketStream, lost: trio.Event) -> None:
+async def _pump(source: trio.SocketStream, sink: trio.SocketStream, silenced: trio.Event) -> None:
     while data := await source.receive_some(_CHUNK_BYTES):
-        if lost.is_set():
+        if silenced.is_set():
             await trio.sleep_forever()
         await sink.send_all(data)
-    if lost.is_set():
+    if silenced.is_set():
         await trio.sleep_forever()
     await sink.aclose()
 
 
-async def start_relay(nursery: trio.Nursery, behind: Address) -> tuple[Relay, Address]:
+async def start_proxy(nursery: trio.Nursery, upstream: Address) -> tuple[TcpProxy, Address]:
     """Start a proxy on a new port and return it with its address."""
-    relay = Relay(behind)
+    proxy = TcpProxy(upstream)
     listeners = await listen("127.0.0.1", 0)
-    nursery.start_soon(partial(relay.run, listeners))
+    nursery.start_soon(partial(proxy.run, listeners))
     host, port = listeners[0].socket.getsockname()[:2]
-    return relay, Address(host, port)
+    return proxy, Address(host, port)
--- a/fireflyfork/programs/tests/history_checks.py
+++ b/fireflyfork/programs/tests/history_checks.py
@@ -109,7 +109,7 @@
             yield f"{call} got a wrong or incomplete answer"
 
 
-def silent_refusals(history: History) -> Iterator[str]:
+def incomplete_refusals(history: History) -> Iterator[str]:
     """Report responses without a verdict, and 503 responses without a Retry-After header."""
     for call in history.calls:
         if call.end is not CallEnd.ANSWERED:
@@ -140,16 +140,16 @@
 
 def over_slots(history: History) -> Iterator[str]:
     """Report executors that ran more requests at the same time than they have slots."""
-    for target_id, most in history.most_busy.items():
-        if most > history.slots:
-            yield f"{target_id} ran {most} at a time and has {history.slots} slots"
+    for target_id, max_running in history.most_busy.items():
+        if max_running > history.slots:
+            yield f"{target_id} ran {max_running} at a time and has {history.slots} slots"
 
 
 def over_connections(history: History) -> Iterator[str]:
     """Report targets that had more connections open than their contracts allow."""
-    for target_id, most in history.most_connections.items():
-        if most > history.connections:
-            yield f"{target_id} had {most} connections open and allows {history.connections}"
+    for target_id, max_open in history.most_connections.items():
+        if max_open > history.connections:
+            yield f"{target_id} had {max_open} connections open and allows {history.connections}"
 
 
 def runs_after(history: History, target_id: TargetId, leaving_at: float) -> Iterator[str]:
@@ -173,7 +173,7 @@
         *ran_though_not_run(history),
         *answered_though_not_run(history),
         *wrong_answers(history),
-        *silent_refusals(history),
+        *incomplete_refusals(history),
         *waits_past_deadline(history, slack),
         *over_slots(history),
         *over_connections(history),
--- a/fireflyfork/programs/tests/test_configuration_keeper.py
+++ b/fireflyfork/programs/tests/test_configuration_keeper.py
@@ -59,9 +59,9 @@
         """
 
         async def scenario(keepers: KeeperFleet) -> None:
-            before = keepers.passed_on
+            before = keepers.offers_sent
             await trio.sleep(60.0)
-            self.assertEqual(keepers.passed_on, before)
+            self.assertEqual(keepers.offers_sent, before)
 
         run_keepers(scenario)
 
@@ -75,7 +75,7 @@
         async def scenario(keepers: KeeperFleet) -> None:
             keepers.fleet.store.down = True
             first = keepers.fleet.network.members[_ADDRESSES[0]].member_id
-            keepers.keepers[_ADDRESSES[1]].offered(first, an_offer(2))
+            keepers.keepers[_ADDRESSES[1]].handle_offer(first, an_offer(2))
             await trio.sleep(_IN_FORCE_SECONDS)
             for address in _ADDRESSES:
                 self.assertEqual(keepers.in_force[address], [1, 2])
@@ -95,7 +95,7 @@
             address = _ADDRESSES[0]
             membership = keepers.fleet.network.members[address]
             keepers.in_force[address].clear()
-            keepers.keep(membership, address).offered(membership.member_id, an_offer(2))
+            keepers.keep(membership, address).handle_offer(membership.member_id, an_offer(2))
             await trio.sleep(_IN_FORCE_SECONDS)
             self.assertEqual(keepers.in_force[address], [3])
 
@@ -112,7 +112,7 @@
             await keepers.accept(5)
             await trio.sleep(_IN_FORCE_SECONDS)
             sender = keepers.fleet.network.members[_ADDRESSES[1]].member_id
-            keepers.keepers[_ADDRESSES[0]].offered(sender, an_offer(4))
+            keepers.keepers[_ADDRESSES[0]].handle_offer(sender, an_offer(4))
             await keepers.accept(3)
             await trio.sleep(_IN_FORCE_SECONDS)
             for address in _ADDRESSES:
--- a/fireflyfork/programs/tests/test_history_checks.py
+++ b/fireflyfork/programs/tests/test_history_checks.py
@@ -52,11 +52,11 @@
 
     def test_faults_are_found(self) -> None:
         """A history with one fault yields exactly one violation, which describes the fault."""
-        for name, broken, said in broken_histories():
+        for name, broken, expected in broken_histories():
             with self.subTest(name):
-                found = violations(broken)
-                self.assertEqual(len(found), 1, found)
-                self.assertIn(said, found[0])
+                reported = violations(broken)
+                self.assertEqual(len(reported), 1, reported)
+                self.assertIn(expected, reported[0])
 
     def test_good_histories_pass(self) -> None:
         """Refusals, and calls that may have run whether or not they ran, are no violations."""
--- a/fireflyfork/programs/tests/test_keyed_requests.py
+++ b/fireflyfork/programs/tests/test_keyed_requests.py
@@ -12,7 +12,7 @@
 
 from ... import Epoch, MemberId
 from ...decisions import Acquisition, partition_of
-from .._key_copies import KEEP_SECONDS
+from .._key_copies import COPY_CHECK_SECONDS
 from .builders_entries import PARTITIONS, REGION, RunningFleet, running_fleet
 
 GENEROUS_SECONDS = 60.0
@@ -87,12 +87,12 @@
             key = a_key()
             answers: list[tuple[int, str, bytes]] = []
 
-            async def one(entry: int) -> None:
+            async def send_one(entry: int) -> None:
                 answers.append(await book(fleet, entry, key))
 
             async with trio.open_nursery() as nursery:
                 for entry in (0, 1, 2, 0, 1, 2):
-                    nursery.start_soon(one, entry)
+                    nursery.start_soon(send_one, entry)
             self.assertEqual(len(set(answers)), 1, answers)
             self.assertEqual(answers[0][0], 200)
             self.assertEqual(fleet.runs(), [key])
@@ -152,11 +152,11 @@
         """
 
         async def body(fleet: RunningFleet) -> None:
-            fleet.fleet.guards[MemberId("entry-0")] = MemberId("entry-1")
-            used, unused = fleet.a_key_at(0), fleet.a_key_at(0)
+            fleet.state.guards[MemberId("entry-0")] = MemberId("entry-1")
+            used, unused = fleet.key_at(0), fleet.key_at(0)
             self.assertEqual((await book(fleet, 2, used))[0], 200)
-            await trio.sleep(2 * KEEP_SECONDS)
-            fleet.lose(0, to=2)
+            await trio.sleep(2 * COPY_CHECK_SECONDS)
+            fleet.fence_entry(0, to=2)
             self.assertEqual((await book(fleet, 1, unused))[:2], (200, "answered"))
             self.assertEqual((await book(fleet, 1, used))[:2], (409, "may-have-run"))
             self.assertEqual(sorted(fleet.runs()), sorted([used, unused]))
@@ -167,15 +167,15 @@
         """Guards against the loss of the first home's keys when the second home is lost too."""
 
         async def body(fleet: RunningFleet) -> None:
-            fleet.fleet.guards[MemberId("entry-0")] = MemberId("entry-1")
-            fleet.fleet.guards[MemberId("entry-2")] = MemberId("entry-1")
-            key = fleet.a_key_at(0)
+            fleet.state.guards[MemberId("entry-0")] = MemberId("entry-1")
+            fleet.state.guards[MemberId("entry-2")] = MemberId("entry-1")
+            key = fleet.key_at(0)
             await book(fleet, 1, key)
-            await trio.sleep(2 * KEEP_SECONDS)
-            fleet.lose(0, to=2)
-            await trio.sleep(2 * KEEP_SECONDS)
-            fleet.lose(2, to=1, epoch=2)
-            unused = fleet.a_key_at(1)
+            await trio.sleep(2 * COPY_CHECK_SECONDS)
+            fleet.fence_entry(0, to=2)
+            await trio.sleep(2 * COPY_CHECK_SECONDS)
+            fleet.fence_entry(2, to=1, epoch=2)
+            unused = fleet.key_at(1)
             self.assertEqual((await book(fleet, 1, key))[:2], (409, "may-have-run"))
             self.assertEqual((await book(fleet, 1, unused))[:2], (200, "answered"))
             self.assertEqual(sorted(fleet.runs()), sorted([key, unused]))
@@ -191,14 +191,14 @@
 
         async def body(fleet: RunningFleet) -> None:
             home, guard, other = (MemberId(f"entry-{n}") for n in range(3))
-            fleet.fleet.guards[home] = guard
-            await book(fleet, 2, fleet.a_key_at(0))
-            fleet.fleet.guards[home] = other
-            key = fleet.a_key_at(0)
+            fleet.state.guards[home] = guard
+            await book(fleet, 2, fleet.key_at(0))
+            fleet.state.guards[home] = other
+            key = fleet.key_at(0)
             await book(fleet, 2, key)
-            fleet.fleet.guards[home] = guard
-            fleet.fleet.guarded_since[home] = Epoch(2)
-            fleet.lose(0, to=2)
+            fleet.state.guards[home] = guard
+            fleet.state.guarded_since[home] = Epoch(2)
+            fleet.fence_entry(0, to=2)
             self.assertEqual((await book(fleet, 1, key))[:2], (409, "may-have-run"))
             self.assertEqual(fleet.runs().count(key), 1)
 
@@ -211,8 +211,8 @@
         """
 
         async def body(fleet: RunningFleet) -> None:
-            fleet.fleet.guards[MemberId("entry-0")] = MemberId("nobody")
-            headers = ((b"idempotency-key", fleet.a_key_at(0).encode()),)
+            fleet.state.guards[MemberId("entry-0")] = MemberId("nobody")
+            headers = ((b"idempotency-key", fleet.key_at(0).encode()),)
             head, answer = await fleet.entries[2].call(
                 "POST", "/desk/holds", timeout_ms="700", headers=headers
             )
@@ -280,12 +280,12 @@
         """
 
         async def body(fleet: RunningFleet) -> None:
-            fleet.fleet.without_right.update(fleet.fleet.addresses)
+            fleet.state.without_right.update(fleet.state.addresses)
             key = a_key()
             status, verdict, answer = await book(fleet, 0, key)
             self.assertEqual((status, verdict), (503, "not-run"), answer)
             self.assertEqual(fleet.runs(), [])
-            fleet.fleet.without_right.clear()
+            fleet.state.without_right.clear()
             self.assertEqual((await book(fleet, 0, key))[:2], (200, "answered"))
 
         run_fleet(body)
--- a/fireflyfork/programs/tests/test_leaving.py
+++ b/fireflyfork/programs/tests/test_leaving.py
@@ -26,20 +26,20 @@
 
 
 async def book_all_at_entry_1(
-    fleet: RunningFleet, meanwhile: Callable[[], Awaitable[None]]
+    fleet: RunningFleet, action: Callable[[], Awaitable[None]]
 ) -> list[int]:
     """Return the statuses of four bookings, during which ``action`` is called."""
     statuses: list[int] = []
 
-    async def one() -> None:
+    async def send_one() -> None:
         head, _ = await fleet.entries[1].call("POST", "/desk/x")
         statuses.append(head.status)
 
     async with trio.open_nursery() as nursery:
         for _ in range(4):
-            nursery.start_soon(one)
+            nursery.start_soon(send_one)
         await trio.sleep(0.1)
-        await meanwhile()
+        await action()
     return statuses
 
 
@@ -53,15 +53,15 @@
         """
 
         async def body(fleet: RunningFleet) -> None:
-            gone = TargetId("desk-0")
-            change = InstanceChange(gone, InstanceState.LEAVING)
+            leaving_id = TargetId("desk-0")
+            change = InstanceChange(leaving_id, InstanceState.LEAVING)
             fleet.entries[2].entry.note_instances((change,))
             await trio.sleep(SEVERAL_HEARTBEATS)
-            before = len(fleet.executors[gone].history)
+            before = len(fleet.executors[leaving_id].history)
             for number in range(12):
                 head, answer = await fleet.entries[number % 3].call("POST", "/desk/x")
                 self.assertEqual(head.status, 200, answer)
-            self.assertEqual(len(fleet.executors[gone].history), before)
+            self.assertEqual(len(fleet.executors[leaving_id].history), before)
 
         run_fleet(body)
 
@@ -70,7 +70,10 @@
 
         async def body(fleet: RunningFleet) -> None:
             async def lose_all() -> None:
-                changes = [InstanceChange(one, InstanceState.LEAVING) for one in fleet.executors]
+                changes = [
+                    InstanceChange(target_id, InstanceState.LEAVING)
+                    for target_id in fleet.executors
+                ]
                 fleet.entries[0].entry.note_instances(changes)
 
             statuses = await book_all_at_entry_1(fleet, lose_all)
@@ -128,14 +131,14 @@
         async def body(fleet: RunningFleet) -> None:
             answers: list[tuple[int, bytes]] = []
 
-            async def one(number: int) -> None:
+            async def send_one(number: int) -> None:
                 entry = fleet.entries[number % 3]
                 head, answer = await entry.call("POST", f"/desk/{number}", timeout_ms="9000")
                 answers.append((head.status, answer))
 
             async with trio.open_nursery() as nursery:
                 for number in range(24):
-                    nursery.start_soon(one, number)
+                    nursery.start_soon(send_one, number)
                 await trio.sleep(0.3)
                 fleet.move_all(2, Acquisition.MOVED)
             self.assertEqual([status for status, _ in answers], [200] * 24, answers)
--- a/fireflyfork/programs/tests/test_membership.py
+++ b/fireflyfork/programs/tests/test_membership.py
@@ -39,10 +39,12 @@
         """After the start each partition has exactly one owner that may dispatch."""
 
         async def scenario(fleet: Fleet, members: list[Membership]) -> None:
-            self.assertEqual(sorted(len(one.owned_partitions) for one in members), [10, 11, 11])
-            self.assertEqual({one.revision for one in members}, {members[0].revision})
+            self.assertEqual(
+                sorted(len(member.owned_partitions) for member in members), [10, 11, 11]
+            )
+            self.assertEqual({member.revision for member in members}, {members[0].revision})
             for partition in members[0].record.owners:
-                self.assertEqual(sum(one.may_dispatch(partition) for one in members), 1)
+                self.assertEqual(sum(member.may_dispatch(partition) for member in members), 1)
 
         _with_fleet(scenario)
 
@@ -65,7 +67,7 @@
             fleet.store.calls.clear()
             for _ in range(600):
                 await trio.sleep(1)
-                self.assertTrue(all(one.holds_right for one in members))
+                self.assertTrue(all(member.holds_right for member in members))
             self.assertLess(fleet.store.calls.total(), 2 * 600 / 5 + 2)
 
         _with_fleet(scenario)
@@ -79,7 +81,7 @@
             await trio.sleep(6)
             living = [members[0], members[2]]
             for partition in lost:
-                self.assertEqual(sum(one.may_dispatch(partition) for one in living), 1)
+                self.assertEqual(sum(member.may_dispatch(partition) for member in living), 1)
             taken = members[0].record.owners[lost[0]]
             self.assertIs(taken.acquired, Acquisition.TAKEN_OVER)
 
@@ -98,8 +100,8 @@
             await trio.sleep(0.5)
             fleet.network.cut.clear()
             await trio.sleep(15)
-            self.assertTrue(all(one.holds_right for one in members))
-            self.assertEqual(sum(len(one.owned_partitions) for one in members), 32)
+            self.assertTrue(all(member.holds_right for member in members))
+            self.assertEqual(sum(len(member.owned_partitions) for member in members), 32)
 
         _with_fleet(scenario)
 
@@ -110,12 +112,12 @@
         """
 
         async def scenario(fleet: Fleet, members: list[Membership]) -> None:
-            members[0].declare_gone(members[1].member_id)
+            members[0].report_terminated(members[1].member_id)
             await trio.sleep(15)
             self.assertEqual(members[1].member_id, "b-2")
             self.assertIs(members[1].phase, MemberPhase.ACTIVE)
             self.assertIn(len(members[1].owned_partitions), (10, 11))
-            self.assertEqual(sum(len(one.owned_partitions) for one in members), 32)
+            self.assertEqual(sum(len(member.owned_partitions) for member in members), 32)
             phases = [view.phase for view in fleet.views["b"]]
             self.assertIn(MemberPhase.FENCED, phases)
 
@@ -134,7 +136,7 @@
             self.assertLessEqual(joins, 10)
             fleet.network.cut.clear()
             await trio.sleep(80)
-            self.assertTrue(all(one.holds_right for one in members))
+            self.assertTrue(all(member.holds_right for member in members))
 
         _with_fleet(scenario)
 
@@ -152,7 +154,7 @@
             owners = members[1].record.owners
             self.assertTrue(all(owners[partition].occupied for partition in given))
             for partition in given:
-                self.assertEqual(sum(one.may_dispatch(partition) for one in members[1:]), 1)
+                self.assertEqual(sum(member.may_dispatch(partition) for member in members[1:]), 1)
 
         _with_fleet(scenario)
 
@@ -177,9 +179,9 @@
             members.append(fleet.start("d", "viti/nadi", 4))
             await trio.sleep(20)
             self.assertEqual(fleet.store.answers_to_lose, 0)
-            self.assertEqual(sorted(len(one.owned_partitions) for one in members), [8] * 4)
+            self.assertEqual(sorted(len(member.owned_partitions) for member in members), [8] * 4)
             for partition in members[0].record.owners:
-                self.assertEqual(sum(one.may_dispatch(partition) for one in members), 1)
+                self.assertEqual(sum(member.may_dispatch(partition) for member in members), 1)
 
         _with_fleet(scenario)
 
--- a/fireflyfork/programs/tests/test_process_history.py
+++ b/fireflyfork/programs/tests/test_process_history.py
@@ -17,12 +17,12 @@
 CALLERS = 8
 
 
-def run_scenario(scenario: Scenario, relayed: bool = False, settled: bool = True) -> None:
+def run_scenario(scenario: Scenario, proxied: bool = False, settled: bool = True) -> None:
     """Run a scenario with a new fleet, by default after all entries answer bookings."""
 
     async def main() -> None:
         with trio.fail_after(LONGEST_SECONDS):
-            async with process_fleet(relayed) as fleet:
+            async with process_fleet(proxied) as fleet:
                 if settled:
                     await Callers(fleet, seed=0).settle()
                     fleet.settled_calls = len(fleet.calls)
@@ -47,20 +47,18 @@
 class ProcessHistoryTest(unittest.TestCase):
     """After each scenario, all guarantees that hold under every failure are checked."""
 
-    async def _judge(self, fleet: ProcessFleet, least_answered: int) -> None:
+    async def _check_history(self, fleet: ProcessFleet, min_answered: int) -> None:
         history = await fleet.history()
         self.assertEqual(violations(history), [])
         counts = Counter((call.end.value, call.status, call.verdict) for call in history.calls)
-        self.assertGreater(
-            sum(call.status == 200 for call in history.calls), least_answered, counts
-        )
+        self.assertGreater(sum(call.status == 200 for call in history.calls), min_answered, counts)
 
     def test_nothing_fails(self) -> None:
         """Without failures all bookings are answered, so the harness itself loses none."""
 
         async def scenario(fleet: ProcessFleet) -> None:
             await Callers(fleet, seed=1).run(CALLERS, 3.0)
-            await self._judge(fleet, least_answered=50)
+            await self._check_history(fleet, min_answered=50)
             self.assertEqual(list(unanswered(await fleet.history(), fleet.settled_calls)), [])
 
         run_scenario(scenario)
@@ -77,11 +75,11 @@
                 nursery.start_soon(Callers(fleet, seed=2).run, 4 * CALLERS, 9.0)
                 await trio.sleep(2.0)
                 fleet.signal_entry(victim, signal.SIGKILL)
-            await self._judge(fleet, least_answered=50)
+            await self._check_history(fleet, min_answered=50)
             late = [call for call in fleet.calls if call.sent_at > fleet.calls[-1].sent_at - 1.0]
             self.assertTrue(any(call.status == 200 for call in late))
 
-        run_scenario(scenario, relayed=True)
+        run_scenario(scenario, proxied=True)
 
     def test_an_owner_is_paused_and_resumed(self) -> None:
         """Guards against overloaded executors when an owner is paused, replaced and resumed."""
@@ -92,9 +90,9 @@
                 nursery.start_soon(Callers(fleet, seed=3).run, 3 * CALLERS, 10.0)
                 await trio.sleep(1.5)
                 await fleet.freeze(victim, 5.0)
-            await self._judge(fleet, least_answered=50)
+            await self._check_history(fleet, min_answered=50)
 
-        run_scenario(scenario, relayed=True)
+        run_scenario(scenario, proxied=True)
 
     def test_the_store_is_down_under_load(self) -> None:
         """Guards against unanswered bookings while the platform's store is down for 6 seconds."""
@@ -106,7 +104,7 @@
                 await fleet.switch(fleet.store, down=True)
                 await trio.sleep(6.0)
                 await fleet.switch(fleet.store)
-            await self._judge(fleet, least_answered=100)
+            await self._check_history(fleet, min_answered=100)
             self.assertEqual(list(unanswered(await fleet.history(), fleet.settled_calls)), [])
 
         run_scenario(scenario)
@@ -124,7 +122,7 @@
                 await fleet.switch(fleet.store, lose_answers=4)
                 fleet.start_entry(victim)
             await fleet.ready(victim)
-            await self._judge(fleet, least_answered=50)
+            await self._check_history(fleet, min_answered=50)
 
         run_scenario(scenario)
 
@@ -147,9 +145,9 @@
                 await fleet.switch(fleet.store, lose_answers=2)
                 fleet.start_entry(dies)
                 await fleet.freeze(pauses, 3.0)
-            await self._judge(fleet, least_answered=50)
+            await self._check_history(fleet, min_answered=50)
 
-        run_scenario(scenario, relayed=True)
+        run_scenario(scenario, proxied=True)
 
     def test_a_planned_restart_cuts_nothing_off(self) -> None:
         """Guards against cut-off or doubtful bookings when an owner is restarted as planned."""
@@ -162,7 +160,7 @@
                 fleet.signal_entry(victim, signal.SIGTERM)
                 self.assertEqual(await fleet.ended(victim), 0)
                 fleet.start_entry(victim)
-            await self._judge(fleet, least_answered=100)
+            await self._check_history(fleet, min_answered=100)
             self.assertEqual(list(cut_off(fleet.calls)), [])
             calls = fleet.calls[fleet.settled_calls :]
             doubtful = [call for call in calls if call.verdict == "may-have-run"]
@@ -170,7 +168,7 @@
             seen = [call for call in fleet.calls if call.key in keys]
             self.assertEqual(seen, [])
 
-        run_scenario(scenario, relayed=True)
+        run_scenario(scenario, proxied=True)
 
     def test_a_leaving_executor_gets_nothing_new(self) -> None:
         """Guards against bookings that are sent to a leaving executor and end with its instance.
@@ -188,7 +186,7 @@
             history = await fleet.history()
             self.assertEqual(list(runs_after(history, leaving, marked_at + 3.0)), [])
             self.assertTrue([run for run in history.runs if run.target_id == leaving])
-            await self._judge(fleet, least_answered=100)
+            await self._check_history(fleet, min_answered=100)
             self.assertEqual(list(unanswered(history, fleet.settled_calls)), [])
 
         run_scenario(scenario)
@@ -201,9 +199,9 @@
                 nursery.start_soon(Callers(fleet, seed=8).run, CALLERS, 8.0)
                 await trio.sleep(2.0)
                 silent_at = time.time()
-                for relay in fleet.relays.values():
-                    relay.lose_track()
-            await self._judge(fleet, least_answered=100)
+                for relay in fleet.proxies.values():
+                    relay.silence()
+            await self._check_history(fleet, min_answered=100)
             calls = fleet.calls[fleet.settled_calls :]
             met = {call.key for call in calls if call.verdict == "may-have-run"}
             self.assertEqual([c for c in fleet.calls if c.end is CallEnd.BROKEN], [])
@@ -211,4 +209,4 @@
             late = [call for call in fleet.calls if call.sent_at > silent_at + 4.0]
             self.assertEqual([call for call in late if call.status != 200], [])
 
-        run_scenario(scenario, relayed=True)
+        run_scenario(scenario, proxied=True)
--- a/fireflyfork/programs/tests/test_request_path.py
+++ b/fireflyfork/programs/tests/test_request_path.py
@@ -75,7 +75,7 @@
         """
 
         async def body(fleet: RunningFleet) -> None:
-            async def one(number: int) -> None:
+            async def send_one(number: int) -> None:
                 entry = fleet.entries[number % 3]
                 head, answer = await entry.call("POST", f"/desk/{number}", str(number).encode())
                 self.assertEqual(head.status, 200, answer)
@@ -83,7 +83,7 @@
 
             async with trio.open_nursery() as nursery:
                 for number in range(60):
-                    nursery.start_soon(one, number)
+                    nursery.start_soon(send_one, number)
             self.assertEqual(len(set(fleet.runs())), 60)
             self.assertEqual(len(fleet.runs()), 60)
             for executor in fleet.executors.values():
@@ -222,7 +222,7 @@
         """
 
         async def body(fleet: RunningFleet) -> None:
-            fleet.fleet.without_right.add(MemberId("entry-0"))
+            fleet.state.without_right.add(MemberId("entry-0"))
             for entry in fleet.entries[:2]:
                 head, answer = await entry.call("GET", "/desk/x", timeout_ms="2000")
                 self.assertEqual(head.status, 503, answer)
@@ -240,7 +240,7 @@
         async def body(fleet: RunningFleet) -> None:
             statuses: list[int] = []
 
-            async def one() -> None:
+            async def send_one() -> None:
                 head, answer = await fleet.entries[0].call("POST", "/desk/x", timeout_ms="400")
                 statuses.append(head.status)
                 if head.status != 200:
@@ -250,7 +250,7 @@
 
             async with trio.open_nursery() as nursery:
                 for _ in range(40):
-                    nursery.start_soon(one)
+                    nursery.start_soon(send_one)
             self.assertGreater(statuses.count(200), 0)
             self.assertGreater(statuses.count(503), 0)
             for executor in fleet.executors.values():
