--- a/fireflyfork/decisions/jobs/__init__.py
+++ b/fireflyfork/decisions/jobs/__init__.py
@@ -1,4 +1,4 @@
-"""Jobs of steps of tasks: what the owner of a service decides about them."""
+"""The scheduling decisions of the owner of a service, for jobs made of steps of tasks."""
 
 from ..._waits import WaitReason
 from ._change_log import ChangeLog
--- a/fireflyfork/decisions/jobs/_arrangement.py
+++ b/fireflyfork/decisions/jobs/_arrangement.py
@@ -1,10 +1,10 @@
-"""Which serving tasks stand together: strays are moved to where their like are.
+"""Moves serving tasks between executors to keep tasks with compatible images together.
 
-Work without a reservation fits beside a serving task only if its image disturbs that task's image
-little. An executor that serves several images keeps away what disturbs any of them, so executors that
-serve a mixture are of use to hardly any such work, however much processor time is left over there. Which
-images go together is known only once their tasks have run side by side for some seconds; by then the
-serving tasks, which last, have long been placed.
+A task without a CPU reservation fits next to a serving task only if its image disturbs that task's
+image little. An executor that serves several images has to reject whatever disturbs any of them.
+Executors with a mixture are therefore useless for most work without a reservation, however much CPU
+time they have left. Which images are compatible is known only after their tasks have run side by
+side for some seconds; by then the serving tasks, which run for a long time, have been placed.
 """
 
 from __future__ import annotations
@@ -22,39 +22,42 @@
 from ._work import Work
 
 ARRANGE_SECONDS = 0.5
-"""Between two looks for a better arrangement. A move takes about as long."""
+"""Interval between two searches for a better arrangement. A move takes about as long."""
 WAITING_SHARE = 0.01
-"""Tasks are moved only while work without a reservation waits that would use this share of all
-processors: otherwise there is nothing to gain that is worth an interruption."""
+"""Tasks are moved only while the waiting work without a reservation would use this share of all
+processors. With less waiting work, a move gains nothing that is worth an interruption."""
 DEMAND_MEMORY = 0.85
-"""What of the demand by image is kept from one look to the next: it is averaged over some four
-seconds, since what waits at a moment is a few jobs."""
+"""Weight of the previous demand by image in the moving average. The average covers about four
+seconds, since only a few jobs wait at any moment."""
 MOVE_PRICE_MILLIS = 1_500.0
-"""What has to be gained for each task that is moved, in thousandths of a core that work which waits could
-use. A task of several cores is away for about half a second."""
+"""Minimum gain for each moved task, in thousandths of a core that waiting work could use. A task of
+several cores is unavailable for about half a second."""
 LEAST_SPARE_HEADROOM = 0.3
-"""What disturbing work may take where services have no more headroom than they should keep: paces follow
-the load, and for half of the time there is more."""
+"""Headroom that disturbing work may take where services have no more than the headroom to keep.
+Paces follow the load, and for half of the time more is available."""
 MOVES_AT_ONCE = 4
-"""While places are kept for so many tasks, no further plan begins: users of a service notice several tasks
-that are away at once. It is no bound on those on their way. A plan is carried out whole, however many moves
-it has, and a place is kept only until its task is sent there, or ``PROMISE_SECONDS``."""
+"""No new plan is made while this many tasks have resources reserved at their destination: users of
+a service notice when several tasks are unavailable at once. The limit doesn't bound the number of
+tasks on their way. A plan is carried out whole, however many moves it has, and a reservation lasts
+only until its task is sent, or for `RESERVATION_SECONDS`."""
 REST_SECONDS = 12.0
-"""A task that was moved stays at least so long, whatever is learned meanwhile."""
+"""Minimum time between two moves of the same task, whatever is learned in between."""
 PROMISE_SECONDS = 1.5
-"""How long a place is kept: a stop takes up to 0.2 s, and its end is listed within another 0.2 s."""
+"""How long resources stay reserved for a moved task: a stop takes up to 0.2 s, and its end is
+listed within another 0.2 s."""
 EXECUTORS_SEEN = 48
-"""Executors that are searched for strays in one look; the next look goes on behind them. What a look costs
-doesn't grow with the fleet."""
+"""Executors examined for misplaced images in one search; the next search continues with the
+following ones. The cost of a search does not grow with the fleet."""
 EXECUTORS_TRIED = 12
-"""Of those, the ones that are examined: those that would gain most first."""
+"""Executors for which moves are planned in one search, those with the largest gain first."""
 DESTINATIONS_TRIED = 40
-"""For one task, those that serve its image first: it harms nothing there."""
+"""Destinations considered for one task. Executors that serve the task's image come first, since the
+task does no harm there."""
 
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """A serving task that should go to another executor."""
+    """A serving task that should move to another executor."""
 
     run: Run
     destination: ExecutorState
@@ -62,7 +65,7 @@
 
 @dataclass(slots=True)
 class _Sketch:
-    """Room and tasks as they would be after the moves that were chosen so far."""
+    """Free resources and tasks as they would be after the moves planned so far."""
 
     cpu_millis: dict[ExecutorState, int] = field(default_factory=dict)
     memory_mb: dict[ExecutorState, int] = field(default_factory=dict)
@@ -70,7 +73,7 @@
     gone: set[Run] = field(default_factory=set)
 
     def fits(self, run: Run, there: ExecutorState, instead_of: Run | None = None) -> bool:
-        """Whether a run has room on an executor, once another one has left it."""
+        """Whether a run fits on an executor, after `instead_of` has left it."""
         spec, freed = run.task.spec, instead_of.task.spec if instead_of is not None else None
         cpu = there.free_cpu_millis + self.cpu_millis.get(there, 0)
         memory = there.free_memory_mb + self.memory_mb.get(there, 0)
@@ -80,7 +83,7 @@
         return spec.reserved_cpu_millis <= cpu and spec.memory_mb <= memory
 
     def move(self, run: Run, destination: ExecutorState) -> None:
-        """Take one move for done."""
+        """Add a move to the plan."""
         spec = run.task.spec
         for executor, sign in ((run.executor, 1), (destination, -1)):
             cpu = self.cpu_millis.get(executor, 0)
@@ -90,7 +93,7 @@
         self.gone.add(run)
 
     def takes(self, run: Run, there: ExecutorState) -> bool:
-        """Whether the limit per executor of the run's step leaves room for it."""
+        """Whether label and per-executor limit let the run's task move to an executor."""
         task = run.task
         if not is_allowed(task, there):
             return False
@@ -101,19 +104,20 @@
 
 
 class Arrangement:
-    """Looks for serving tasks that would be better elsewhere, and moves them a few at a time."""
+    """Finds serving tasks that would be better placed elsewhere, and moves a few at a time."""
 
     def __init__(self, work: Work) -> None:
-        """Change ``work``."""
+        """Initialize with the service state to read and change."""
         self._work = work
         self._looked_at = 0.0
         self._next = 0
-        """The number of the executor at which the next look begins."""
+        """Index of the executor at which the next search begins."""
         self._demand: dict[str, float] = {}
-        """By image: thousandths of cores that work without a reservation would use."""
+        """CPU demand of work without a reservation by image, in thousandths of a core (moving
+        average)."""
 
     def check(self, now: float) -> None:
-        """Stop tasks that should go elsewhere; their places are kept for them."""
+        """Stop tasks that should move, and reserve resources for them at their destinations."""
         if now - self._looked_at < ARRANGE_SECONDS:
             return
         self._looked_at = now
@@ -129,7 +133,10 @@
             self._order(move, now)
 
     def _note_demand(self) -> float:
-        """Take in what runs and waits now. Returns what waits, in thousandths of cores."""
+        """Update the demand by image from the running and waiting tasks.
+
+        Returns the demand of the waiting tasks, in thousandths of a core.
+        """
         demand: dict[str, float] = {}
         waiting = 0.0
         for task in self._work.waiting:
@@ -161,7 +168,7 @@
         return best
 
     def _turned(self, usable: list[ExecutorState]) -> list[ExecutorState]:
-        """All of them, another one first in each look."""
+        """Return the executors rotated to begin with a different one in each search."""
         if len(usable) <= EXECUTORS_SEEN:
             return usable
         first = self._next % len(usable)
@@ -178,12 +185,12 @@
 
 
 class Usefulness:
-    """How much work without a reservation an executor is good for, by the images it serves."""
+    """Computes how much work without a reservation an executor can run, by the images it serves."""
 
     def __init__(
         self, model: InterferenceModel, demand: dict[str, float], spare_headroom: float
     ) -> None:
-        """``demand`` is by image, in any unit; ``spare_headroom`` is what such work may take."""
+        """Initialize with the demand by image, in any unit, and the headroom such work may take."""
         whole = sum(demand.values()) or 1.0
         self._model = model
         self._shares = {image: one / whole for image, one in demand.items() if one > 0}
@@ -193,7 +200,11 @@
         self._known: dict[tuple[ExecutorState, frozenset[str]], float] = {}
 
     def of(self, executor: ExecutorState, images: Iterable[str]) -> float:
-        """In thousandths of a core, if it served these images. What stands there must not change meanwhile."""
+        """Return the useful leftover CPU of an executor if it served these images.
+
+        The unit is thousandths of a core. Results are cached, so the runs on the executor must not
+        change during the lifetime of this object.
+        """
         served = frozenset(images)
         known = self._known.get((executor, served))
         if known is None:
@@ -215,7 +226,7 @@
         return leftover * useful
 
     def _worst_effects(self, served: frozenset[str]) -> list[float]:
-        """For each image that is wanted, what it costs the service that it slows most."""
+        """For each demanded image, return its effect on the served image it slows down most."""
         if not served:
             return [0.0] * len(self._shares)
         return [max(costs) for costs in zip(*map(self._effects_on, served), strict=True)]
@@ -229,10 +240,13 @@
 
 
 class _Destinations:
-    """Where the tasks of one look may go; what executors serve must not change meanwhile."""
+    """Possible destinations for the tasks of one search.
+
+    The images that executors serve must not change during its lifetime.
+    """
 
     def __init__(self, usable: Iterable[ExecutorState]) -> None:
-        """Those of ``usable`` that serve users, in its order."""
+        """Index the executors of `usable` that run serving tasks, and keep their order."""
         self._serving = [one for one in usable if one.serving]
         self._by_image: dict[str, list[ExecutorState]] = {}
         for executor in self._serving:
@@ -240,7 +254,7 @@
                 self._by_image.setdefault(image, []).append(executor)
 
     def of(self, run: Run) -> Iterator[ExecutorState]:
-        """Other executors than the run's, those that serve its image first."""
+        """Yield the executors other than the run's own, those that serve its image first."""
         image, here = run.task.spec.image, run.executor
         alike = self._by_image.get(image, ())
         yield from (one for one in alike if one is not here)
@@ -248,7 +262,8 @@
 
 
 def spare_headroom(executors: Iterable[ExecutorState]) -> float:
-    """What disturbing work may take of a service's headroom, on average, by the loads of late."""
+    """Return the headroom that disturbing work may take of a service, averaged over recent
+    loads."""
     lows = [min(one.lasting_headroom.values()) for one in executors if one.lasting_headroom]
     mean = sum(lows) / len(lows) if lows else WANTED_HEADROOM
     return max(LEAST_SPARE_HEADROOM, mean - WANTED_HEADROOM)
@@ -257,7 +272,7 @@
 def _strays(
     usable: list[ExecutorState], worth: Usefulness
 ) -> Iterator[tuple[float, ExecutorState, str]]:
-    """Executors that would be good for more work without one of the images that they serve."""
+    """Yield gain, executor and image where removing the image makes the executor more useful."""
     for executor in usable:
         images = executor.serving
         if len(images) < 2:
@@ -277,9 +292,9 @@
     sketch: _Sketch,
     now: float,
 ) -> float:
-    """What it costs to take all tasks of an image off an executor; infinite where that can't be done.
+    """Return the cost of moving all tasks of an image off an executor.
 
-    The moves are left in ``sketch``.
+    The cost is infinite if they can't be moved. The moves are added to `plan`.
     """
     runs = [run for run in executor.runs.values() if run.task.spec.image == image]
     if not all(_movable(run, now) for run in runs):
@@ -302,7 +317,7 @@
 def _options(
     run: Run, destinations: _Destinations, worth: Usefulness, sketch: _Sketch, now: float
 ) -> Iterator[tuple[float, tuple[tuple[Run, ExecutorState], ...]]]:
-    """Ways to take one task elsewhere, with what each costs."""
+    """Yield the ways to move one task elsewhere, each with its cost."""
     here, image = run.executor, run.task.spec.image
     staying = here.serving.keys() - {image}
     for there in islice(destinations.of(run), DESTINATIONS_TRIED):
@@ -330,10 +345,11 @@
 
 
 def _is_bound(task: Task) -> bool:
-    """Whether more than processors, memory and limits decides where a task may go.
+    """Whether more than CPU, memory and per-executor limits decides where a task may run.
 
-    A place that is kept counts only those. A task that needs an accelerator would be started where there
-    is none left, one with a ticket where it has none, and a member of a gang away from the others.
+    A reservation covers only those. A task that needs an accelerator would be started where none is
+    free, one that needs a ticket would be started without it, and a member of a gang would be
+    separated from the others.
     """
     spec = task.spec
     bound = spec.accelerators or spec.gang or spec.same_rack or spec.data_rack
--- a/fireflyfork/decisions/jobs/_candidates.py
+++ b/fireflyfork/decisions/jobs/_candidates.py
@@ -1,4 +1,4 @@
-"""The executors for the tasks of one step, cheapest first, during one round of placing."""
+"""Candidate executors for the tasks of one step, cheapest first, during one placement round."""
 
 from __future__ import annotations
 
@@ -12,17 +12,19 @@
 from ._runs import Task
 
 LOOKED_AT = 48
-"""Executors that are priced for a step before the cheapest is taken. The best of so many is about as good as
-the best of all, and the cost of a start doesn't grow with the fleet."""
+"""Executors whose cost is computed before the cheapest is taken. The best of this many is about as
+good as the best of all, and the cost of a start does not grow with the fleet."""
 TROUBLED_COST = STRIKE_COST
-"""Where even the cheapest costs so much, something is wrong with it, and others are looked at."""
+"""If even the cheapest executor costs this much, it has recently failed, and more executors are
+considered."""
 
 
 class Candidates:
-    """Finds a good executor for one task after the other without asking all of them each time.
+    """Finds good executors for many tasks without computing the cost of all executors each time.
 
-    Tasks of a step are alike, and placing one makes only its executor dearer. So costs are worked out once;
-    the cheapest is asked again before it is taken, and sinks if it has become dearer.
+    Tasks of a step are alike, and placing one raises only the cost of its own executor. So costs
+    are computed once and kept in a heap. The cost of the cheapest executor is computed again before
+    it is returned; if it has risen, the executor moves down the heap.
     """
 
     def __init__(
@@ -34,10 +36,10 @@
         first: int = 0,
         looked_at: int = LOOKED_AT,
     ) -> None:
-        """For ``task`` and others of its step, which put up with no more than ``most``.
+        """Initialize for `task` and others of its step, which accept a cost of at most `max_cost`.
 
-        ``looked_at`` executors from number ``first`` on are priced, and as many again whenever these don't
-        do. Those near the step's data come first.
+        Costs are computed for `batch_size` executors from index `first` on, and for another batch
+        whenever these don't suffice. Executors near the step's data come first.
         """
         self._prices = prices
         self._most = most
@@ -47,7 +49,7 @@
         self._look_further()
 
     def best(self) -> ExecutorState | None:
-        """The cheapest executor found that has room for a task of the step, or None if there is none."""
+        """Return the cheapest executor found that can run a task of the step, or None."""
         while True:
             cheapest = self._cheapest()
             if cheapest is not None and cheapest[0] < TROUBLED_COST:
@@ -72,7 +74,7 @@
         return found.total if found is not None and found.bounded <= self._most else None
 
     def _look_further(self) -> bool:
-        """Price some more; False if there are none."""
+        """Compute the costs of the next batch. Returns False if no executors are left."""
         looked_at = False
         for number, executor in islice(self._rest, self._looked_at):
             looked_at = True
@@ -85,7 +87,7 @@
 def _near_first(
     task: Task, executors: Sequence[ExecutorState], first: int
 ) -> Iterator[ExecutorState]:
-    """All executors, from number ``first`` around; before them those on the rack of the step's data."""
+    """Yield the executors on the rack of the step's data, then the others from index `first` on."""
     rack = task.spec.data_rack
     if rack:
         yield from (one for one in executors if rack in one.registration.labels)
--- a/fireflyfork/decisions/jobs/_commands.py
+++ b/fireflyfork/decisions/jobs/_commands.py
@@ -1,4 +1,4 @@
-"""What the scheduler wants done; the program sends it and reports the outcome."""
+"""Commands of the scheduler. The program sends them and reports their outcomes."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 @dataclass(frozen=True, slots=True)
 class StartRun:
-    """Send the order to start a run that already has its room."""
+    """Send the order to start a run whose resources are already allocated."""
 
     run: Run
 
 
 @dataclass(frozen=True, slots=True)
 class StopRun:
-    """Stop a run, or bar one that may not be there yet."""
+    """Stop a run, or bar its attempt if the start may not have arrived yet."""
 
     run: Run
 
 
 @dataclass(frozen=True, slots=True)
 class PaceRun:
-    """Let a run work at ``percent`` of its speed."""
+    """Set the pace of a run to `percent` of full speed."""
 
     run: Run
     percent: int
--- a/fireflyfork/decisions/jobs/_executors.py
+++ b/fireflyfork/decisions/jobs/_executors.py
@@ -1,4 +1,4 @@
-"""Executors as the owner of a service knows them."""
+"""The state of executors as the owner of a service tracks it."""
 
 from __future__ import annotations
 
@@ -12,15 +12,17 @@
 from ._runs import Run
 
 SLOWEST_CLOCK = 0.98
-"""An executor's steady clock may run 2% slow, as the platform warns."""
+"""Slowest rate of an executor's steady clock relative to real time: the platform documents that it
+may run 2% slow."""
 LAPSE_MARGIN_MS = 150
-"""On top, for what an executor takes to kill what it runs; its stops take up to 200 ms, of which
-the estimate of its clock, always behind by half a round trip or more, already covers a part."""
+"""Milliseconds to wait after the end of a lease, for the time that an executor takes to kill its
+runs. Its stops take up to 200 ms; a part of that is already covered by the estimate of its clock,
+which is always behind by half a round trip or more."""
 
 
 @dataclass(frozen=True, slots=True)
 class ExecutorRoom:
-    """What an executor can hold."""
+    """Resource capacity of an executor."""
 
     cpu_millis: int
     memory_mb: int
@@ -29,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExecutorRegistration:
-    """What an executor says of itself in the store."""
+    """The registration that an executor has written to the store."""
 
     executor: ExecutorId
     service: ServiceName
@@ -38,115 +40,118 @@
     draining: bool
     room: ExecutorRoom
     labels: frozenset[str]
-    """Its kind and its rack."""
+    """Labels for the executor's kind and its rack."""
     rack: str
-    """Executors of one rack are near each other."""
+    """The rack; executors of one rack are near each other."""
     incarnation: int
-    """When this life of it began, in Unix milliseconds."""
+    """Start time of the executor's process, in Unix milliseconds."""
 
 
 @dataclass(slots=True, eq=False)
 class ExecutorState:
-    """One executor, with what runs there."""
+    """State of one executor and the runs on it."""
 
     registration: ExecutorRegistration
     known_since: float
-    """Seconds on the owner's clock."""
+    """When this incarnation became known, in seconds on the owner's clock."""
     registered: bool = True
-    """False once its registration has gone: it has left, or can't reach the store."""
+    """False after the registration was removed: the executor has left or cannot reach the store."""
     stored_address: Address | None = None
-    """Where a successor would look for it: the address in the list that is known to be stored."""
+    """The address at which a successor would look for it: the one in the list that is known to be
+    stored."""
     runs: dict[tuple[TaskName, AttemptNumber], Run] = field(default_factory=dict)
     used_cpu_millis: int = 0
     lasting_cpu_millis: int = 0
-    """Of what is used, the part of tasks that last."""
+    """The part of `used_cpu_millis` that belongs to long-running tasks."""
     serving_cpu_millis: int = 0
-    """Of what is used, the part of tasks that serve users."""
+    """The part of `used_cpu_millis` that belongs to serving tasks."""
     best_effort_cpu_millis: int = 0
-    """What the tasks without a reservation here would use if they could."""
+    """CPU time that the tasks without a reservation here would use if they could."""
     used_memory_mb: int = 0
     used_accelerators: int = 0
     promised_cpu_millis: int = 0
-    """Kept for tasks that are being moved here."""
+    """CPU time reserved for tasks that are being moved here."""
     promised_memory_mb: int = 0
     polled_at: float | None = None
-    """When the last poll that was answered had been sent; None before the first."""
+    """When the last answered poll was sent; None before the first answer."""
     failed_polls: int = 0
     """Polls without an answer since the last answer."""
     answers_late: bool = False
-    """Whether its last answer was late: orders to it would get none in time."""
+    """Whether the last answer was late, so that orders would not be answered in time either."""
     heard_at: float = float("-inf")
-    """When its last answer came, late or not. While answers go on coming it is not silent, and its lease
-    is renewed."""
+    """When the last answer arrived, late or not. An executor whose answers keep arriving is not
+    silent, and its lease is renewed."""
     clock_ms: int = 0
     clock_at: float = field(init=False)
-    """When ``clock_ms`` had been received: the executor's clock was at least there."""
+    """When `clock_ms` was received. The executor's clock had reached at least that value then."""
     lease_until_ms: int = 0
-    """On the executor's clock: the latest that any order, of ours or of an earlier owner's, may have let
-    it run to; not known before its first answer."""
+    """The latest time on the executor's clock until which an order of this or an earlier owner may
+    have let its runs continue; unknown before its first answer."""
     seen_end: int = 0
-    """The last end that has been taken in."""
+    """Number of the last end that has been processed."""
     forgettable_end: int = 0
-    """The last end that is stored, with all before it."""
+    """Number of the last end that is stored together with all ends before it."""
     told_end: int = 0
-    """The executor has been told that it may forget ends up to here."""
+    """The executor has been told that it may forget ends up to this number."""
     unstored_ends: deque[tuple[int, int]] = field(default_factory=deque)
-    """Number of an end, and the change that has to be stored before it may be forgotten."""
+    """Pairs of the number of an end and the number of the change that must be stored before the
+    executor may forget that end."""
     avoided_until: float = 0.0
     leaving_since: float | None = None
-    """Since when it has been known to leave."""
+    """When the executor was first seen to be draining; None while it is not."""
     emptied: bool = False
-    """Whether its machine goes down for upkeep next, so that it gets no new work."""
+    """Whether its machine is next to go down for upkeep, so that the executor gets no new work."""
     upkeep_due: bool = False
-    """Whether its machine has yet to go down in a wave of upkeep."""
+    """Whether its machine still has to go down in a wave of upkeep."""
     strikes: int = 0
-    """Failures in a row; a task that ends well takes them back."""
+    """Number of failures in a row; a task that ends successfully resets it."""
     struck_at: float = 0.0
-    """When the last of them came."""
+    """When the last failure occurred."""
     sampled_at: float = 0.0
-    """When tails were last taken in."""
+    """When tail latencies were last sampled."""
     undisturbed: dict[str, float] = field(default_factory=dict)
-    """By serving image: the least headroom that its tasks here would have if nothing disturbed
-    them, as far as the last sample tells."""
+    """By serving image: the lowest headroom that its tasks here would have without any disturbance,
+    according to the last sample."""
     lasting_headroom: dict[str, float] = field(default_factory=dict)
-    """By serving image: the least undisturbed headroom of some time past. Work that is placed now is
-    still there when the load has swung."""
+    """By serving image: the lowest undisturbed headroom of the recent past. Work that is placed now
+    will still be here when the load has changed."""
     missing_headroom: dict[str, float] | None = None
-    """By serving image: what its tasks here lack of the headroom that is kept; None: to be worked out anew."""
+    """By serving image: the headroom to keep minus the headroom of its tasks here; None if it must
+    be recomputed."""
     changes: int = 0
-    """How often what runs here, or its headroom, has changed."""
+    """Counts the changes of the runs here or of their headroom."""
     serving: dict[str, int] = field(default_factory=dict)
-    """By image: how many tasks here serve users."""
+    """By image: the number of serving tasks here."""
     samples: dict[TaskName, Sample] = field(default_factory=dict)
     """The last sample of each serving task here."""
     disturbing_cpu_millis: dict[str, int] = field(default_factory=dict)
-    """By image: what the tasks here that serve nobody would use at their full pace."""
+    """By image: CPU time that the non-serving tasks here would use at full pace."""
 
     def __post_init__(self) -> None:
-        """Its clock is at 0 or later."""
+        """Initialize the clock estimate: the executor's clock is at 0 or later."""
         self.clock_at = self.known_since
 
     @property
     def executor(self) -> ExecutorId:
-        """Its id."""
+        """The executor's id."""
         return self.registration.executor
 
     @property
     def answers(self) -> bool:
-        """Whether it answered the last poll."""
+        """Whether the executor answered the last poll."""
         return self.polled_at is not None and self.failed_polls == 0
 
     @property
     def is_stored(self) -> bool:
-        """Whether a successor would wait for it.
+        """Whether a successor would wait for the executor.
 
-        One that knows nothing of it, or looks for it elsewhere, would start its tasks again while its
-        registration is away, and they would run in two places.
+        A successor that doesn't know the executor, or has another address for it, would start its
+        tasks again while its registration is missing, and they would run in two places.
         """
         return self.stored_address == self.registration.address
 
     def usable(self, now: float) -> bool:
-        """Whether new runs may be sent there."""
+        """Whether new runs may be sent to the executor."""
         return (
             self.registered
             and self.is_stored
@@ -159,17 +164,17 @@
 
     @property
     def free_cpu_millis(self) -> int:
-        """What is neither used nor promised."""
+        """CPU time that is neither used nor reserved for tasks being moved here."""
         used = self.used_cpu_millis + self.promised_cpu_millis
         return self.registration.room.cpu_millis - used
 
     @property
     def free_memory_mb(self) -> int:
-        """What is neither used nor promised."""
+        """Memory that is neither used nor reserved for tasks being moved here."""
         return self.registration.room.memory_mb - self.used_memory_mb - self.promised_memory_mb
 
     def fits(self, cpu_millis: int, memory_mb: int, accelerators: int) -> bool:
-        """Whether so much is free."""
+        """Whether the given resources are free."""
         room = self.registration.room
         return (
             cpu_millis <= self.free_cpu_millis
@@ -179,7 +184,7 @@
 
     @property
     def priced_state(self) -> Hashable:
-        """Changes with all that decides what a task costs here."""
+        """A value that changes whenever anything changes that affects the cost of a task here."""
         return (
             self.changes,
             self.strikes,
@@ -190,12 +195,12 @@
         )
 
     def note_changed(self) -> None:
-        """What runs here, or its headroom, has changed."""
+        """Note that the runs here, or their headroom, have changed."""
         self.changes += 1
         self.missing_headroom = None
 
     def add(self, run: Run) -> None:
-        """Take room for a run."""
+        """Allocate the resources of a run."""
         step = run.task.spec
         self.note_changed()
         self.runs[run.key] = run
@@ -212,7 +217,7 @@
             self.disturbing_cpu_millis[step.image] = demand + step.cpu_millis
 
     def remove(self, run: Run) -> None:
-        """Give a run's room back, once it is certain that it has ended or never was."""
+        """Free the resources of a run that has certainly ended or never began."""
         if self.runs.pop(run.key, None) is None:
             return
         step = run.task.spec
@@ -233,40 +238,44 @@
     def _serves_less(self, image: str) -> None:
         self.serving[image] -= 1
         if not self.serving[image]:
-            # Nobody polls an idle executor, so what was seen last would keep work away for good.
+            # Idle executors are not polled, so the last values seen would keep work away
+            # permanently.
             del self.serving[image]
             self.undisturbed.pop(image, None)
             self.lasting_headroom.pop(image, None)
 
     def clock(self, now: float) -> int:
-        """At least so far is its steady clock, in milliseconds."""
+        """Return a lower bound of the executor's steady clock, in milliseconds."""
         return self.clock_ms + int((now - self.clock_at) * 1000 * SLOWEST_CLOCK)
 
     def note_clock(self, clock_ms: int, now: float) -> None:
-        """Take in a clock that an answer carried; answers may overtake each other."""
+        """Update the clock estimate from an answer; answers may arrive out of order."""
         if clock_ms >= self.clock(now):
             self.clock_ms = clock_ms
             self.clock_at = now
 
     def grant_lease(self, until_ms: int) -> None:
-        """It may go on until then, on its clock; leases never shorten."""
+        """Extend the lease to `until_ms` on the executor's clock; leases never shorten."""
         self.lease_until_ms = max(self.lease_until_ms, until_ms)
 
     def lease_has_lapsed(self, now: float) -> bool:
-        """Whether everything that ran there under any lease has been killed by now."""
+        """Whether every run that was started under any lease has been killed by now."""
         return self.clock(now) > self.lease_until_ms + LAPSE_MARGIN_MS
 
     def disturbing_shares(self) -> dict[str, float]:
-        """By image: the share of the room that tasks here would use at their full pace."""
+        """By image: the share of the room that non-serving tasks here would use at full pace."""
         room = max(1, self.registration.room.cpu_millis)
         return {image: cpu / room for image, cpu in self.disturbing_cpu_millis.items()}
 
     def working_runs(self) -> Iterator[Run]:
-        """Runs that are there and not being stopped."""
+        """Yield the runs that are not being stopped."""
         return (run for run in self.runs.values() if run.works)
 
     def begin_incarnation(self, registration: ExecutorRegistration, now: float) -> None:
-        """The process started anew: it runs nothing and counts from the beginning."""
+        """Reset the state for a new process of the executor.
+
+        It has no runs and numbers its ends from 1.
+        """
         self.registration = registration
         self.known_since = now
         self.polled_at = None
--- a/fireflyfork/decisions/jobs/_gangs.py
+++ b/fireflyfork/decisions/jobs/_gangs.py
@@ -1,4 +1,4 @@
-"""Steps whose tasks work only together: they are placed, numbered and ended as one."""
+"""Gangs: steps whose tasks can only work together. They are placed, numbered and ended together."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def members(task: Task) -> list[Task]:
-    """All tasks of the gang that a task belongs to, or the task alone."""
+    """Return all tasks of the gang that a task belongs to, or the task alone."""
     if not task.spec.gang:
         return [task]
     job, key = task.job, task.key
@@ -24,22 +24,25 @@
 
 
 def is_free(task: Task) -> bool:
-    """Whether neither the task nor another member of its gang runs anywhere."""
+    """Whether neither the task nor another member of its gang has a run."""
     return not any(member.runs for member in members(task))
 
 
 def next_attempt(task: Task) -> AttemptNumber:
-    """The number of the next run, which all members of a gang share."""
+    """Return the attempt number of the next run, which all members of a gang share."""
     return AttemptNumber(max(member.attempt for member in members(task)) + 1)
 
 
 def failures(task: Task) -> int:
-    """How many attempts of the task, or of its gang, have failed."""
+    """Return how many attempts of the task, or of its gang, have failed."""
     return len({attempt for member in members(task) for attempt in member.failed_attempts})
 
 
 def save(task: Task, checkpoint: str) -> None:
-    """Keep a checkpoint; any member's is valid for its gang, and all must start from the same."""
+    """Keep a checkpoint for all members of a gang.
+
+    Any member's checkpoint is valid for the gang, and all members must start from the same one.
+    """
     for member in members(task):
         member.checkpoint = checkpoint
 
@@ -47,10 +50,10 @@
 def place_together(
     task: Task, usable: list[ExecutorState], choice: Choice, attempt: AttemptNumber, now: float
 ) -> list[Run]:
-    """Runs of all members that hold their room, or none if they don't all fit at once.
+    """Allocate runs for all members of a gang, or none if they don't all fit at once.
 
-    Members that wait for each other on executors hold room without working, and two gangs that each
-    got half of what they need would wait for good.
+    Members that wait for each other on executors hold resources without working, and two gangs that
+    each got half of what they need would wait forever.
     """
     for group in _groups(task, usable):
         runs = _try(members(task), group, choice, attempt, now)
@@ -60,7 +63,7 @@
 
 
 def _groups(task: Task, usable: list[ExecutorState]) -> Iterator[list[ExecutorState]]:
-    """Where to try: rack by rack if the tasks are slower across racks, then anywhere."""
+    """Yield the groups of executors to try: rack by rack if the step prefers one rack, then all."""
     if task.spec.same_rack:
         racks: dict[str, list[ExecutorState]] = {}
         for executor in usable:
--- a/fireflyfork/decisions/jobs/_interference.py
+++ b/fireflyfork/decisions/jobs/_interference.py
@@ -1,13 +1,14 @@
-"""Learns how much each image of disturbing tasks slows each image of serving ones.
+"""Learns how much each image of disturbing tasks slows down each image of serving tasks.
 
-What shows is a serving task's tail latency. Services queue, so their tail goes with 1 / (1 - use):
-its inverse falls in a straight line as its own load and the disturbance beside it grow. The model
-works on *headroom*, target / tail: above 1 the target is met. Per serving image it fits
+The observable is the tail latency of a serving task. Services queue, so their tail latency is
+proportional to 1 / (1 - utilization), and its inverse falls linearly as the service's own load and
+the disturbance next to it grow. The model works on *headroom*, target / tail: above 1 the target is
+met. Per serving image it fits
 
-    headroom = undisturbed headroom - sum over images beside it of (effect x their use of the room)
+    headroom = undisturbed headroom - sum over images next to it of (effect x their use of the room)
 
-by least squares with forgetting. Effects differ by pair from 0.2 to 6, so that which tasks stand together
-matters more than how many.
+by least squares with exponential forgetting. Effects range from 0.2 to 6 per pair, so which tasks
+run next to each other matters more than how many.
 """
 
 from __future__ import annotations
@@ -17,47 +18,50 @@
 from dataclasses import dataclass, field
 
 PRIOR_EFFECT = 1.6
-"""Headroom lost to a full room of tasks that nothing is known about: that of an average pair."""
+"""Headroom that a service loses to an executor full of tasks of an unknown image: the effect of an
+average pair."""
 PRIOR_HEADROOM = 2.4
-"""Undisturbed, of a service at its usual load."""
+"""Undisturbed headroom of a service at its usual load."""
 PRIOR_WEIGHT = 0.05
-"""A pair is taken for average until this much squared use of the room has been seen with it: some
-ten samples of a task that uses a tenth of the room."""
+"""A pair is assumed to be average until this much squared use of the room has been observed for it:
+about ten samples of a task that uses a tenth of the room."""
 GROWTH = 1.0002
-"""Each sample weighs so much more than the one before. Some eighty rows a second come in for one
-serving image, so what is 45 s old counts for half: effects move within seconds to minutes."""
+"""Factor by which each sample outweighs the previous one. About eighty rows a second arrive for one
+serving image, so the weight halves in 45 s: effects change within seconds to minutes."""
 LARGEST_WEIGHT = 1e6
-"""Sums are scaled back beyond this, long before floats lose digits."""
+"""The sums are scaled down beyond this weight, long before floats lose precision."""
 CHANGE_WEIGHT = 3.0
-"""Of a change between two polls, against a level. The load of a service swings by half within ten
-seconds, so levels scatter by 0.8 of headroom around the fit and changes by 0.45."""
+"""Weight of a change between two polls relative to a level. The load of a service changes by half
+within ten seconds, so levels scatter by 0.8 of headroom around the fit, and changes by 0.45."""
 LONGEST_CHANGE_SECONDS = 1.3
-"""Two polls that lie farther apart say little about each other: the load has swung."""
+"""Longest interval between two polls whose difference is used. Over a longer interval the load has
+changed too much."""
 FEWEST_SAMPLES = 20
 SOLVE_SECONDS = 1.0
-"""Between two solutions for one serving image. In a large fleet samples come faster than effects change, and
-a solution for thirty images costs as much as many polls."""
+"""Interval between two solutions for one serving image. In a large fleet samples arrive faster than
+effects change, and one solution for thirty images costs as much as many polls."""
 
 _INTERCEPT = "\x00"
 
 
 @dataclass(slots=True)
 class _Fit:
-    """The sums of one serving image's least squares."""
+    """The least squares sums of one serving image."""
 
     products: defaultdict[str, defaultdict[str, float]] = field(
         default_factory=lambda: defaultdict(lambda: defaultdict(float))
     )
-    """By the earlier and the later name of a pair: the sums are symmetric, and each is kept once."""
+    """Sums of products, by the alphabetically first and second name of a pair. The matrix is
+    symmetric, and each sum is kept once."""
     targets: dict[str, float] = field(default_factory=dict)
     solution: dict[str, float] = field(default_factory=dict)
     weight: float = 1.0
     samples: int = 0
     solved_at: float = float("-inf")
-    """When its solution was worked out, by the clock of the samples."""
+    """When the solution was computed, on the clock of the samples."""
 
     def add(self, row: dict[str, float], target: float, weight: float) -> None:
-        """Take in one equation."""
+        """Add one equation."""
         weight *= self.weight
         names = sorted(row)
         values = [row[name] for name in names]
@@ -69,7 +73,7 @@
             self.targets[name] = self.targets.get(name, 0.0) + weighed * target
 
     def matrix(self, names: list[str]) -> list[list[float]]:
-        """The sums of products of all pairs, in the order of ``names``."""
+        """Return the matrix of the sums of products, in the order of `names`."""
         places = {name: place for place, name in enumerate(names)}
         rows = [[0.0] * len(names) for _ in names]
         for left, sums in self.products.items():
@@ -79,7 +83,7 @@
         return rows
 
     def age(self) -> None:
-        """What is in counts a little less from now on."""
+        """Reduce the relative weight of all equations added so far."""
         self.weight *= GROWTH
         if self.weight > LARGEST_WEIGHT:
             for sums in self.products.values():
@@ -91,43 +95,44 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedFit:
-    """What has been learned about one serving image, for the next owner."""
+    """What has been learned about one serving image, stored for the next owner."""
 
     serving: str
     names: tuple[str, ...]
-    """The images beside it, and the constant term."""
+    """The images next to it, and the constant term."""
     products: tuple[float, ...]
-    """The lower triangle of the sums of products, row by row in the order of ``names``."""
+    """The lower triangle of the sums of products, row by row in the order of `names`."""
     targets: tuple[float, ...]
-    """The right-hand sides in the same order."""
+    """The right-hand sides, in the order of `names`."""
 
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """What a poll tells about one serving task."""
+    """One poll's values for a serving task."""
 
     at: float
     headroom: float
     uses: dict[str, float]
-    """Shares of the room that were used beside it, by image."""
+    """Shares of the room that were used next to the task, by image."""
     over_since: float | None = None
-    """Since when every sample of the task has been over its target."""
+    """Since when every sample of the task has been over its target; None if the last one was
+    not."""
 
 
 class InterferenceModel:
-    """Effects by pair of images."""
+    """The effects of disturbing images on serving images, by pair."""
 
     def __init__(self) -> None:
-        """Every pair is average."""
+        """Initialize without samples: every pair is assumed to be average."""
         self._fits: dict[str, _Fit] = {}
 
     def effect(self, serving: str, beside: str) -> float:
-        """Headroom that tasks of ``serving`` lose to a full room of ``beside``."""
+        """Return the headroom that tasks of `serving` lose to a room full of `disturbing`."""
         fit = self._fits.get(serving)
         return PRIOR_EFFECT if fit is None else fit.solution.get(beside, PRIOR_EFFECT)
 
     def lost_headroom(self, serving: str, uses: dict[str, float]) -> float:
-        """Headroom that tasks of ``serving`` lose to these shares of the room, by image."""
+        """Return the headroom that tasks of `serving` lose to these shares by image."""
         fit = self._fits.get(serving)
         if fit is None:
             return PRIOR_EFFECT * sum(uses.values())
@@ -135,7 +140,7 @@
         return sum(solution.get(image, PRIOR_EFFECT) * use for image, use in uses.items())
 
     def observe(self, serving: str, sample: Sample, before: Sample | None) -> None:
-        """Take in a sample of a serving task, and the one before of the same task."""
+        """Add a sample of a serving task, with the previous sample of the same task if any."""
         fit = self._fits.setdefault(serving, _Fit())
         fit.add({_INTERCEPT: 1.0, **sample.uses}, sample.headroom, 1.0)
         if before is not None and sample.at - before.at <= LONGEST_CHANGE_SECONDS:
@@ -152,14 +157,15 @@
             fit.solution = _solution(fit)
 
     def learned(self) -> tuple[LearnedFit, ...]:
-        """What the next owner should know."""
+        """Return what has been learned, to be stored for the next owner."""
         return tuple(_learned(serving, fit) for serving, fit in self._fits.items())
 
     def adopt(self, learned: Iterable[LearnedFit]) -> None:
-        """Take over what an earlier owner has learned.
+        """Replace the model by what an earlier owner has learned.
 
-        An owner that begins with every pair taken for average puts work beside services that it slows
-        most, until it has found out again. Tails would rise for some seconds after each change of owner.
+        An owner that assumes every pair to be average places work next to the services that it
+        slows down most until it has learned the effects again. Tail latencies would rise for some
+        seconds after each change of owner.
         """
         for one in learned:
             fit = _adopted(one)
@@ -191,14 +197,15 @@
 def _solution(fit: _Fit) -> dict[str, float]:
     names = list(fit.targets)
     prior = {name: PRIOR_HEADROOM if name == _INTERCEPT else -PRIOR_EFFECT for name in names}
-    # The prior keeps its weight against sums that age, so what hasn't been seen for long is forgotten.
+    # The prior keeps its weight relative to the sums that age, so pairs that have not been observed
+    # for a long time return to it.
     weight = PRIOR_WEIGHT * fit.weight
     rows = [[*sums, 0.0] for sums in fit.matrix(names)]
     for place, name in enumerate(names):
         rows[place][place] += weight
         rows[place][-1] = fit.targets[name] + weight * prior[name]
     slopes = dict(zip(names, _solve(rows), strict=True))
-    # Nothing speeds a neighbour up; a negative effect is noise of its load.
+    # No task speeds up its neighbors; a negative effect is noise from its load.
     return {name: max(0.0, -slope) for name, slope in slopes.items() if name != _INTERCEPT}
 
 
--- a/fireflyfork/decisions/jobs/_job_table.py
+++ b/fireflyfork/decisions/jobs/_job_table.py
@@ -1,4 +1,4 @@
-"""The jobs of one service: which tasks may start, what has ended, what has to be stored."""
+"""The jobs of one service: which tasks may start, which have ended, and what has to be stored."""
 
 from __future__ import annotations
 
@@ -16,22 +16,23 @@
 
 @dataclass(frozen=True, slots=True)
 class _OverJob:
-    """What is kept of a job that is over."""
+    """What is kept of a job that is over and stored."""
 
     spec: JobSpec
     final_ms: int
 
 
 def terms_without_queue(spec: JobSpec) -> QueueTerms:
-    """Terms for a job whose queue is not configured any more: what was accepted is finished."""
+    """Return terms for a job whose queue is no longer configured: accepted jobs are still
+    finished."""
     return QueueTerms(spec.queue, "", "", spec.service, 9, 3, 2.0, 1000, 0)
 
 
 class JobTable:
-    """All jobs whose state is not final, and final ones until they are stored as such."""
+    """All jobs whose state is not final, and final ones until their final state is stored."""
 
     def __init__(self) -> None:
-        """No jobs."""
+        """Initialize without jobs or queues."""
         self.changes = ChangeLog()
         self._jobs: dict[JobId, Job] = {}
         self._over: dict[JobId, _OverJob] = {}
@@ -40,21 +41,24 @@
         self._queues: QueueTable | None = None
 
     def __len__(self) -> int:
-        """How many jobs are kept."""
+        """Return the number of jobs in the table."""
         return len(self._jobs)
 
     def configure(self, queues: QueueTable) -> None:
-        """Use the queues of another version; jobs of dropped ones keep their terms."""
+        """Use the queues of another configuration version.
+
+        Jobs of removed queues keep their terms.
+        """
         self._queues = queues
         for job in self._jobs.values():
             job.queue = queues.by_name(job.spec.queue) or job.queue
 
     def get(self, job: JobId) -> Job | None:
-        """The job, or None."""
+        """Return the job, or None if it is over or unknown."""
         return self._jobs.get(job)
 
     def task(self, name: TaskName) -> Task | None:
-        """The task that is not over yet, or None."""
+        """Return the task of that name, or None if it is over or unknown."""
         parsed = parse_task_name(name)
         job = self._jobs.get(parsed[0]) if parsed else None
         if parsed is None or job is None or job.state.is_final:
@@ -62,7 +66,7 @@
         return job.tasks.get(parsed[1])
 
     def step_of(self, name: TaskName) -> tuple[JobSpec, StepSpec] | None:
-        """Job and step of a task, also of one that is over, or None when it is unknown."""
+        """Return the job and step of a task, even if the task is over, or None if it is unknown."""
         parsed = parse_task_name(name)
         if parsed is None:
             return None
@@ -74,11 +78,11 @@
         return spec, spec.steps[parsed[1].step]
 
     def accept(self, spec: JobSpec, progress: StoredProgress | None, now_ms: int) -> list[Task]:
-        """Take in a job. Returns the tasks that may start; none for one that is known or over."""
+        """Add a job. Returns the tasks that may start; none if the job is already known or over."""
         if progress is not None and progress.state.is_final:
             self._over[spec.job] = _OverJob(spec, progress.final_ms)
-        # The store's changes are listed anew when its history was lost, so a job comes up again
-        # after it has ended; its tasks must not run a second time.
+        # All changes are listed again after the store has lost its history, so a job may be
+        # reported again after it has ended. Its tasks must not run a second time.
         known = spec.job in self._jobs or spec.job in self._over
         if known or spec.job in self._removed or spec.job in self._removed_before:
             return []
@@ -108,10 +112,12 @@
         return self._open_to(job, due)
 
     def open_begun(self, name: TaskName) -> list[Task]:
-        """A task runs or has ended somewhere, so its occurrence is due. Returns the tasks that may start.
+        """Open the occurrence of a task that runs or has ended on an executor.
 
-        An earlier owner's clock may be seconds ahead. Its run would be taken for one of nothing that is
-        known, and would run again when this owner's clock gets there.
+        Returns the tasks that may start. An earlier owner's clock may be seconds ahead, so it may
+        have started an occurrence that is not due by this owner's clock. The run would be treated
+        as one of an unknown task, and the task would run again once this owner's clock reaches the
+        due time.
         """
         parsed = parse_task_name(name)
         job = self._jobs.get(parsed[0]) if parsed is not None else None
@@ -120,7 +126,7 @@
         return self._open_to(job, parsed[1].occurrence + 1)
 
     def waiting_for_time(self) -> Iterator[Job]:
-        """Jobs with occurrences that are not due yet."""
+        """Yield the jobs with occurrences that are not due yet."""
         return (
             job
             for job in self._jobs.values()
@@ -128,22 +134,22 @@
         )
 
     def live_tasks(self) -> Iterator[Task]:
-        """Tasks of jobs that are not over."""
+        """Yield the tasks of all jobs whose state is not final."""
         live = (job for job in self._jobs.values() if not job.state.is_final)
         return (task for job in live for task in job.tasks.values())
 
     def note_started(self, job: Job) -> None:
-        """A task of it has been sent out."""
+        """Note that a task of the job has been sent to an executor."""
         if job.state is JobState.QUEUED:
             job.state = JobState.RUNNING
         self.changes.note(job.spec.job)
 
     def note_changed(self, job: Job) -> int:
-        """Something of it has to be stored. Returns the number of the change."""
+        """Note that the job has to be stored. Returns the number of the change."""
         return self.changes.note(job.spec.job)
 
     def task_done(self, task: Task, now_ms: int) -> list[Task]:
-        """A task has ended well. Returns the tasks that may start now."""
+        """Mark a task as successfully ended. Returns the tasks that may start now."""
         job, key = task.job, task.key
         if job.tasks.pop(key, None) is None:
             return []
@@ -169,7 +175,7 @@
         self.changes.note(job.spec.job)
 
     def drop_over(self) -> list[JobId]:
-        """Forget jobs whose final state is stored and of which nothing runs any more."""
+        """Drop jobs whose final state is stored and that have no runs. Returns their ids."""
         over = [
             name
             for name, job in self._jobs.items()
@@ -181,26 +187,26 @@
         return over
 
     def expired(self, before_ms: int, most: int) -> tuple[JobId, ...]:
-        """Some jobs whose state became final before a time and is stored."""
+        """Return up to `max_jobs` jobs with a stored final state from before `before_ms`."""
         old = (name for name, job in self._over.items() if job.final_ms < before_ms)
         return tuple(islice(old, most))
 
     def forget(self, jobs: Iterable[JobId]) -> None:
-        """These are gone from the store.
+        """Forget jobs that have been removed from the store.
 
-        A listing that was on its way may still hold one of them, and taken for a new job it would run
-        again. So their names are kept until ``forget_removed`` has been called twice.
+        A listing that is still on its way may contain one of them; it would be taken for a new job
+        and run again. So their ids are kept until `forget_removed` has been called twice.
         """
         for name in jobs:
             self._over.pop(name, None)
             self._removed.add(name)
 
     def forget_removed(self) -> None:
-        """What was removed some time ago is in no listing any more."""
+        """Forget the ids removed before the previous call: no listing contains them any more."""
         self._removed_before, self._removed = self._removed, set()
 
     def pending(self) -> dict[QueueName, int]:
-        """Of each queue, how many accepted jobs have started nothing."""
+        """Return, by queue, the number of accepted jobs that have not started any task."""
         counts: dict[QueueName, int] = {}
         for job in self._jobs.values():
             if job.state is JobState.QUEUED:
@@ -208,7 +214,7 @@
         return counts
 
     def _open_to(self, job: Job, occurrences: int) -> list[Task]:
-        """Open so many occurrences, but those that are open. Returns the tasks that may start."""
+        """Open the occurrences before number `occurrences`. Returns the tasks that may start."""
         ready: list[Task] = []
         while not job.state.is_final and job.opened_occurrences < occurrences:
             occurrence = job.opened_occurrences
--- a/fireflyfork/decisions/jobs/_load_shedding.py
+++ b/fireflyfork/decisions/jobs/_load_shedding.py
@@ -1,7 +1,8 @@
-"""What an owner leaves undone while it is short of processor time.
+"""Load shedding: which work an owner skips while it is short of CPU time.
 
-An owner that falls behind renews leases late and takes ends in late, which costs more than what it could put
-off. What can wait is left out in a fixed order, until the event loop is on time again.
+An owner that falls behind renews leases late and processes ends late, which costs more than the
+work that it could postpone. Work that can wait is skipped in a fixed order until the event loop is
+on time again.
 """
 
 from __future__ import annotations
@@ -12,20 +13,21 @@
 LEARNING_LAG_SECONDS = 0.3
 POLLS_LAG_SECONDS = 0.5
 RESUMED_SHARE = 0.5
-"""What was left out is taken up again below this share of the lag that stopped it."""
+"""Skipped work is resumed when the lag falls below this share of the lag at which it was
+skipped."""
 
 
 class Shed(IntEnum):
-    """What is left out; each level includes those below it."""
+    """The work that is skipped; each level includes the levels below it."""
 
     NOTHING = 0
     ARRANGEMENT = 1
-    """No look for a better arrangement of services: it would only be of use later."""
+    """Skip the search for a better arrangement of serving tasks, which would only pay off later."""
     LEARNING = 2
-    """Polls teach nothing about which images disturb which; paces go by what is known."""
+    """Don't learn from polls which images disturb which; paces follow what is already known."""
     POLLS = 3
-    """Executors are asked less often. They list ends at once all the same, and leases outlast it; paces follow
-    the load of services later."""
+    """Poll executors less often. They still list ends at once, and leases outlast the longer
+    interval; paces follow the load of services with more delay."""
 
 
 _LAGS = {
@@ -36,9 +38,9 @@
 
 
 def shed_at(lag: float, before: Shed) -> Shed:
-    """What to leave out when the loop is so many seconds late, if ``before`` has been left out until now.
+    """Return the level for an event loop that is `lag` seconds late, given the level until now.
 
-    Hysteresis keeps the level from changing with each lag, since what is left out ends the lag.
+    Hysteresis keeps the level from changing with each lag, since skipping work ends the lag.
     """
     left_out = [level for level, bound in _LAGS.items() if lag > bound]
     kept = [
--- a/fireflyfork/decisions/jobs/_notes.py
+++ b/fireflyfork/decisions/jobs/_notes.py
@@ -1,4 +1,4 @@
-"""What the scheduler tells about its decisions, for the log."""
+"""Notes on the scheduler's decisions, for the log."""
 
 from __future__ import annotations
 
@@ -19,17 +19,18 @@
     attempt: int
     executor: ExecutorId
     incarnation: int
-    """The executor's, as far as this owner knows."""
+    """The executor's incarnation, as far as this owner knows."""
     job_age_ms: int
-    """Since its job was accepted, by the clocks of two instances."""
+    """Time since the job was accepted, by the clocks of two instances."""
     polled_ms_ago: int
-    """How old what is known of the executor was."""
+    """Age of the information about the executor: time since its last answered poll was sent."""
     strikes: int
-    """Failures in a row that the executor was known for."""
+    """The executor's number of failures in a row."""
     waited_for: WaitReason
-    """Why it found no place when it was last looked for; ``NOTHING`` when one was there at once."""
+    """Why no executor could run the task at the previous attempt to place it; `NOTHING` if it was
+    placed at once."""
     after: RunOver
-    """On which evidence its last run was taken to be over."""
+    """The evidence that the task's previous run was over."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +42,7 @@
     executor: ExecutorId
     reason: EndReason
     lowest_pace: int
-    """Percent: the slowest pace that it was ordered to work at."""
+    """The slowest pace that the run was ordered to work at, in percent."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,12 +53,12 @@
     state: JobState
     age_ms: int
     allowed_ms: int
-    """How long it may take to be of full use."""
+    """How long the job may take to be of full use."""
 
 
 @dataclass(frozen=True, slots=True)
 class ExecutorGivenUp:
-    """What ran on an executor is taken to be over."""
+    """An executor was given up: its runs are taken to be over."""
 
     executor: ExecutorId
     incarnation: int
--- a/fireflyfork/decisions/jobs/_overs.py
+++ b/fireflyfork/decisions/jobs/_overs.py
@@ -1,4 +1,4 @@
-"""On which evidence a run is taken to be over."""
+"""The evidence on which a run is taken to be over."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class RunOver(Enum):
-    """Why the next run of a task could begin."""
+    """Why the next run of a task may begin."""
 
     NO_RUN = ""
-    """This owner knows of no earlier run."""
+    """This owner has not seen an earlier run of the task."""
     ENDED = "its end was listed"
     REFUSED = "its start was refused"
     NOT_LISTED = "its stop was acknowledged and it is not listed"
--- a/fireflyfork/decisions/jobs/_pacing.py
+++ b/fireflyfork/decisions/jobs/_pacing.py
@@ -1,4 +1,4 @@
-"""At what pace tasks without a reservation may work beside those that serve users."""
+"""Sets the pace of tasks without a CPU reservation that run next to serving tasks."""
 
 from __future__ import annotations
 
@@ -11,31 +11,36 @@
 from ._runs import Run, RunPhase
 
 SAMPLE_SECONDS = 0.45
-"""Executors report over the last half second. Samples taken closer together tell the same again, and
-a pace set in between would not show in them."""
+"""Minimum interval between samples. Executors report values over the last half second. Samples
+taken closer together repeat each other, and a pace set in between would not show in them."""
 WANTED_HEADROOM = 1.0
-"""Target over tail that is kept, by the present load: the target itself. With a margin, tails would
-be over their target less often, but more of the work beside them would end late."""
+"""Headroom (target divided by tail latency) to keep at the present load: the target itself. With a
+margin, tail latencies would exceed their target less often, but more of the work next to them would
+end late."""
 RECOVERY = 0.06
-"""Headroom that a low is forgotten by with each sample. Loads swing over some ten seconds, and a low
-of 1.5 below the usual is remembered that long."""
+"""How much the remembered low of the headroom recovers with each sample. Loads change over about
+ten seconds, and a low of 1.5 below the usual headroom is remembered for that long."""
 LOWEST_PACE = 10
-"""Percent. A run at a tenth goes on telling what it does to others; at nothing it would not."""
+"""Lowest pace in percent, except for a pause. A run at a tenth of its pace still shows its effect
+on others; a stopped one would not."""
 LONGEST_OVER_SECONDS = 2.0
-"""When a task's tail has been over its target for so long, all work without a reservation beside it
-pauses, whatever is known of the pair. Four samples show that the paces chosen so far don't help, and
-users notice a service that stays slow after some four seconds; the pause shows in its tail after one."""
+"""When a task's tail latency has been over its target for this long, all work without a reservation
+on the executor pauses, whatever is known about the pair. By then four samples have shown that the
+paces chosen so far don't help. Users notice a service that stays slow after about four seconds; the
+pause shows in its tail latency after one."""
 BACKGROUND_PACE = 20
-"""Percent. A task of two seconds takes ten and disturbs a fifth as much; at a tenth it would hold its
-memory for longer than most jobs are waited for."""
+"""Highest pace of runs in the background, in percent. A task of two seconds takes ten and disturbs
+a fifth as much; at a tenth of full pace it would hold its memory for longer than most jobs are
+waited for."""
 PACE_STEP = 10
-"""Percent: smaller changes of pace aren't worth a call."""
+"""Paces are multiples of this many percent: smaller changes aren't worth a call."""
 RAISE_STEP = 60
-"""Percent by which a pace may rise at once; it falls as far as it has to."""
+"""How far a pace may rise at once, in percent; it may fall by any amount."""
 LOWEST_TAIL_MS = 1.0
-"""Tails are whole milliseconds; one of 0 is below one."""
+"""Tail latencies are reported in whole milliseconds; a value of 0 means less than one."""
 MOST_HEADROOM = 6.0
-"""Above this a rough figure of whole milliseconds tells nothing more."""
+"""Headroom is capped at this value: above it, tail latencies in whole milliseconds are too
+coarse."""
 
 
 def adjust_pace(
@@ -45,8 +50,10 @@
     now: float,
     learns: bool = True,
 ) -> Iterator[tuple[Run, int]]:
-    """Take in a poll, and let the model learn from it. Yields runs that have to work at another pace, in
-    percent."""
+    """Update an executor's headroom from a poll, and let the model learn from it if `learns`.
+
+    Yields the runs whose pace has to change, with the new pace in percent.
+    """
     if now - executor.sampled_at < SAMPLE_SECONDS:
         return
     executor.sampled_at = now
@@ -78,7 +85,7 @@
 
 
 def _uses(executor: ExecutorState, rows: tuple[RunningRow, ...]) -> dict[str, float]:
-    """What shares of the room the tasks that serve nobody used, by image."""
+    """Return the shares of the room that non-serving tasks used, by image."""
     uses: dict[str, float] = {}
     room = max(1, executor.registration.room.cpu_millis)
     for row in rows:
@@ -123,9 +130,10 @@
 def _allowed_paces(
     executor: ExecutorState, best_effort: list[Run], model: InterferenceModel
 ) -> dict[str, int]:
-    """For each image, the pace at which every serving task keeps its headroom.
+    """Return, by image, the pace in percent at which every serving task keeps its headroom.
 
-    Where a serving task would lose too much, the image that costs it most gives way first.
+    Where a serving task would lose too much, the image with the largest effect on it is slowed down
+    first.
     """
     demand = executor.disturbing_shares()
     paces = {run.task.spec.image: 100 for run in best_effort}
--- a/fireflyfork/decisions/jobs/_placement.py
+++ b/fireflyfork/decisions/jobs/_placement.py
@@ -1,4 +1,4 @@
-"""Sending tasks that wait to executors with room."""
+"""Assigns waiting tasks to executors that can run them."""
 
 from __future__ import annotations
 
@@ -19,34 +19,35 @@
 from ._work import Work
 
 START_VALID_MS = 1_000
-"""An order that is carried out later than this is void. Answers take 1 to 45 ms; a start that comes
-seconds late would meet its successor."""
+"""Milliseconds for which a start is valid; carried out later, it is void. Answers take 1 to 45 ms.
+A start that arrives seconds late could run at the same time as its replacement."""
 SHORT_TASK_RESERVE = 0.10
-"""The share of all processors that lasting tasks leave free. Short ones come in waves of a twentieth
-on average; a core that they hold is worth four times one that a lasting task holds."""
+"""Share of all processors that long-running tasks leave free. Short tasks arrive in waves of a
+twentieth of the processors on average, and a core for them is worth four times a core for a
+long-running task."""
 REFUSED_SHAPES = 24
-"""A placing round ends when so many different sizes found no room: more would find none either, and
-each costs a comparison of every executor."""
+"""A placement round ends when this many different shapes of tasks have found no executor: more
+would find none either, and each costs a comparison of every executor."""
 
 
 @dataclass(slots=True)
 class _Round:
-    """What holds for one round of placing."""
+    """The state of one placement round."""
 
     usable: list[ExecutorState]
     room: int
-    """Of all of them, in thousandths of a core."""
+    """CPU capacity of all usable executors, in thousandths of a core."""
     reserved: int
-    """Of it, what was reserved when the round began."""
+    """CPU time that was reserved on them when the round began."""
     lasting: int
-    """Of it, what tasks that last have, those of this round among them."""
+    """CPU time reserved by long-running tasks, including those started in this round."""
     refused: dict[tuple[object, ...], WaitReason] = field(default_factory=dict)
-    """By shape of task: why it found no room."""
+    """By shape of task: the reason why no executor could run it."""
     candidates: dict[StepId, Candidates] = field(default_factory=dict)
 
     @classmethod
     def of(cls, usable: list[ExecutorState]) -> _Round:
-        """A round over these executors."""
+        """Return a round over these executors."""
         return cls(
             usable,
             sum(one.registration.room.cpu_millis for one in usable),
@@ -55,23 +56,23 @@
         )
 
     def most_cost(self, task: Task, now_ms: int) -> float:
-        """What a task without a reservation puts up with."""
+        """Return the highest cost that a task without a reservation accepts."""
         age = (now_ms - task.job.spec.accepted_ms) / 1000
         return most_cost(age, self.reserved / max(1, self.room))
 
 
 class Placement:
-    """Places tasks."""
+    """Assigns tasks to executors."""
 
     def __init__(self, work: Work) -> None:
-        """Change ``work``."""
+        """Initialize with the service state to read and change."""
         self._work = work
         self._prices = PriceLists(work.interference)
         self._first = 0
-        """The number of the executor that the next step begins to look at."""
+        """Index of the executor at which the candidates of the next step begin."""
 
     def place(self, now: float, now_ms: int) -> None:
-        """Send tasks that may start to executors with room; others wait for the next tick."""
+        """Send waiting tasks to executors that can run them; the others wait for the next tick."""
         usable = [one for one in self._work.executors.values() if one.usable(now)]
         placing = _Round.of(usable)
         while usable and (step := self._work.waiting.pop()) is not None:
@@ -83,10 +84,11 @@
         self._place_copies(placing, now, now_ms)
 
     def leave(self, run: Run, now: float) -> bool:
-        """A start's turn to be sent has come. Returns False if it must not be sent any more.
+        """Prepare a start for sending when its turn has come.
 
-        Its validity begins only now: where many starts wait for a slow loop, it would be over before. What has
-        changed since the decision counts, as it would if the start were decided now.
+        Returns False if it must not be sent any more. The validity of the order begins only now: if
+        many starts wait for a slow event loop, it would otherwise expire before they are sent.
+        Changes since the decision are taken into account as if the start were decided now.
         """
         executor = run.executor
         wanted = executor.runs.get(run.key) is run and run.phase is RunPhase.STARTING
@@ -99,7 +101,10 @@
     def _place_step(
         self, step: WaitingStep, placing: _Round, now: float, now_ms: int
     ) -> WaitReason | None:
-        """Start the tasks of a step until one finds no room. Returns why, or None if all are gone."""
+        """Start the tasks of a step until one finds no executor.
+
+        Returns the reason why it found none, or None if all tasks have been handled.
+        """
         while step.tasks:
             task = step.tasks[0]
             if not self._work.wants_run(task):
@@ -125,16 +130,19 @@
         return reason
 
     def _keep_promise(self, task: Task, now: float, now_ms: int) -> bool:
-        """Start a task that is being moved where room is kept for it; False: it has no such place."""
+        """Start a task that is being moved on the executor that has resources reserved for it.
+
+        Returns False if the task has no reservation, or its destination is not usable any more.
+        """
         destination = self._work.promises.destination(task)
         if destination is None:
             return False
         if not destination.usable(now):
-            # Kept places are checked only now and then, and an executor may vanish at any moment.
+            # Reservations are checked only now and then, and an executor may vanish at any moment.
             self._work.promises.drop(task)
             return False
         if not (self._work.promises.has_room(task) and is_allowed(task, destination)):
-            # What it changes places with has not left yet.
+            # The task that it is exchanged with has not left the destination yet.
             self._work.waiting.defer(task)
             return True
         self._work.promises.drop(task)
@@ -143,7 +151,7 @@
         return True
 
     def _place_copies(self, placing: _Round, now: float, now_ms: int) -> None:
-        """Start second runs of tasks whose first one is slow; where there is no room, none."""
+        """Start second runs of tasks whose first run is slow, if an executor can take them."""
         wanted, self._work.copies = self._work.copies, []
         for task in wanted:
             alone = len(task.runs) == 1 and task.runs[0].works
@@ -160,8 +168,9 @@
     ) -> Candidates:
         known = placing.candidates.get(task.step_id)
         if known is None:
-            # What lasts stays where it is put, and what takes leftover time slows services by amounts that
-            # differ from place to place: for these all places are compared.
+            # All executors are compared for long-running tasks, since they stay where they are
+            # placed, and for tasks that use leftover CPU, since the amount by which they slow down
+            # services differs between executors.
             compares_all = task.spec.long_running or task.spec.uses_leftover_cpu
             looked_at = len(allowed) if compares_all else LOOKED_AT
             prices = self._prices.for_task(task)
@@ -171,7 +180,7 @@
         return known
 
     def _ticketed(self, task: Task, usable: list[ExecutorState], now: float) -> list[ExecutorState]:
-        """The executors that may run a task; asks the advisor where none is known to."""
+        """Return the executors that may run a task; ask the advisor if too few are known."""
         if not task.job.queue.needs_tickets:
             return usable
         step = task.step_id
@@ -193,7 +202,7 @@
 
     @staticmethod
     def _barred(task: Task, placing: _Round) -> WaitReason | None:
-        """Why a task isn't even looked at in this round, or None."""
+        """Return why a task is not considered in this round, or None."""
         if len(placing.refused) >= REFUSED_SHAPES:
             return WaitReason.BEHIND
         return WaitReason.RESERVED if _would_take_reserve(task, placing) else None
@@ -201,7 +210,7 @@
     def _start(
         self, task: Task, allowed: list[ExecutorState], placing: _Round, now: float, now_ms: int
     ) -> bool:
-        """Start a task, with its gang if it has one, where there is room for all."""
+        """Start a task together with its gang, if there are executors for all of them."""
         most = placing.most_cost(task, now_ms)
 
         def choice(one: Task, executors: list[ExecutorState]) -> ExecutorState | None:
@@ -217,13 +226,13 @@
         return bool(runs)
 
     def _begin_run(self, task: Task, executor: ExecutorState, now: float, now_ms: int) -> None:
-        """Take the room of a task's next run on an executor, and order its start."""
+        """Allocate the resources of a task's next run on an executor, and order its start."""
         run = Run(task, next_attempt(task), executor, RunPhase.STARTING, now)
         executor.add(run)
         self._send(run, now, now_ms)
 
     def _send(self, run: Run, now: float, now_ms: int) -> None:
-        """Order the start of a run that holds its room."""
+        """Order the start of a run whose resources are allocated."""
         executor, task = run.executor, run.task
         run.checkpoint = task.checkpoint
         if task.job.queue.needs_tickets:
@@ -241,13 +250,13 @@
 
 
 def _begin_validity(run: Run, now: float) -> None:
-    """A start carries its deadline as a lease, which everything on its executor has then."""
+    """Set the deadline of a start; it also acts as a lease for everything on the executor."""
     run.start_deadline_ms = run.executor.clock(now) + START_VALID_MS
     run.executor.grant_lease(run.start_deadline_ms)
 
 
 def _would_take_reserve(task: Task, placing: _Round) -> bool:
-    """Whether a lasting task that never ran would take the room that is kept for short ones."""
+    """Whether a new long-running task would take resources that are kept for short tasks."""
     if not task.spec.long_running or task.attempt:
         return False
     wanted = placing.lasting + task.spec.reserved_cpu_millis
@@ -260,13 +269,13 @@
     limited = task.step_id if own else None
     size = (step.reserved_cpu_millis, step.memory_mb, step.accelerators)
     image = step.image if step.uses_leftover_cpu else ""
-    # Room is kept from tasks that last and never ran, but not from those that have to come back.
+    # Resources are kept free from long-running tasks that never ran, but not from restarted ones.
     comes_back = step.long_running and task.attempt > 0
     return (*size, step.required_label, step.long_running, comes_back, limited, image)
 
 
 def _refusal(task: Task, usable: list[ExecutorState]) -> WaitReason:
-    """Why none of the executors took a task."""
+    """Return why none of the executors could run a task."""
     step = task.spec
     processors = any(step.reserved_cpu_millis <= one.free_cpu_millis for one in usable)
     memory = any(step.memory_mb <= one.free_memory_mb for one in usable)
--- a/fireflyfork/decisions/jobs/_placing.py
+++ b/fireflyfork/decisions/jobs/_placing.py
@@ -1,4 +1,4 @@
-"""Which executor a task goes to."""
+"""The cost of running a task on an executor, and the choice of the cheapest executor."""
 
 from __future__ import annotations
 
@@ -11,51 +11,59 @@
 from ._runs import Task
 
 SERVING_LOAD = 0.55
-"""The share of its reservation that a serving task is taken to use: such services swing about
-less than half of what they reserve, and what is left for others must survive the swing."""
+"""Share of its reservation that a serving task is assumed to use: the load of such services varies
+around a little less than half of their reservation, and the rest that is given to other tasks must
+remain available when the load rises."""
 STRIKE_COST = 4.0
-"""In units of a whole executor's load: an executor that just failed something comes after all
-others, whatever they have to do."""
+"""Cost of each recent failure, in units of a whole executor's load. An executor that has just
+failed comes after all others, however loaded they are."""
 FAILED_THERE_COST = 8.0
-"""The same task failed there before; if it fails elsewhere too, the fault is its own."""
+"""Cost of an executor on which the same task has failed before. If the task fails elsewhere too, it
+is itself at fault."""
 DISTURBANCE_COST = 3.0
-"""In units of a whole executor's load, for each unit of headroom below what is kept: a task that has
-to be paced down takes longer than one on a crowded executor."""
+"""Cost of each unit of headroom below the headroom to keep, in units of a whole executor's load. A
+task that has to be slowed down takes longer than one on a crowded executor."""
 PACKING_GAIN = 1.0
-"""Of two executors with the same images the fuller one gets the next serving task, so that large
-tasks find whole executors free instead of a hole of a core in each."""
+"""Advantage of a full executor over an empty one for a serving task. Of two executors with the same
+images the fuller one gets the task, so large tasks find whole executors free rather than a core on
+each."""
 ADDED_COST = 2.0
-"""In the same unit, for each unit of headroom that the task itself takes, even where enough is left:
-loads swing, and what stands there now is not what will stand there in two seconds."""
+"""Cost of each unit of headroom that the task itself takes, even where enough is left. Loads
+change, and the tasks that run there now may be different ones in two seconds."""
 SPOILING_COST = 2.0
-"""A serving task joins one that stands alone with its image. Work that disturbs an image needs
-executors without it; the first stray takes one more away, whatever share it has of it."""
+"""Cost of adding a second image to an executor that serves only one. Work that disturbs an image
+needs executors without it, and the first task of another image makes one more executor unusable for
+such work, however small its share."""
 STRAY_COST = 1.0
-"""It joins several images, none of them its own: the executor was spoiled before."""
+"""Cost of adding another image to an executor that already serves several: it was mixed before."""
 KIN_COST = 0.3
-"""It joins several images, its own among them."""
+"""Cost of joining an executor that serves several images, the task's own among them."""
 UPKEEP_COST = 2.0
-"""A lasting task on a machine that has yet to go down for upkeep would have to be moved once more."""
+"""Cost of a machine that has yet to go down for upkeep, for a long-running task: the task would
+have to be moved once more."""
 MOST_BEST_EFFORT_COST = 2.0
-"""Above this a task without a reservation waits. It would run at half its speed or less and slow
-those beside it, so that all end late; one after the other, the first ones end in time."""
+"""Highest cost that a task without a reservation accepts at first; above it the task waits. It
+would run at half its speed or less and slow down the tasks next to it, so that all would end late;
+run one after the other, the first ones end in time."""
 CALM_SHARE = 0.6
 CALM_PATIENCE_SECONDS = 8.0
-"""While less than this share of all processors is reserved, tasks of jobs older than this put up with
-more and more: there is room, and callers see a job that could run and doesn't."""
+"""While less than `LOW_RESERVED_SHARE` of all processors is reserved, tasks of jobs older than this
+many seconds accept increasing costs: executors have free capacity, and callers see a job that could
+run and doesn't."""
 FULL_PATIENCE_SECONDS = 30.0
-"""On full executors they wait longer. Jobs so old are late beyond use, and what they would slow is not;
-but what was accepted has to end, also where every executor serves something that it disturbs."""
+"""Seconds before tasks accept higher costs on full executors. Jobs of this age are too late to be
+of use, and the work that they would slow down is not. But every accepted job has to end, even if
+every executor serves an image that it disturbs."""
 PATIENCE_COST = 0.5
-"""How much more they put up with, for each second."""
+"""How much the accepted cost rises for each second beyond that."""
 
 
 def choose(
     task: Task, executors: Iterable[ExecutorState], model: InterferenceModel, most_cost: float
 ) -> ExecutorState | None:
-    """The best of the usable executors that has room for the task, or None.
+    """Return the cheapest executor that can run the task, or None if there is none.
 
-    A task without a reservation takes none that costs more than ``most_cost``.
+    A task without a reservation accepts no executor with a cost above `max_cost`.
     """
     best: ExecutorState | None = None
     lowest = float("inf")
@@ -67,17 +75,20 @@
 
 
 class Price(NamedTuple):
-    """What it costs to run a task on an executor, in units of a whole executor's load."""
+    """The cost of running a task on an executor, in units of a whole executor's load."""
 
     total: float
     bounded: float
-    """The part that may be too much for a task without a reservation."""
+    """The part that is compared with the highest accepted cost of a task without a reservation."""
 
 
 def cost_of(
     task: Task, executor: ExecutorState, model: InterferenceModel, most_cost: float
 ) -> float | None:
-    """What it costs to run a task there, in units of a whole executor's load; None: it can't."""
+    """Return the cost of running a task on an executor, or None if it can't run there.
+
+    The unit is the load of a whole executor.
+    """
     found = price(task, executor, model)
     if found is None or found.bounded > most_cost:
         return None
@@ -85,7 +96,8 @@
 
 
 def price(task: Task, executor: ExecutorState, model: InterferenceModel) -> Price | None:
-    """What it costs any task of the shape of ``task`` to run there; None: it can't."""
+    """Return the cost of any task of the same shape on an executor, or None if it can't run
+    there."""
     step = task.spec
     if not executor.fits(step.reserved_cpu_millis, step.memory_mb, step.accelerators):
         return None
@@ -99,17 +111,17 @@
 
 
 def most_cost(age_seconds: float, reserved_share: float) -> float:
-    """What a task without a reservation puts up with.
+    """Return the highest cost that a task without a reservation accepts.
 
-    ``age_seconds`` is how long ago its job was accepted, by the clocks of two instances;
-    ``reserved_share`` is the share of all processors that is reserved.
+    `age_seconds` is the time since its job was accepted, by the clocks of two instances.
+    `reserved_share` is the share of all processors that is reserved.
     """
     patience = CALM_PATIENCE_SECONDS if reserved_share < CALM_SHARE else FULL_PATIENCE_SECONDS
     return MOST_BEST_EFFORT_COST + PATIENCE_COST * max(0.0, age_seconds - patience)
 
 
 def is_allowed(task: Task, executor: ExecutorState) -> bool:
-    """Whether label and limit per executor let a task run there."""
+    """Whether the required label and the per-executor limit allow a task to run on an executor."""
     step = task.spec
     if step.required_label and step.required_label not in executor.registration.labels:
         return False
@@ -144,7 +156,7 @@
 
 
 def _company_cost(task: Task, executor: ExecutorState) -> float:
-    """What it costs that the serving tasks there have other images."""
+    """Return the cost of mixing the task's image with the other images that the executor serves."""
     images = executor.serving
     if not images:
         return 0.0
@@ -160,13 +172,13 @@
 
 
 def leftover_millis(executor: ExecutorState) -> float:
-    """The processor time that the tasks there with a reservation leave unused."""
+    """Return the CPU time that tasks with a reservation leave unused, in thousandths of a core."""
     unused = (1 - SERVING_LOAD) * executor.serving_cpu_millis
     return executor.registration.room.cpu_millis - executor.used_cpu_millis + unused
 
 
 def _disturbance(task: Task, executor: ExecutorState, model: InterferenceModel) -> float:
-    """How far below the headroom that is kept the task would bring the serving tasks there."""
+    """Return the cost of the headroom that the task would take from the serving tasks."""
     if not executor.lasting_headroom:
         return 0.0
     share = task.spec.cpu_millis / max(1, executor.registration.room.cpu_millis)
@@ -179,9 +191,10 @@
 
 
 def _missing_headroom(executor: ExecutorState, model: InterferenceModel) -> dict[str, float]:
-    """By serving image: how far below the headroom that is kept its tasks there are; negative if above.
+    """Return, by serving image, the headroom to keep minus the headroom of its tasks.
 
-    Worked out again only when something there has changed: hundreds of executors are priced for each step.
+    The value is negative if they have more. Cached until something on the executor changes, since
+    hundreds of executors are compared for each step.
     """
     known = executor.missing_headroom
     if known is None:
--- a/fireflyfork/decisions/jobs/_price_lists.py
+++ b/fireflyfork/decisions/jobs/_price_lists.py
@@ -1,7 +1,7 @@
-"""What each executor costs the tasks of one shape, kept from one round of placing to the next.
+"""Caches the cost of each executor for the tasks of one shape across placement rounds.
 
-A backlog is tried again ten times a second, and meanwhile few executors have changed: only these are priced
-anew.
+A backlog is retried ten times a second, and only a few executors change in between: only their
+costs are computed again.
 """
 
 from __future__ import annotations
@@ -15,45 +15,46 @@
 from ._runs import Task
 
 LISTS_KEPT = 32
-"""Of the shapes that were placed last; each list has a price for every executor."""
+"""Number of shapes with a cache, the most recently placed ones. Each cache has an entry for every
+executor."""
 
 MOST_PRICES = 8_192
-"""In one list."""
+"""Maximum number of entries in one cache."""
 
 
 class PriceList:
-    """Prices for tasks that differ in nothing that decides where they may go."""
+    """Costs of tasks that don't differ in anything that decides where they may run."""
 
     def __init__(self, task: Task, model: InterferenceModel) -> None:
-        """For ``task`` and others of its shape."""
+        """Initialize for `task` and others of its shape."""
         self._task = task
         self._model = model
         self._known: dict[ExecutorState, tuple[Hashable, Price | None]] = {}
 
     def price(self, executor: ExecutorState) -> Price | None:
-        """What it costs there now; None: it can't run there."""
+        """Return the cost on an executor at present, or None if the tasks can't run there."""
         state = executor.priced_state
         known = self._known.get(executor)
         if known is not None and known[0] == state:
             return known[1]
         found = price(self._task, executor, self._model)
         if len(self._known) >= MOST_PRICES:
-            # Most of them are of executors that have gone.
+            # Most entries belong to executors that no longer exist.
             self._known.clear()
         self._known[executor] = (state, found)
         return found
 
 
 class PriceLists:
-    """The lists of the shapes that were placed last."""
+    """The caches of the most recently placed shapes."""
 
     def __init__(self, model: InterferenceModel) -> None:
-        """None yet."""
+        """Initialize without caches."""
         self._model = model
         self._lists: OrderedDict[Hashable, PriceList] = OrderedDict()
 
     def for_task(self, task: Task) -> PriceList:
-        """The list of a task's shape. The task must not have failed on any executor."""
+        """Return the cache for a task's shape. The task must not have failed on any executor."""
         shape = _shape(task)
         found = self._lists.get(shape)
         if found is None:
@@ -65,7 +66,7 @@
 
 
 def _shape(task: Task) -> Hashable:
-    """Equal for tasks that cost the same everywhere."""
+    """Return a key that is equal for tasks that have the same cost on every executor."""
     step = task.spec
     return (
         step.reserved_cpu_millis,
--- a/fireflyfork/decisions/jobs/_progress.py
+++ b/fireflyfork/decisions/jobs/_progress.py
@@ -1,4 +1,4 @@
-"""What is stored of a job's progress: enough for another owner to go on from."""
+"""The stored progress of a job, from which another owner can continue."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class JobState(Enum):
-    """What callers are told about a job."""
+    """The state of a job as reported to callers."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -17,13 +17,13 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether it never changes any more."""
+        """Whether the state can no longer change."""
         return self in (JobState.COMPLETED, JobState.FAILED, JobState.CANCELLED)
 
 
 @dataclass(slots=True)
 class StoredTask:
-    """What is stored of a task that has not ended well yet."""
+    """The stored progress of a task that has not ended successfully yet."""
 
     occurrence: int
     step: int
@@ -37,20 +37,20 @@
 
 @dataclass(slots=True)
 class StoredProgress:
-    """The progress of one job."""
+    """The stored progress of one job."""
 
     state: JobState = JobState.QUEUED
     final_ms: int = 0
-    """When the state became final, Unix milliseconds."""
+    """When the state became final, in Unix milliseconds."""
     done: tuple[tuple[int, int, int], ...] = ()
-    """Occurrence, step and index of each task that has ended well."""
+    """Occurrence, step and index of each task that has ended successfully."""
     done_occurrences: int = 0
-    """All occurrences before this one have ended well; their tasks are not in ``done``."""
+    """All occurrences before this one have ended successfully; their tasks are not in `done`."""
     tasks: tuple[StoredTask, ...] = field(default=())
 
     @property
     def begun_occurrences(self) -> int:
-        """So many occurrences were due by the clock of the owner that stored this."""
+        """The number of occurrences that were due when this was stored, by that owner's clock."""
         begun = [occurrence + 1 for occurrence, _, _ in self.done]
         begun.extend(task.occurrence + 1 for task in self.tasks)
         return max(begun, default=self.done_occurrences)
--- a/fireflyfork/decisions/jobs/_promises.py
+++ b/fireflyfork/decisions/jobs/_promises.py
@@ -1,4 +1,4 @@
-"""Room that is kept for a task on the executor that it is being moved to."""
+"""Resources reserved for tasks at the executors that they are being moved to."""
 
 from __future__ import annotations
 
@@ -10,43 +10,43 @@
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """Where a task goes next."""
+    """A reservation for one task."""
 
     executor: ExecutorState
     until: float
-    """On the owner's clock; afterwards the task goes wherever there is room."""
+    """Seconds on the owner's clock; after this time the task may go to any executor."""
 
 
 class PromiseBook:
-    """Which tasks have a place kept for them.
+    """The reservations of all tasks that are being moved.
 
-    A task that is moved ends in one place before it starts in the other. Room that comes free in between
-    would go to whatever waits, and the task would be left without a place, or be put beside the very
-    tasks that it was taken away from.
+    A task that is moved ends on one executor before it starts on another. Without a reservation,
+    other waiting tasks would take the resources that become free in between. The moved task would
+    find no executor, or would be placed next to the very tasks that it was separated from.
     """
 
     def __init__(self) -> None:
-        """Nothing is promised."""
+        """Initialize without reservations."""
         self._promises: dict[Task, Promise] = {}
 
     def __len__(self) -> int:
-        """How many tasks are on their way."""
+        """Return the number of tasks that have a reservation."""
         return len(self._promises)
 
     def make(self, task: Task, executor: ExecutorState, until: float) -> None:
-        """Keep room for a task; an earlier promise to it is dropped."""
+        """Reserve resources for a task on an executor, in place of any earlier reservation."""
         self.drop(task)
         self._promises[task] = Promise(executor, until)
         executor.promised_cpu_millis += task.spec.reserved_cpu_millis
         executor.promised_memory_mb += task.spec.memory_mb
 
     def destination(self, task: Task) -> ExecutorState | None:
-        """The executor that a task is to go to, or None."""
+        """Return the executor that has resources reserved for a task, or None."""
         promise = self._promises.get(task)
         return promise.executor if promise is not None else None
 
     def has_room(self, task: Task) -> bool:
-        """Whether the place that is kept for a task is free."""
+        """Whether the resources reserved for a task are free."""
         there = self.destination(task)
         if there is None:
             return False
@@ -55,14 +55,14 @@
         return cpu >= task.spec.reserved_cpu_millis and memory >= task.spec.memory_mb
 
     def drop(self, task: Task) -> None:
-        """The task has arrived, or goes elsewhere."""
+        """Drop the reservation of a task."""
         promise = self._promises.pop(task, None)
         if promise is not None:
             promise.executor.promised_cpu_millis -= task.spec.reserved_cpu_millis
             promise.executor.promised_memory_mb -= task.spec.memory_mb
 
     def expire(self, now: float) -> None:
-        """Drop promises whose time is over, or whose task or executor is gone."""
+        """Drop reservations that have expired or whose task is over or executor unusable."""
         for task, promise in tuple(self._promises.items()):
             over = task.job.state.is_final or task.key not in task.job.tasks
             if over or promise.until <= now or not promise.executor.usable(now):
--- a/fireflyfork/decisions/jobs/_queues.py
+++ b/fireflyfork/decisions/jobs/_queues.py
@@ -1,4 +1,4 @@
-"""Queues of the configuration in force, and which of them a request is for."""
+"""The queues of the configuration in force, and the lookup of the queue for a request."""
 
 from __future__ import annotations
 
@@ -10,50 +10,51 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueTerms:
-    """One queue."""
+    """The configuration of one queue."""
 
     name: QueueName
     host: str
     path_prefix: str
     service: ServiceName
-    """Whose executors run its tasks."""
+    """The service whose executors run the queue's tasks."""
     priority: int
-    """0 goes first and may take the place of others."""
+    """Priority; 0 is the highest and may preempt the others."""
     attempts: int
-    """A task that has failed so often fails its job."""
+    """Number of failed attempts of a task after which its job fails."""
     stretch_factor: float
-    """The objective allows so many times the job's longest chain of work."""
+    """The latency objective allows this many times the job's longest chain of work."""
     target_latency_ms: int
-    """The objective allows this much besides."""
+    """Time that the latency objective allows in addition, in milliseconds."""
     timeout_ms: int
     needs_tickets: bool = False
-    """An advisor tells which executors may run its steps; starts carry its tickets."""
+    """Whether an advisor decides which executors may run a step; starts then carry the advisor's
+    tickets."""
 
 
 @dataclass(frozen=True, slots=True)
 class QueueTable:
-    """All queues of one version of the configuration."""
+    """All queues of one configuration version."""
 
     version: ConfigurationVersion
     queues: tuple[QueueTerms, ...]
     services: frozenset[ServiceName]
     by_host: Mapping[str, tuple[QueueTerms, ...]] = field(default_factory=dict)
-    """Those of each host, the longest prefix first."""
+    """The queues by host, the longest path prefix first."""
 
     def find(self, host: str, path: str) -> QueueTerms | None:
-        """The queue with the longest prefix that ``path`` begins with, or None."""
+        """Return the queue with the longest prefix of `path`, or None."""
         candidates = self.by_host.get(host.lower(), ())
         return next((one for one in candidates if path.startswith(one.path_prefix)), None)
 
     def by_name(self, name: QueueName) -> QueueTerms | None:
-        """The queue of that name, or None when it is no longer configured."""
+        """Return the queue of that name, or None if it is no longer configured."""
         return next((one for one in self.queues if one.name == name), None)
 
 
 def queue_table(
     version: ConfigurationVersion, queues: tuple[QueueTerms, ...], services: frozenset[ServiceName]
 ) -> QueueTable:
-    """A table that is ready for look-ups."""
+    """Return a table indexed by host."""
     hosts = {queue.host.lower() for queue in queues}
     by_host = {
         host: tuple(
--- a/fireflyfork/decisions/jobs/_report_handling.py
+++ b/fireflyfork/decisions/jobs/_report_handling.py
@@ -1,4 +1,4 @@
-"""What the reports of executors mean for jobs and runs."""
+"""Applies the answers of executors to jobs and runs."""
 
 from __future__ import annotations
 
@@ -20,21 +20,24 @@
 from ._work import Work, job_over
 
 _OF_THE_EXECUTOR = frozenset({CallOutcome.UNHEALTHY, CallOutcome.NO_ROOM})
-"""Refusals that another executor would not give."""
+"""Refusals that are due to the executor, so that another executor may accept the start."""
 _ELSEWHERE_AT_ONCE = frozenset({CallOutcome.NO_TICKET, CallOutcome.OTHER_INCARNATION})
-"""Refusals that the next try can't get for the same reason."""
+"""Refusals whose reason cannot apply to the next attempt."""
 
 
 class Reports:
-    """Takes in answers to orders and polls."""
+    """Handles answers to orders and polls."""
 
     def __init__(self, work: Work, longest_lease_ms: int) -> None:
-        """Change ``work``; no owner grants an executor more than ``longest_lease_ms``."""
+        """Initialize with the service state to change.
+
+        No owner grants an executor a lease of more than `longest_lease_ms`.
+        """
         self._work = work
         self._longest_lease_ms = longest_lease_ms
 
     def start_answered(self, run: Run, answer: OrderAnswer, now: float) -> None:
-        """An executor answered the order to start, or didn't."""
+        """Handle the answer to a start order, or its absence."""
         executor = run.executor
         _note_clock(executor, answer, now)
         if run.key not in executor.runs or run.phase is not RunPhase.STARTING:
@@ -55,15 +58,15 @@
                 self._work.strike(executor, now)
             elif outcome is CallOutcome.NO_TICKET:
                 self._work.tickets.rejected(run.task.step_id, executor.executor)
-            # Where the next try differs in nothing it is as likely to be refused; sent as soon as the
-            # answer came, such orders would go out hundreds of times a second.
+            # An attempt that differs in nothing is just as likely to be refused. Sent as soon as
+            # the answer arrives, such orders would go out hundreds of times a second.
             differs = outcome in _OF_THE_EXECUTOR or outcome in _ELSEWHERE_AT_ONCE
             self._work.gone(run, now, RunOver.REFUSED, at_once=differs)
             if outcome is CallOutcome.OTHER_INCARNATION:
                 self.incarnation_met(executor, answer.incarnation, run.ordered_at, now)
 
     def stop_answered(self, run: Run, answer: OrderAnswer, now: float) -> None:
-        """An executor answered the order to stop, or didn't."""
+        """Handle the answer to a stop order, or its absence."""
         _note_clock(run.executor, answer, now)
         if answer.outcome is CallOutcome.OTHER_INCARNATION:
             self.incarnation_met(run.executor, answer.incarnation, run.stop_sent_at, now)
@@ -71,17 +74,18 @@
             run.barred_at = now
 
     def pace_answered(self, run: Run, answer: OrderAnswer) -> None:
-        """An executor answered the order to change a run's pace, or didn't."""
+        """Handle the answer to a pace order, or its absence."""
         if answer.outcome is not CallOutcome.ACCEPTED:
             run.pace_confirmed = False
 
     def incarnation_met(
         self, executor: ExecutorState, incarnation: int | None, sent_at: float, now: float
     ) -> bool:
-        """A call found another incarnation of an executor; whether it is one that began later.
+        """Handle an incarnation reported by a call. Returns whether the executor has restarted.
 
-        One that was sent while the known life was there meets no life before it, whatever its number says:
-        the clock was set back before it started anew.
+        A call sent when the known incarnation already existed cannot reach an earlier one, even if
+        the incarnation reported is lower. In that case the clock was set back before the executor
+        restarted.
         """
         known = executor.registration.incarnation
         if incarnation is None or incarnation == known or not self._work.is_current(executor):
@@ -92,7 +96,7 @@
         return True
 
     def poll_failed(self, executor: ExecutorState, now: float) -> None:
-        """A poll got no answer."""
+        """Handle a poll without an answer."""
         if not self._work.is_current(executor):
             return
         executor.failed_polls += 1
@@ -107,9 +111,10 @@
         now_ms: int,
         in_time: bool,
     ) -> None:
-        """An executor has listed what it runs and what has ended.
+        """Handle the list of an executor's runs and ends.
 
-        An answer that a later one has overtaken still tells of ends, but no longer of what runs.
+        If a later answer was handled first, only the ends are still taken from this one, not the
+        list of runs.
         """
         if not self._work.is_current(executor):
             return
@@ -119,9 +124,10 @@
         if answer.clock_ms is not None:
             executor.note_clock(answer.clock_ms, now)
         if executor.polled_at is None:
-            # An earlier owner, or we before we dropped this executor, may have renewed its lease just
-            # before. Taken for lapsed, a run that goes on there would be started elsewhere as soon as polls
-            # fail. No grant of before reaches further; later ones of earlier owners are refused.
+            # An earlier owner, or this one before it dropped the executor, may have renewed its
+            # lease just before. If the lease were taken for expired, a run that continues there
+            # would be started elsewhere as soon as polls fail. No earlier grant reaches further
+            # than this one; later grants of earlier owners are refused.
             executor.grant_lease(executor.clock(now) + self._longest_lease_ms)
         overtaken = executor.polled_at is not None and sent_at < executor.polled_at
         executor.failed_polls = 0
@@ -129,7 +135,7 @@
         if not overtaken:
             executor.polled_at = sent_at
             executor.answers_late = not in_time
-        # One that came after a later one would be passed over, and then let go with it.
+        # An end handled after a later one would be skipped, and then forgotten together with it.
         for row in sorted(answer.ended, key=lambda row: row.number):
             if row.number > executor.seen_end:
                 executor.seen_end = row.number
@@ -172,7 +178,8 @@
         self._work.jobs.note_changed(task.job)
 
     def _task(self, name: TaskName) -> Task | None:
-        """The task that an executor lists, or None when it is over or unknown."""
+        """Return the task of that name, opening its occurrence, or None if it is over or
+        unknown."""
         for ready in self._work.jobs.open_begun(name):
             self._work.enqueue(ready)
         return self._work.jobs.task(name)
@@ -196,8 +203,9 @@
         if row.attempt in task.failed_attempts:
             return
         if not task.failed_on:
-            # A task that fails on a second executor too fails by itself. Blaming each executor that
-            # it comes to would put all of them out of use while many jobs come that can't be done.
+            # A task that also fails on a second executor is itself at fault. Counting it against
+            # each executor that it reaches would make all of them unusable while many jobs arrive
+            # that can't succeed.
             self._work.strike(executor, now)
         task.failed_attempts.append(row.attempt)
         task.failed_on.add(executor.executor)
@@ -219,7 +227,7 @@
             if row is not None:
                 self._still_there(run, row, now)
             elif not answer.ends_may_be_cut:
-                # Its end, which may be a good one, may stand behind those that fit on a cut list.
+                # Its end, possibly a successful one, may be beyond the end of a truncated list.
                 self._not_listed(run, sent_at, now)
         for row in listed.values():
             self._found(executor, row, now)
@@ -238,24 +246,31 @@
             save(run.task, row.checkpoint)
 
     def _not_listed(self, run: Run, sent_at: float, now: float) -> None:
-        """It has ended and is forgotten, never came, or came after the list was made."""
+        """Handle a run that is missing from the list.
+
+        It has ended and was forgotten, never began, or began after the list was made.
+        """
         if run.barred_at is not None and run.barred_at <= sent_at:
             self._work.gone(run, now, RunOver.NOT_LISTED)
         elif run.phase is RunPhase.RUNNING and (run.confirmed_at or now) < sent_at:
-            # Nothing explains this but a list that was overtaken. Stopping it bars the attempt, so
-            # that it can't come back beside its successor.
+            # Only a list that arrived out of order explains this. Stopping the run bars its
+            # attempt, so it can't start next to its replacement.
             run.phase = RunPhase.UNSURE
             self._work.stop(run, now)
 
     def _found(self, executor: ExecutorState, row: RunningRow, now: float) -> None:
-        """An earlier owner's run, or an order of ours that was given up and carried out late."""
+        """Add a run that was not known here.
+
+        It is a run of an earlier owner, or an order that was given up and carried out late.
+        """
         task = self._task(row.task)
         if task is None:
             self._stop_stranger(executor, row, now)
             return
         newest = all(row.attempt > other.attempt for other in task.runs)
         run = Run(task, row.attempt, executor, RunPhase.RUNNING, now, confirmed_at=now)
-        # An earlier owner may have slowed it; taken to be at full pace, it would stay slow for good.
+        # An earlier owner may have slowed it down; assumed to run at full pace, it would stay slow
+        # permanently.
         run.pace_confirmed = False
         self._still_there(run, row, now)
         executor.add(run)
@@ -271,7 +286,10 @@
         self._work.jobs.note_started(task.job)
 
     def _stop_stranger(self, executor: ExecutorState, row: RunningRow, now: float) -> None:
-        """Stop a run of a task that is over or unknown; it holds its room until its end is listed."""
+        """Stop a run of a task that is over or unknown.
+
+        It keeps its resources until its end is listed.
+        """
         known = self._work.jobs.step_of(row.task)
         service = executor.registration.service
         spec = known[0] if known else JobSpec(JobId(row.task), QueueName(""), service, "", (), 0)
@@ -284,10 +302,10 @@
 
 
 def _note_clock(executor: ExecutorState, answer: OrderAnswer, now: float) -> None:
-    """Take in the clock of an answer, if it is the clock of the life that is known.
+    """Update the executor's clock from an answer of the known incarnation.
 
-    The clock of a next life begins at 0. Taken to be as far as the last one was, it would void no late
-    order and end no lease.
+    The clock of the next incarnation begins at 0. If it were assumed to have advanced as far as the
+    previous one, no late order would become void and no lease would end.
     """
     if answer.clock_ms is not None and answer.incarnation == executor.registration.incarnation:
         executor.note_clock(answer.clock_ms, now)
--- a/fireflyfork/decisions/jobs/_reports.py
+++ b/fireflyfork/decisions/jobs/_reports.py
@@ -1,4 +1,4 @@
-"""What executors are ordered and what they report, as the scheduler sees it."""
+"""The orders to executors and the reports from them."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
     ACCEPTED = "accepted"
     FENCED = "fenced"
-    """A higher fencing token has been used there: another owner is at work."""
+    """The executor has received a higher fencing token, from another owner."""
     STALE_ATTEMPT = "stale-attempt"
-    """A run with this number or a higher one was stopped or has ended there."""
+    """A run with this or a higher attempt number was stopped or has ended there."""
     PAST_DEADLINE = "past-deadline"
     NO_ROOM = "no-room"
     NO_TICKET = "no-ticket"
     MALFORMED = "malformed"
     UNHEALTHY = "unhealthy"
-    """Nothing was done; the executor does not feel well."""
+    """The order was not carried out, since the executor is in a bad state."""
     OTHER_INCARNATION = "other-incarnation"
-    """The process at that address is not the one that was meant."""
+    """The process at that address is not the incarnation that the order is addressed to."""
     UNKNOWN = "unknown"
-    """No answer: the order may have been carried out, or may be in a few seconds."""
+    """No answer: the order may have been carried out, or may still be in a few seconds."""
 
 
 class EndReason(Enum):
@@ -35,33 +35,33 @@
     FAILED = "failed"
     STOPPED = "stopped"
     LAPSED = "lapsed"
-    """The executor's lease ran out."""
+    """The executor's lease expired."""
     GANG_BROKEN = "gang-broken"
     """Another member of its gang ended."""
     GANG_INCOMPLETE = "gang-incomplete"
-    """The other members of its gang did not come in time."""
+    """The other members of its gang did not start in time."""
 
 
 @dataclass(frozen=True, slots=True)
 class RunningRow:
-    """One run that an executor has."""
+    """A run that an executor lists as running."""
 
     task: TaskName
     attempt: AttemptNumber
     checkpoint: str
     progress_percent: int
-    """Of its work; for a task that lasts, 100 once it is at work."""
+    """Completed share of its work in percent; for a long-running task, 100 once it serves."""
     figure: float
-    """Tail latency in milliseconds of a task that serves; for others the processor use, in
-    thousandths of a core. Rough, over the last half second."""
+    """For a serving task, its tail latency in milliseconds; for other tasks, the CPU use in
+    thousandths of a core. Approximate, over the last half second."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndedRow:
-    """One run that has ended."""
+    """A run that an executor lists as ended."""
 
     number: int
-    """Counts the ends of one incarnation from 1."""
+    """Number of the end; each incarnation counts its ends from 1."""
     task: TaskName
     attempt: AttemptNumber
     reason: EndReason
@@ -70,18 +70,18 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderAnswer:
-    """The answer to a start, stop or pace."""
+    """The answer to a start, stop or pace order."""
 
     outcome: CallOutcome
     clock_ms: int | None
-    """The executor's steady clock, where the answer carried it."""
+    """The executor's steady clock, or None if the answer did not include it."""
     incarnation: int | None = None
     """When the answering process started, in Unix milliseconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class PollAnswer:
-    """What an executor has running and what has ended there."""
+    """The answer to a poll: the executor's runs and ends."""
 
     outcome: CallOutcome
     clock_ms: int | None = None
@@ -89,23 +89,23 @@
     running: tuple[RunningRow, ...] = ()
     ended: tuple[EndedRow, ...] = ()
     ends_may_be_cut: bool = False
-    """Whether more may have ended there than it lists: the list is as long as one can be."""
+    """Whether ends may be missing because the list has reached its maximum length."""
     why: str = ""
-    """For logs: why there is no answer, and over which way it was asked for."""
+    """For logs: why there is no answer, and over which route the executor was polled."""
 
 
 @dataclass(frozen=True, slots=True)
 class PollRequest:
-    """The question what an executor runs, with what it may forget and how long it may go on."""
+    """A poll of an executor's runs, which also renews its lease and lets it forget ends."""
 
     forget_ends_to: int
-    """It lists ends up to this one no more."""
+    """The executor stops listing ends up to this number."""
     lease_until_ms: int | None
-    """Until when what runs there may go on, on its clock; None leaves that as it is."""
+    """The new end of the lease on the executor's clock; None leaves it unchanged."""
     wait_seconds: float
-    """It answers when there is an end to list, or after so long."""
+    """The executor answers when it has an end to list, or after this time."""
     patience_seconds: float
-    """How long its answer may be under way."""
+    """How long the answer may take to arrive."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,6 +116,6 @@
     attempt: AttemptNumber
     payload: str
     deadline_ms: int
-    """On the executor's clock; the order is void after it."""
+    """Time on the executor's clock after which the order is void."""
     checkpoint: str
     ticket: str = ""
--- a/fireflyfork/decisions/jobs/_runs.py
+++ b/fireflyfork/decisions/jobs/_runs.py
@@ -1,4 +1,4 @@
-"""Tasks of jobs that are not over yet, and their runs."""
+"""The jobs that are not over, their tasks and the runs of these tasks."""
 
 from __future__ import annotations
 
@@ -19,40 +19,41 @@
 
 
 LATE_FACTOR = 3.0
-"""A job that takes three times what its objective allows is of no use any more; up to there it is
-late, and of some."""
+"""A job that takes more than this many times what its objective allows is of no use any more; below
+that, a late job is of some use."""
 _NONE_YET = AttemptNumber(0)
 
 
 class RunPhase(Enum):
-    """How far one run of a task is."""
+    """The phase of a run."""
 
     STARTING = "starting"
-    """The order is on its way."""
+    """The start order is on its way."""
     UNSURE = "unsure"
-    """The order got no answer: it may run, or may be carried out later."""
+    """The start order was not answered: the run may exist, or may still begin."""
     RUNNING = "running"
     STOPPING = "stopping"
-    """It holds its room until its end is listed."""
+    """It keeps its resources until its end is listed."""
 
 
 @dataclass(slots=True, eq=False)
 class Run:
-    """One attempt at a task on one executor."""
+    """One attempt to run a task on one executor."""
 
     task: Task
     attempt: AttemptNumber
     executor: ExecutorState
     phase: RunPhase
     ordered_at: float
-    """When its start was sent; for a run that was found there, when it was found."""
+    """When its start was sent; for a run that was found on an executor, when it was found."""
     start_deadline_ms: int = 0
-    """On the executor's clock: its start is void afterwards."""
+    """Time on the executor's clock after which its start is void."""
     confirmed_at: float | None = None
-    """When it was known to be there."""
+    """When its presence on the executor was confirmed; None before."""
     stop_sent_at: float = 0.0
     barred_at: float | None = None
-    """When a stop was acknowledged: from then on the attempt can't begin there any more."""
+    """When a stop was acknowledged, after which the attempt can't begin there any more; None
+    before."""
     checkpoint: str = ""
     listed_at: float = 0.0
     """When its executor last listed it."""
@@ -61,65 +62,67 @@
     """When the progress last changed."""
     pace_percent: int = 100
     lowest_pace: int = 100
-    """The slowest pace that it was ordered to work at."""
+    """The slowest pace that it was ordered to work at, in percent."""
     pace_confirmed: bool = True
-    """False when the executor may have it at another pace: an earlier owner's run, or a lost answer."""
+    """False if the executor may run it at another pace: the run of an earlier owner, or a pace
+    order without an answer."""
     ticket: str = ""
-    """The advisor's leave to run there, where the queue needs one."""
+    """The advisor's permission to run there, if the queue requires one."""
     in_background: bool = False
-    """Its job is of no use any more but has to end: it works slowly, to slow nobody else."""
+    """Whether it runs slowly in the background, to disturb no other task: its job is of no use any
+    more but still has to end."""
     incarnation: int = field(init=False)
-    """The executor's when this was decided or found. Orders wait for their turn, and must not go to a life
-    that began meanwhile."""
+    """The executor's incarnation when the run was decided or found. Orders wait in a queue, and
+    must not go to an incarnation that began in the meantime."""
 
     def __post_init__(self) -> None:
-        """It belongs to the life that is known now."""
+        """Set the incarnation to the one that is known at present."""
         self.incarnation = self.executor.registration.incarnation
 
     @property
     def key(self) -> tuple[TaskName, AttemptNumber]:
-        """What identifies it on its executor."""
+        """What identifies the run on its executor."""
         return self.task.name, self.attempt
 
     @property
     def works(self) -> bool:
-        """Whether it is expected to end by itself."""
+        """Whether the run is expected to end by itself."""
         return self.phase in (RunPhase.STARTING, RunPhase.RUNNING)
 
 
 @dataclass(slots=True, eq=False)
 class Task:
-    """One task that has not ended well yet."""
+    """One task that has not ended successfully yet."""
 
     job: Job
     key: TaskKey
     name: TaskName
     spec: StepSpec
     attempt: AttemptNumber = _NONE_YET
-    """The highest number used."""
+    """The highest attempt number used."""
     failed_attempts: list[int] = field(default_factory=list)
     failed_on: set[ExecutorId] = field(default_factory=set)
     checkpoint: str = ""
     runs: list[Run] = field(default_factory=list)
     moved: bool = False
-    """Whether a slow run of it was copied or stopped; done once, so that a task which is slow by itself
-    is not moved from executor to executor."""
+    """Whether a slow run of it was copied or stopped. This is done only once per task, so that a
+    task which is itself slow is not moved from executor to executor."""
     moved_at: float = float("-inf")
-    """When it was last stopped to serve from a better place."""
+    """When it was last stopped to be moved to a better executor."""
     waits_for: WaitReason = WaitReason.NOTHING
-    """Why it found no place when it was last looked for."""
+    """Why no executor could run it at the last attempt to place it."""
     waiting: bool = False
-    """Whether it stands in the queue of tasks to place."""
+    """Whether it is in the queue of waiting tasks."""
     last_over: RunOver = RunOver.NO_RUN
-    """On which evidence its last run was taken to be over."""
+    """The evidence that its last run was over."""
 
     @property
     def step_id(self) -> StepId:
-        """The step that it belongs to."""
+        """The step that the task belongs to."""
         return self.job.spec.job, self.key.occurrence, self.key.step
 
     def stored(self) -> StoredTask | None:
-        """What is worth storing, or None."""
+        """Return the progress to store, or None if there is none."""
         if not self.attempt:
             return None
         return StoredTask(
@@ -138,47 +141,47 @@
 
     spec: JobSpec
     queue: QueueTerms
-    """The terms of its queue; those at its acceptance once the queue has been dropped."""
+    """The terms of its queue; the last known ones once the queue has been removed."""
     state: JobState = JobState.QUEUED
     final_ms: int = 0
     tasks: dict[TaskKey, Task] = field(default_factory=dict)
-    """Of the occurrences that are due, those that have not ended well."""
+    """The tasks of the due occurrences that have not ended successfully."""
     left: dict[tuple[int, int], int] = field(default_factory=dict)
-    """Of each occurrence and step that are due, how many tasks have not ended well."""
+    """By due occurrence and step: the number of tasks that have not ended successfully."""
     done: set[TaskKey] = field(default_factory=set)
     done_occurrences: int = 0
     recovered: bool = False
     """Whether an earlier owner may have started tasks of it."""
     opened_occurrences: int = 0
-    """So many occurrences have become due."""
+    """The number of occurrences that have become due."""
 
     def allowed_ms(self) -> float:
-        """How long it may take, from its acceptance, to be of full use."""
+        """Return how long the job may take from its acceptance to be of full use."""
         return self.queue.stretch_factor * self.spec.chain_ms() + self.queue.target_latency_ms
 
     def beyond_use(self, now_ms: int) -> bool:
-        """Whether it has taken so long that its end helps nobody any more."""
+        """Whether the job has taken so long that its end is of no use any more."""
         return now_ms > self.spec.accepted_ms + LATE_FACTOR * self.allowed_ms()
 
     def remaining_ms(self) -> int:
-        """The longest chain of estimated work that is left."""
+        """Return the longest chain of estimated work that remains."""
         return self.spec.chain_ms({step for (_, step), left in self.left.items() if left})
 
     def remaining_work(self) -> float:
-        """Core-milliseconds of estimated work that is left."""
+        """Return the remaining estimated work, in milliseconds times thousandths of a core."""
         return sum(
             left * self.spec.steps[step].estimate_ms * self.spec.steps[step].cpu_millis
             for (_, step), left in self.left.items()
         )
 
     def step_ready(self, occurrence: int, step: int) -> bool:
-        """Whether all steps that it comes after have ended well."""
+        """Whether all steps that the step depends on have ended successfully."""
         return all(
             not self.left.get((occurrence, earlier)) for earlier in self.spec.steps[step].after
         )
 
     def stored(self) -> StoredProgress:
-        """The progress to store."""
+        """Return the progress to store."""
         tasks = () if self.state.is_final else self.tasks.values()
         return StoredProgress(
             self.state,
--- a/fireflyfork/decisions/jobs/_scheduler.py
+++ b/fireflyfork/decisions/jobs/_scheduler.py
@@ -1,8 +1,8 @@
-"""What the owner of a service decides: starts, stops, and what each report of an executor means.
+"""The scheduling decisions of the owner of a service: starts, stops, and the handling of reports.
 
-State changes in place: one owner carries some hundred starts a second on a fraction of a core, and
-copying tables for each of them would cost more than the decision. Nothing here reads a clock or does
-I/O: time comes in, and commands go out through ``take_commands``.
+State is changed in place: one owner handles several hundred starts a second on a fraction of a
+core, and copying tables for each start would cost more than the decision itself. Nothing here reads
+a clock or does I/O: times are arguments, and commands are returned by `take_commands`.
 """
 
 from __future__ import annotations
@@ -33,28 +33,30 @@
 from ._work import Work
 
 LAST_START_MARGIN_SECONDS = 1.5
-"""A start lets everything on its executor run for a second of a slow clock, and killing it takes 0.2 s."""
+"""Starts end this long before a successor may start tasks: a start extends the lease of everything
+on its executor by one second of a slow clock, and killing those runs takes 0.2 s."""
 PROOF_SECONDS = 3.0
-"""The watch proves every two seconds or sooner that the ownership has not changed. When that fails to come, the
-store is asked."""
+"""Age of the last proof of ownership at which the store is asked for a new one. The watch proves
+every two seconds or sooner that the ownership has not changed."""
 
 
 @dataclass(frozen=True, slots=True)
 class SchedulerTerms:
-    """What the scheduler is for, and what the platform demands, in seconds."""
+    """The service of a scheduler, and the time limits of the platform in seconds."""
 
     service: ServiceName
     unheard_lease: float
-    """How long an executor that this owner never reached may go on for an earlier one."""
+    """How long an executor that this owner never reached may continue under the lease of an earlier
+    one."""
     longest_lease: float
     """The longest lease that any owner of the service grants an executor."""
 
 
 class Scheduler:
-    """The state of one service, as its owner knows it."""
+    """Makes the decisions of the owner of one service."""
 
     def __init__(self, terms: SchedulerTerms) -> None:
-        """Empty; ``recover`` takes in what an earlier owner left."""
+        """Initialize without jobs or executors; `recover` restores what an earlier owner left."""
         self._terms = terms
         self._work = Work()
         self._reports = Reports(self._work, int(terms.longest_lease * 1000))
@@ -66,36 +68,36 @@
 
     @property
     def jobs(self) -> JobTable:
-        """Jobs that are not over, and what of them has to be stored."""
+        """The jobs that are not over, and the changes to be stored."""
         return self._work.jobs
 
     @property
     def executors(self) -> dict[ExecutorId, ExecutorState]:
-        """The executors that are known."""
+        """The known executors."""
         return self._work.executors
 
     @property
     def waiting_tasks(self) -> int:
-        """Tasks that may start and have no place."""
+        """The number of tasks that may start and have no executor."""
         return len(self._work.waiting)
 
     def take_commands(self) -> list[Command]:
-        """What is to be done, once."""
+        """Return the pending commands and clear them."""
         commands, self._work.commands = self._work.commands, []
         return commands
 
     def take_new_executors(self) -> list[ExecutorState]:
-        """Executors that have become known, once; each is to be polled."""
+        """Return the executors that were added since the last call. Each is to be polled."""
         found, self._work.new_executors = self._work.new_executors, []
         return found
 
     def take_notes(self) -> list[Note]:
-        """What is to be logged, once."""
+        """Return the pending notes for the log and clear them."""
         notes, self._work.notes = self._work.notes, []
         return notes
 
     def configure(self, queues: QueueTable) -> None:
-        """Use another version of the queues."""
+        """Use the queues of another configuration version."""
         self.jobs.configure(queues)
 
     def recover(
@@ -106,15 +108,16 @@
         now: float,
         now_ms: int,
     ) -> None:
-        """Take in what an earlier owner left.
+        """Restore the state that an earlier owner left.
 
-        ``last_known`` are the executors that it had stored as known to it. Registrations lapse while
-        the store is away, and what such an executor runs would otherwise be started again elsewhere.
+        `last_known` are the executors that the earlier owner had stored as known to it.
+        Registrations expire while the store is unavailable, and without this list the runs of such
+        an executor would be started again elsewhere.
 
-        It may have started any of these tasks on any executor just before it went, without having
-        stored that. A start from here while the other one runs would be the second run of a task,
-        so none of them starts until each executor has answered under the new token, or until all
-        that the earlier owner may have let it run has lapsed.
+        The earlier owner may have started any of these tasks on any executor just before it was
+        lost, without having stored that. Starting the task here while the other run continues would
+        run it twice. So none of the tasks starts until each executor has answered under the new
+        token, or until every lease that the earlier owner may have granted has expired.
         """
         for registration in last_known:
             executor = ExecutorState(registration, now, registered=False)
@@ -133,7 +136,7 @@
         self._work.known_executors_changed = True
 
     def learned(self) -> tuple[LearnedFit, ...]:
-        """What has been learned about which images disturb which, for a successor."""
+        """Return what has been learned about which images disturb which, for a successor."""
         return self._work.interference.learned()
 
     def adopt(self, learned: Iterable[LearnedFit]) -> None:
@@ -141,18 +144,18 @@
         self._work.interference.adopt(learned)
 
     def accept(self, spec: JobSpec, now_ms: int) -> None:
-        """Take in a job that was accepted while this owner owned the service."""
+        """Add a job that was accepted while this owner owned the service."""
         for task in self.jobs.accept(spec, None, now_ms):
             self._work.enqueue(task)
 
     def cancel(self, name: JobId, now: float, now_ms: int) -> None:
-        """A caller has cancelled a job."""
+        """Cancel a job at a caller's request."""
         job = self.jobs.get(name)
         if job is not None and not job.state.is_final:
             self._work.finish(job, JobState.CANCELLED, now, now_ms)
 
     def register(self, registration: ExecutorRegistration, now: float) -> None:
-        """An executor has said something about itself."""
+        """Add or update an executor's registration."""
         known = self.executors.get(registration.executor)
         if known is None:
             executor = ExecutorState(registration, now)
@@ -161,9 +164,10 @@
             self._work.known_executors_changed = True
             return
         if registration.incarnation < known.registration.incarnation:
-            # Polls tell of a new life before the store does, and a listing is followed by changes that are
-            # older than it. Taken for its present state, the next word of the present life would look like
-            # one more start, after which nothing of before runs.
+            # Polls report a new incarnation before the store does, and a listing may be followed by
+            # changes that are older than the listing. If such an old registration were taken for
+            # the present state, the next report of the present incarnation would look like another
+            # restart, and its runs would be taken for over.
             return
         known.registered = True
         if registration.address != known.registration.address:
@@ -174,28 +178,29 @@
         known.registration = registration
 
     def unregister(self, executor: ExecutorId, now: float) -> None:
-        """An executor's registration has gone: it has left, or can't reach the store."""
+        """Handle the removal of a registration: the executor left or can't reach the store."""
         known = self.executors.get(executor)
         if known is not None:
             known.registered = False
             self._work.forget_if_over(known, now)
 
     def take_changed_executors(self) -> tuple[ExecutorRegistration, ...] | None:
-        """The executors to store for a successor; None when they haven't changed since last asked."""
+        """Return the executors to store for a successor, or None if unchanged since the last
+        call."""
         if not self._work.known_executors_changed:
             return None
         self._work.known_executors_changed = False
         return tuple(one.registration for one in self.executors.values())
 
     def executors_stored(self, registrations: Iterable[ExecutorRegistration]) -> None:
-        """The store has confirmed the write that holds these; they may get runs."""
+        """Mark these executors as stored; they may get runs."""
         for registration in registrations:
             known = self.executors.get(registration.executor)
             if known is not None:
                 known.stored_address = registration.address
 
     def executors_not_stored(self) -> None:
-        """They could not be stored, or it isn't known whether they were."""
+        """Handle a failed write of the executors, or one whose outcome is unknown."""
         self._work.known_executors_changed = True
 
     @property
@@ -204,25 +209,25 @@
         return self._work.known_executors_changed
 
     def start_answered(self, run: Run, answer: OrderAnswer, now: float) -> None:
-        """An executor answered the order to start, or didn't."""
+        """Handle the answer to a start order, or its absence."""
         self._reports.start_answered(run, answer, now)
 
     def stop_answered(self, run: Run, answer: OrderAnswer, now: float) -> None:
-        """An executor answered the order to stop, or didn't."""
+        """Handle the answer to a stop order, or its absence."""
         self._reports.stop_answered(run, answer, now)
 
     def pace_answered(self, run: Run, answer: OrderAnswer) -> None:
-        """An executor answered the order to change a run's pace, or didn't."""
+        """Handle the answer to a pace order, or its absence."""
         self._reports.pace_answered(run, answer)
 
     def incarnation_met(
         self, executor: ExecutorState, incarnation: int | None, sent_at: float, now: float
     ) -> bool:
-        """A call found another incarnation of an executor; whether it is one that began later."""
+        """Handle an incarnation reported by a call. Returns whether the executor has restarted."""
         return self._reports.incarnation_met(executor, incarnation, sent_at, now)
 
     def poll_failed(self, executor: ExecutorState, now: float) -> None:
-        """A poll got no answer."""
+        """Handle a poll without an answer."""
         self._reports.poll_failed(executor, now)
 
     def poll_answered(
@@ -234,11 +239,11 @@
         now_ms: int,
         in_time: bool = True,
     ) -> None:
-        """An executor has listed what it runs and what has ended."""
+        """Handle the list of an executor's runs and ends."""
         self._reports.poll_answered(executor, sent_at, answer, now, now_ms, in_time)
 
     def note_stored(self) -> None:
-        """Changes have been stored: what rests on them may be forgotten by the executors."""
+        """Let executors forget the ends whose changes have been stored."""
         stored = self.jobs.changes.stored_to
         for executor in self.executors.values():
             while executor.unstored_ends and executor.unstored_ends[0][1] <= stored:
@@ -252,7 +257,7 @@
         now: float,
         now_ms: int,
     ) -> None:
-        """The advisor named the executors that may run a step, for so long; None: no answer."""
+        """Handle the advisor's answer: tickets valid for `seconds`, or None without an answer."""
         if tickets is None:
             self._work.tickets.not_answered(question.step, now)
             return
@@ -266,16 +271,16 @@
 
     @property
     def shed(self) -> Shed:
-        """What is left undone now."""
+        """The work that is skipped at the current load."""
         return self._work.shed
 
     def note_lag(self, lag: float) -> Shed:
-        """The event loop is so many seconds late. Returns what is left undone from now on."""
+        """Set the level of load shedding for a lag of the event loop in seconds, and return it."""
         self._work.shed = shed_at(lag, self._work.shed)
         return self._work.shed
 
     def check_time(self, now: float, now_ms: int) -> None:
-        """Lapsed leases, stops without an answer, runs that stand still, jobs that become due."""
+        """Handle expired leases, stops without an answer, stalled runs and jobs that become due."""
         for executor in tuple(self.executors.values()):
             self._time_checks.check(executor, now)
             self._stragglers.check(executor, now)
@@ -292,36 +297,40 @@
             self._work.tickets.forget_job(over)
 
     def recover_upkeep(self, marks: Iterable[tuple[MachineId, UpkeepMark]], now: float) -> None:
-        """Take in which machines an earlier owner has ordered down; after ``recover``."""
+        """Restore which machines an earlier owner has ordered down; called after `recover`."""
         self._upkeep.recover(marks, now)
 
     def next_upkeep(self, views: Iterable[WaveView], now: float) -> list[tuple[int, MachineId]]:
-        """Wave and machine of each upkeep to order now; executors that come next are emptied."""
+        """Return the wave and machine of each upkeep to order now; cordon those that come next."""
         return self._upkeep.next_orders(views, now)
 
     def note_ownership(self, at: float) -> None:
-        """It is certain that this owner owned the service at that time."""
+        """Record that this owner certainly owned the service at the given time."""
         known = self._work.owned_at
         self._work.owned_at = at if known == float("inf") else max(known, at)
 
     def wants_proof(self, now: float) -> bool:
-        """Whether it should be found out if this owner still owns the service."""
+        """Whether the store should be asked if this owner still owns the service."""
         return now - self._work.owned_at > PROOF_SECONDS or self._work.wants_proof(now)
 
     def place(self, now: float, now_ms: int) -> None:
-        """Send tasks that may start to executors with room; others wait for the next tick."""
+        """Send waiting tasks to executors that can run them; the others wait for the next tick."""
         if self._may_start(now):
             self._placement.place(now, now_ms)
 
     def start_leaves(self, run: Run, now: float) -> bool:
-        """A start's turn to be sent has come. Returns False if it must not be sent any more."""
+        """Prepare a start for sending when its turn has come.
+
+        Returns False if it must not be sent any more.
+        """
         return self._may_start(now) and self._placement.leave(run, now)
 
     def _may_start(self, now: float) -> bool:
-        """Whether anything may start.
+        """Whether this owner may start tasks.
 
-        A successor waits for executors that it can't reach for a fixed time. What this owner starts there must
-        be over by then, or the successor would start it beside that.
+        A successor waits a fixed time for executors that it can't reach. Everything that this owner
+        has started there must be over by then, or the successor would start the same tasks a second
+        time.
         """
         may_start = self._terms.unheard_lease - LAST_START_MARGIN_SECONDS
         return now - self._work.owned_at <= may_start
--- a/fireflyfork/decisions/jobs/_specs.py
+++ b/fireflyfork/decisions/jobs/_specs.py
@@ -1,4 +1,4 @@
-"""What a caller hands in: a job of steps, each of tasks alike."""
+"""The specification of a job as submitted by a caller: steps, each of identical tasks."""
 
 from __future__ import annotations
 
@@ -10,42 +10,43 @@
 
 @dataclass(frozen=True, slots=True)
 class StepSpec:
-    """A number of tasks alike."""
+    """A step: a number of identical tasks."""
 
     count: int
     cpu_millis: int
-    """Thousandths of a core that each task reserves."""
+    """CPU time that each task reserves, in thousandths of a core."""
     memory_mb: int
     accelerators: int
     estimate_ms: int
-    """The caller's guess of a task's run time."""
+    """The caller's estimate of a task's run time, in milliseconds."""
     after: tuple[int, ...] = ()
-    """Earlier steps whose tasks must all have ended well first."""
+    """Earlier steps whose tasks must all have ended successfully first."""
     checkpointing: bool = False
     gang: bool = False
-    """All its tasks work only together."""
+    """Whether its tasks only work together."""
     same_rack: bool = False
     required_label: str = ""
     data_rack: str = ""
-    """Where its data lies; slower anywhere else."""
+    """The rack of its data; its tasks run slower anywhere else."""
     per_executor_limit: int = 0
-    """At most so many of its tasks on one executor; 0: no limit."""
+    """Maximum number of its tasks on one executor; 0 for no limit."""
     speculative: bool = False
-    """Copies of one task may run side by side."""
+    """Whether copies of one task may run side by side."""
     long_running: bool = False
-    """Its tasks run until the job is cancelled and are restarted however they end."""
+    """Whether its tasks run until the job is cancelled; they are restarted however they end."""
     image: str = ""
-    """What its tasks run; tasks of one image behave alike."""
+    """The image that its tasks run; tasks of one image behave alike."""
     tail_target_ms: int = 0
-    """The tail latency that its tasks owe their own users; 0: they serve nobody."""
+    """The tail latency that its tasks owe their own users, in milliseconds; 0 for tasks that serve
+    no users."""
     uses_leftover_cpu: bool = False
-    """Reserves no processor time: its tasks get what the others leave unused."""
+    """Whether its tasks reserve no CPU time and get what the others leave unused."""
     unavailable_budget: int = 0
-    """So many of its tasks may be away at once through the scheduler's doing."""
+    """Maximum number of its tasks that the scheduler may make unavailable at once."""
 
     @property
     def reserved_cpu_millis(self) -> int:
-        """What a task takes from an executor's processor capacity."""
+        """CPU time that a task reserves on an executor, in thousandths of a core."""
         return 0 if self.uses_leftover_cpu else self.cpu_millis
 
 
@@ -57,37 +58,37 @@
     queue: QueueName
     service: ServiceName
     payload: str
-    """Opaque to the scheduler; every start of its tasks carries it."""
+    """Payload sent with every start of its tasks; opaque to the scheduler."""
     steps: tuple[StepSpec, ...]
     accepted_ms: int
-    """When it arrived, Unix milliseconds on the accepting instance's clock."""
+    """When the job arrived, in Unix milliseconds on the accepting instance's clock."""
     repetitions: int = 0
-    """So many times the steps run, each at its due time; 0: once, at once."""
+    """Number of times that the steps run, each at its due time; 0 to run once and immediately."""
     first_due_ms: int = 0
-    """Unix milliseconds of the first due time."""
+    """First due time in Unix milliseconds."""
     interval_ms: int = 0
 
     @property
     def occurrence_count(self) -> int:
-        """How many times the steps run."""
+        """The number of times that the steps run."""
         return self.repetitions or 1
 
     @property
     def task_count(self) -> int:
-        """How many tasks one occurrence has."""
+        """The number of tasks in one occurrence."""
         return sum(step.count for step in self.steps)
 
     @property
     def lasts(self) -> bool:
-        """Whether it runs until it is cancelled."""
+        """Whether the job runs until it is cancelled."""
         return any(step.long_running for step in self.steps)
 
     def due_ms(self, occurrence: int) -> int:
-        """When an occurrence may start, Unix milliseconds."""
+        """Return when an occurrence may start, in Unix milliseconds."""
         return self.first_due_ms + occurrence * self.interval_ms if self.repetitions else 0
 
     def chain_ms(self, among: Container[int] | None = None) -> int:
-        """The longest chain of estimated work, over all steps or over those in ``among``."""
+        """Return the longest chain of estimated work in milliseconds, over all steps or `among`."""
         ends: list[int] = []
         for number, step in enumerate(self.steps):
             begin = max((ends[earlier] for earlier in step.after), default=0)
@@ -98,24 +99,24 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class TaskKey:
-    """Which task of a job."""
+    """Identifies a task within its job."""
 
     occurrence: int
     step: int
     index: int
 
     def name(self, job: JobId) -> TaskName:
-        """The name that executors know it by."""
+        """Return the task's name on executors."""
         return TaskName(f"{job}.{self.occurrence}.{self.step}.{self.index}")
 
 
 def step_name(job: JobId, occurrence: int, step: int) -> str:
-    """The name that an advisor knows a step by."""
+    """Return the step's name in questions to an advisor."""
     return f"{job}.{occurrence}.{step}"
 
 
 def parse_task_name(name: TaskName) -> tuple[JobId, TaskKey] | None:
-    """Job and key of a task's name, or None when it isn't one."""
+    """Return the job and key of a task's name, or None if it is not a task name."""
     parts = name.split(".")
     if len(parts) != 4 or not all(part.isdecimal() for part in parts[1:]):
         return None
--- a/fireflyfork/decisions/jobs/_stored_forms.py
+++ b/fireflyfork/decisions/jobs/_stored_forms.py
@@ -1,4 +1,4 @@
-"""The bytes that are kept in the store: msgpack, checked against the types when read."""
+"""Encoding of stored values: msgpack, checked against the types when decoded."""
 
 from __future__ import annotations
 
@@ -17,61 +17,61 @@
 
 
 class StoredFormatError(FireflyforkError):
-    """Something in the store is not what this version writes."""
+    """A stored value has a format that this version does not write."""
 
 
 def encode_progress(progress: StoredProgress) -> bytes:
-    """The stored form."""
+    """Return the stored form as bytes."""
     return msgspec.msgpack.encode(progress)
 
 
 def decode_progress(data: bytes) -> StoredProgress:
-    """Read the stored form. Raises StoredFormatError."""
+    """Decode the stored form. Raises StoredFormatError."""
     return _decode(data, StoredProgress)
 
 
 def encode_job(job: JobSpec) -> bytes:
-    """The stored form."""
+    """Return the stored form as bytes."""
     return msgspec.msgpack.encode(job)
 
 
 def decode_stored_job(data: bytes) -> JobSpec:
-    """Read the stored form. Raises StoredFormatError."""
+    """Decode the stored form. Raises StoredFormatError."""
     return _decode(data, JobSpec)
 
 
 def encode_registrations(registrations: tuple[ExecutorRegistration, ...]) -> bytes:
-    """The stored form."""
+    """Return the stored form as bytes."""
     return msgspec.msgpack.encode(registrations)
 
 
 def decode_registrations(data: bytes) -> tuple[ExecutorRegistration, ...]:
-    """Read the stored form. Raises StoredFormatError."""
+    """Decode the stored form. Raises StoredFormatError."""
     return _decode(data, tuple[ExecutorRegistration, ...])
 
 
 def encode_learned(learned: tuple[LearnedFit, ...]) -> bytes:
-    """The stored form."""
+    """Return the stored form as bytes."""
     return msgspec.msgpack.encode(learned)
 
 
 def decode_learned(data: bytes) -> tuple[LearnedFit, ...]:
-    """Read the stored form. Raises StoredFormatError."""
+    """Decode the stored form. Raises StoredFormatError."""
     learned = _decode(data, tuple[LearnedFit, ...])
     for fit in learned:
         size = len(fit.names)
         if len(fit.targets) != size or len(fit.products) != size * (size + 1) // 2:
-            raise StoredFormatError(f"what was learned about {fit.serving!r} has holes")
+            raise StoredFormatError(f"the learned fit of {fit.serving!r} has missing values")
     return learned
 
 
 def encode_upkeep_mark(mark: UpkeepMark) -> bytes:
-    """The stored form."""
+    """Return the stored form as bytes."""
     return msgspec.msgpack.encode(mark)
 
 
 def decode_upkeep_mark(data: bytes) -> UpkeepMark:
-    """Read the stored form. Raises StoredFormatError."""
+    """Decode the stored form. Raises StoredFormatError."""
     return _decode(data, UpkeepMark)
 
 
@@ -79,4 +79,4 @@
     try:
         return msgspec.msgpack.decode(data, type=shape)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        raise StoredFormatError(f"can't be read as {shape}: {error}") from error
+        raise StoredFormatError(f"stored value can't be decoded as {shape}: {error}") from error
--- a/fireflyfork/decisions/jobs/_stragglers.py
+++ b/fireflyfork/decisions/jobs/_stragglers.py
@@ -1,4 +1,4 @@
-"""Runs that take much longer than their step should: copied or moved to another executor."""
+"""Finds runs that take much longer than expected, and copies or moves them to another executor."""
 
 from __future__ import annotations
 
@@ -9,29 +9,31 @@
 from ._work import Work
 
 LEAST_SECONDS = 0.35
-"""A run is not judged by a report from before: hundredths of progress and the time that an order takes on
-its way say little about less."""
+"""Minimum run time covered by a report before a run is judged: progress in hundredths and the
+transit time of the order make shorter times meaningless."""
 SLOW_FACTOR = 2.5
-"""What is left must take so many times the whole estimate. Estimates are some 20% off and tasks of a step
-differ by half; slow executors take six times as long."""
+"""A run is slow if its remaining time is more than this multiple of the whole estimate. Estimates
+are about 20% off and tasks of a step differ by half; slow executors take six times as long."""
 SLOW_MARGIN_SECONDS = 0.4
-"""On top: stopping, placing and starting a task anew."""
+"""Additional seconds for stopping, placing and starting a task again."""
 JOBS_TO_BLAME = 2
-"""Runs of one job that are slow may be that job's own fault; those of two on one executor are not."""
+"""Number of jobs with slow runs from which an executor counts as slow. Slow runs of one job may be
+that job's own fault; those of two jobs on one executor are not."""
 
 
 class Stragglers:
-    """Finds them at each tick."""
+    """Finds stragglers at each tick."""
 
     def __init__(self, work: Work) -> None:
-        """Change ``work``."""
+        """Initialize with the service state to change."""
         self._work = work
 
     def check(self, executor: ExecutorState, now: float) -> None:
-        """Copy or move what straggles on one executor.
+        """Copy or move the straggling runs on one executor.
 
-        An executor that is slow answers every poll and fails nothing, so nothing else tells. Tasks that
-        stay there take several times as long, and the callers of their jobs wait for the slowest.
+        An executor that is slow answers every poll and fails no task, so nothing else reveals it.
+        Tasks that stay there take several times as long, and the callers of their jobs wait for the
+        slowest task.
         """
         slow = [run for run in executor.runs.values() if straggles(run, now)]
         if not slow:
@@ -52,9 +54,9 @@
 
 
 def straggles(run: Run, now: float) -> bool:
-    """Whether a run would take much less time from the start elsewhere.
+    """Whether a run would end much sooner if it were restarted elsewhere.
 
-    Only tasks with a reservation are judged: others share what is left, and are paced.
+    Only tasks with a reservation are judged: the others share the leftover CPU, and are paced.
     """
     step = run.task.spec
     if (
@@ -67,13 +69,14 @@
     reported_after = run.listed_at - run.ordered_at
     if reported_after < LEAST_SECONDS or run.progress_percent >= 100:
         return False
-    # Progress is told in whole hundredths, so 0 may be almost one.
+    # Progress is reported in whole hundredths, so 0 may be almost one.
     rate = max(1, run.progress_percent) / 100 / reported_after
     left = (100 - run.progress_percent) / 100 / rate - (now - run.listed_at)
     return left > SLOW_FACTOR * step.estimate_ms / 1000 + SLOW_MARGIN_SECONDS
 
 
 def other_executors(task: Task, executors: Iterable[ExecutorState]) -> list[ExecutorState]:
-    """Those that a copy of a task may go to: where it does not run, and nothing has failed lately."""
+    """Return the executors for a copy of a task: without a run of it, and without recent
+    failures."""
     present = {run.executor.executor for run in task.runs}
     return [one for one in executors if one.executor not in present and not one.strikes]
--- a/fireflyfork/decisions/jobs/_tickets.py
+++ b/fireflyfork/decisions/jobs/_tickets.py
@@ -1,8 +1,8 @@
-"""Which executors a queue's policy lets run a step, as far as its advisor has told.
+"""The tickets with which an advisor permits executors to run steps.
 
-Some queues ask an outside service which executors may run a step, and a start without its ticket is
-refused. Asking takes time for each executor named, so one question names a few, and its answer serves
-all tasks of the step until the tickets run out.
+Some queues ask an external service which executors may run a step, and a start without its ticket
+is refused. Asking takes time for each executor named, so one question names a few executors, and
+its answer serves all tasks of the step until the tickets expire.
 """
 
 from __future__ import annotations
@@ -12,11 +12,14 @@
 from ..._ids import ExecutorId, JobId
 
 MOST_ASKED = 30
-"""Executors in one question; a step rarely needs more, and each costs the advisor time."""
+"""Maximum number of executors in one question. A step rarely needs more, and each costs the advisor
+time."""
 RENEW_MARGIN_SECONDS = 0.3
-"""A ticket that ends sooner may be over before the start that carries it arrives."""
+"""A ticket that expires sooner than this may have expired when the start that carries it
+arrives."""
 ASK_AGAIN_SECONDS = 0.25
-"""After a question without an answer, or with no executor that may run the step."""
+"""Delay before the next question after one without an answer, or with an answer that names no
+executor."""
 
 StepId = tuple[JobId, int, int]
 """Job, occurrence and step."""
@@ -24,33 +27,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Ticket:
-    """Leave to run a step on one executor."""
+    """Permission to run a step on one executor."""
 
     text: str
     until: float
-    """Seconds on the owner's clock."""
+    """When the ticket expires, in seconds on the owner's clock."""
     incarnation: int
-    """It holds for this life of the executor."""
+    """The incarnation of the executor that the ticket is valid for."""
 
 
 @dataclass(slots=True)
 class _StepTickets:
     tickets: dict[ExecutorId, Ticket] = field(default_factory=dict)
     refused: set[ExecutorId] = field(default_factory=set)
-    """May not run the step; that doesn't change."""
+    """Executors that may not run the step; this doesn't change."""
     asked: bool = False
     ask_after: float = 0.0
 
 
 class TicketBook:
-    """The tickets of all steps that need some."""
+    """The tickets of all steps that need them."""
 
     def __init__(self) -> None:
-        """None yet."""
+        """Initialize without tickets."""
         self._steps: dict[StepId, _StepTickets] = {}
 
     def valid(self, step: StepId, executor: ExecutorId, incarnation: int, now: float) -> str | None:
-        """The ticket to start with, or None."""
+        """Return the ticket to start with, or None if there is no valid one."""
         known = self._steps.get(step)
         ticket = known.tickets.get(executor) if known is not None else None
         if ticket is None or ticket.incarnation != incarnation:
@@ -60,7 +63,7 @@
     def to_ask(
         self, step: StepId, candidates: list[ExecutorId], now: float
     ) -> tuple[ExecutorId, ...]:
-        """The executors to ask about now, best first; none while an answer is awaited."""
+        """Return the executors to ask about now, best first. Empty while an answer is pending."""
         known = self._steps.setdefault(step, _StepTickets())
         if known.asked or now < known.ask_after:
             return ()
@@ -75,7 +78,7 @@
         good: dict[ExecutorId, Ticket],
         now: float,
     ) -> None:
-        """The advisor has answered about the executors asked for."""
+        """Handle the advisor's answer about the executors asked for."""
         known = self._steps.setdefault(step, _StepTickets())
         known.asked = False
         known.tickets.update(good)
@@ -84,18 +87,18 @@
             known.ask_after = now + ASK_AGAIN_SECONDS
 
     def not_answered(self, step: StepId, now: float) -> None:
-        """A question got no answer."""
+        """Handle a question without an answer."""
         known = self._steps.setdefault(step, _StepTickets())
         known.asked = False
         known.ask_after = now + ASK_AGAIN_SECONDS
 
     def rejected(self, step: StepId, executor: ExecutorId) -> None:
-        """An executor did not take its ticket."""
+        """Drop a ticket that its executor rejected."""
         known = self._steps.get(step)
         if known is not None:
             known.tickets.pop(executor, None)
 
     def forget_job(self, job: JobId) -> None:
-        """A job is over."""
+        """Forget the tickets of a job that is over."""
         for step in [one for one in self._steps if one[0] == job]:
             del self._steps[step]
--- a/fireflyfork/decisions/jobs/_time_checks.py
+++ b/fireflyfork/decisions/jobs/_time_checks.py
@@ -1,4 +1,4 @@
-"""What time brings: stops without an answer, runs that stand still, executors that leave."""
+"""Periodic checks: stops without an answer, stalled runs, executors that leave."""
 
 from __future__ import annotations
 
@@ -7,30 +7,31 @@
 from ._work import Work
 
 STOP_RETRY_SECONDS = 0.4
-"""A stop that got no answer is sent again: above the slowest round trip of 45 ms by far."""
+"""Delay before a stop without an answer is sent again, far above the slowest round trip of 45
+ms."""
 STALL_SECONDS = 2.5
-"""A run whose progress has not moved for so long stands still. Progress is reported in hundredths of
-runs of one or two seconds, so a run at a tenth of its speed still moves within 0.2 s."""
+"""A run whose progress has not changed for this long is stalled. Progress is reported in hundredths
+of runs of one or two seconds, so a run at a tenth of its speed still progresses within 0.2 s."""
 LISTING_HOLDS_SECONDS = 1.0
-"""For so long after a listing its figures count as present: executors are usually asked again by then. Later on,
-nothing is known of a run but that nobody has asked."""
+"""How long the values of a list of runs count as current: executors are usually polled again by
+then. After that, missing progress only shows that the executor was not polled."""
 FORGIVE_SECONDS = 12.0
-"""Strikes are forgotten after this: nothing is sent to a suspect while others have room, so it would
-never get the chance to end something well."""
+"""Failures of an executor are forgotten after this time. No task is sent to an executor with
+failures while others can run it, so it would never get the chance to end a task successfully."""
 DRAIN_EVICT_SECONDS = 1.2
-"""Tasks that checkpoint are stopped so long after their executor began to leave: it goes on for at
-least 2.5 s, and what ends by itself before needn't move."""
+"""Delay between the start of an executor's drain and the stop of tasks that checkpoint. It
+continues for at least 2.5 s, and tasks that end by themselves before that needn't be moved."""
 
 
 class TimeChecks:
     """Checks executors and their runs at each tick."""
 
     def __init__(self, work: Work) -> None:
-        """Change ``work``."""
+        """Initialize with the service state to change."""
         self._work = work
 
     def check(self, executor: ExecutorState, now: float) -> None:
-        """Do what has become due on one executor."""
+        """Run the checks of one executor."""
         if not executor.answers:
             self._work.forget_if_over(executor, now)
             return
@@ -47,7 +48,10 @@
                 self._work.stop(run, now)
 
     def _evacuate(self, executor: ExecutorState, now: float) -> None:
-        """Stop what would be cut off when the executor exits: at once what lasts, later what saves."""
+        """Stop the runs that would be cut off when the executor exits.
+
+        Long-running tasks are stopped immediately, tasks that checkpoint later.
+        """
         if executor.leaving_since is None:
             executor.leaving_since = now
         soon = now - executor.leaving_since >= DRAIN_EVICT_SECONDS
--- a/fireflyfork/decisions/jobs/_upkeep.py
+++ b/fireflyfork/decisions/jobs/_upkeep.py
@@ -1,4 +1,4 @@
-"""Which machines of a wave are emptied, which go down, and when the wave is over."""
+"""Decides which machines of a wave are cordoned and go down, and when a wave is over."""
 
 from __future__ import annotations
 
@@ -11,39 +11,40 @@
 from ._work import Work
 
 EMPTIED_AHEAD = 1
-"""Machines that are emptied while others are still down: emptying takes as long as the longest task
-there, some two seconds, about as long as an upkeep. More would stand idle."""
+"""Number of machines that are cordoned while others are still down. Waiting for a machine to become
+empty takes as long as its longest task, about two seconds, which is also the duration of an upkeep.
+More machines would be idle."""
 LONGEST_EMPTYING_SECONDS = 8.0
-"""Then tasks that neither last nor save are stopped as well: most end within 5 s, and the wave has to
-end in time."""
+"""How long a cordoned machine waits for tasks that neither are long-running nor checkpoint; then
+they are stopped as well. Most end within 5 s, and the wave has to end in time."""
 
 
 @dataclass(frozen=True, slots=True)
 class WaveView:
-    """What is known of one wave from a listing of the machines and from the store."""
+    """One wave, as known from the list of machines and from the store."""
 
     wave: UpkeepWave
     machines: Mapping[MachineId, MachineListing]
-    """Those that exist."""
+    """The machines that exist."""
     marks: Mapping[MachineId, UpkeepMark]
 
     def begun(self, machine: MachineId) -> bool:
-        """Whether its upkeep has begun, or it has left and needs none."""
+        """Whether the machine's upkeep has begun, or it has left and needs none."""
         return machine not in self.machines or self._phase(machine) is UpkeepPhase.BEGUN
 
     def ordered(self, machine: MachineId) -> bool:
-        """Whether an order is out that may or may not have been carried out."""
+        """Whether an order was sent that may or may not have been carried out."""
         return self._phase(machine) is UpkeepPhase.ORDERED
 
     def over(self) -> bool:
-        """Whether every machine that stays has had its upkeep."""
+        """Whether every remaining machine has had its upkeep."""
         return not self.down() and all(map(self.begun, self.wave.machines))
 
     def down(self) -> set[MachineId]:
-        """The wave's machines that are, or may be, away now.
+        """Return the wave's machines that are, or may be, down now.
 
-        An order without an answer may be carried out seconds later. Not counted as down, its machine
-        would go down beside the most that the operator allows.
+        An order without an answer may be carried out seconds later. If its machine didn't count as
+        down, more machines could go down at once than the operator allows.
         """
         return {
             machine
@@ -53,10 +54,10 @@
         }
 
     def turn_of(self) -> ServiceName | None:
-        """The service whose machines are next.
+        """Return the service whose machines are next, or None.
 
-        Services have different owners, and each would count only its own orders. So the services of a
-        wave take turns in the order of their names.
+        Services have different owners, each of which counts only its own orders. So the services of
+        a wave take turns in the order of their names.
         """
         left = (
             self.machines[machine].service
@@ -71,19 +72,21 @@
 
 
 class Upkeep:
-    """The part of one service in the waves of upkeep."""
+    """Handles the machines of one service in the waves of upkeep."""
 
     def __init__(self, work: Work, service: ServiceName) -> None:
-        """No wave is known."""
+        """Initialize without waves."""
         self._work = work
         self._service = service
         self._emptied: dict[MachineId, tuple[ExecutorId, float]] = {}
-        """Machines that get no new work, and since when."""
+        """Machines that get no new work, with their executor and the time when they were
+        cordoned."""
 
     def recover(self, marks: Iterable[tuple[MachineId, UpkeepMark]], now: float) -> None:
-        """Give no work to machines that an earlier owner has ordered down.
+        """Cordon the machines that an earlier owner has ordered down.
 
-        Its order may still be on its way, and would end what this owner has just started there.
+        Its order may still be on its way, and would end runs that this owner has just started
+        there.
         """
         self._mark(
             {
@@ -99,13 +102,14 @@
         return any(name == executor for name, _ in self._emptied.values())
 
     def next_orders(self, views: Iterable[WaveView], now: float) -> list[tuple[int, MachineId]]:
-        """Wave and machine of each upkeep to order now; empties those that come next."""
+        """Return the wave and machine of each upkeep to order now; cordon those that come next."""
         orders: list[tuple[int, MachineId]] = []
         wanted: dict[MachineId, tuple[ExecutorId, float]] = {}
         due: set[ExecutorId] = set()
         open_views = [view for view in views if not view.over()]
-        # A machine may be in two waves. Ordered down for both at once, the second order would be refused
-        # now and, sent again, would meet the machine just when it is back and at work.
+        # A machine may be in two waves. If it were ordered down for both at once, the second order
+        # would be refused now and, sent again, would take the machine down just when it is back in
+        # use.
         in_hand = {machine for view in open_views for machine in view.down()}
         for view in open_views:
             down = view.down()
@@ -130,7 +134,7 @@
         return orders
 
     def evict(self, now: float) -> None:
-        """Stop what would not end by itself on the executors that are emptied."""
+        """Stop the runs on cordoned executors that would not end by themselves."""
         for executor_id, since in self._emptied.values():
             executor = self._work.executors.get(executor_id)
             if executor is None:
@@ -145,10 +149,11 @@
                     self._work.stop(run, now)
 
     def _unsettled(self, view: WaveView) -> Iterator[tuple[MachineId, ExecutorId | None]]:
-        """Machines of the service whose order may not have been carried out.
+        """Yield the machines of the service whose order may not have been carried out.
 
-        The answer was lost, or the owner that sent it has gone. Only the same order again, under a
-        newer token, settles that. Until then nothing may start there: the order may still come.
+        The answer was lost, or the owner that sent the order is gone. Only repeating the order
+        under a newer token settles that. Until then no task may start there, since the order may
+        still arrive.
         """
         for machine in sorted(view.down()):
             listed = view.machines[machine]
@@ -156,7 +161,7 @@
                 yield machine, listed.executor if listed.state is MachineState.UP else None
 
     def _candidates(self, view: WaveView) -> Iterator[tuple[MachineId, ExecutorId]]:
-        """Machines of the service that wait for their upkeep and are up."""
+        """Yield the machines of the service that are up and wait for their upkeep."""
         for machine in view.wave.machines:
             listed = view.machines.get(machine)
             if listed is None or machine in view.marks or listed.service != self._service:
@@ -167,7 +172,7 @@
     def _emptiest(
         self, candidates: list[tuple[MachineId, ExecutorId]]
     ) -> list[tuple[MachineId, ExecutorId]]:
-        """Those that are being emptied first, then those with the least to lose."""
+        """Sort cordoned machines first, then those with the least long-running work."""
 
         def order(candidate: tuple[MachineId, ExecutorId]) -> tuple[bool, int, str]:
             executor = self._work.executors.get(candidate[1])
@@ -178,7 +183,7 @@
 
     def _is_empty(self, name: ExecutorId) -> bool:
         executor = self._work.executors.get(name)
-        # An executor that this owner has not reached yet may run things of an earlier one's.
+        # An executor that this owner has not reached yet may have runs of an earlier owner.
         if executor is None or name in self._work.unreached:
             return False
         return not executor.runs
@@ -194,20 +199,21 @@
 
 
 def may_be_moved(run: Run) -> bool:
-    """Whether a lasting task may be stopped now as far as its step's budget goes.
+    """Whether the unavailability budget of its step allows a long-running task to be stopped now.
 
-    Its step owes its users that only so many tasks are away at once. A second one stopped before the
-    first is at work again would leave them with fewer than they were promised. A step that names no
-    number has one task moved at a time all the same.
+    The step promises its users that only this many tasks are unavailable at once. A second task
+    stopped before the first one serves again would leave them with fewer. A step without a budget
+    has one task moved at a time all the same.
     """
     task = run.task
-    # Whether this one is at work is known late; others count only once they are known to be.
+    # The report that a task serves arrives late; other tasks count as available only once they are
+    # known to serve.
     away = sum(not is_at_work(other) for other in _others(task))
     return away < max(1, task.spec.unavailable_budget)
 
 
 def is_at_work(task: Task) -> bool:
-    """Whether a lasting task has started up and serves."""
+    """Whether a long-running task has started up and serves."""
     return any(run.phase is RunPhase.RUNNING and run.progress_percent >= 100 for run in task.runs)
 
 
--- a/fireflyfork/decisions/jobs/_upstreams.py
+++ b/fireflyfork/decisions/jobs/_upstreams.py
@@ -1,8 +1,9 @@
-"""From whom an instance hears what the operator has written.
+"""Chooses the instances from which an instance reads the keys that operators write.
 
-Read from the store by every instance, a large configuration fills the link between two regions for seconds, and
-whatever renews leases over it waits. So each failure domain has a head, and only heads near the store follow the
-store. The head of a domain elsewhere follows one of these, and the other instances of a domain follow their head.
+If every instance read a large configuration from the store, the link between two regions would be
+full for seconds, and lease renewals over that link would wait. So each failure domain has a head,
+and only heads near the store follow the store. The head of any other domain follows one of these,
+and the other instances of a domain follow their head.
 """
 
 from __future__ import annotations
@@ -15,14 +16,15 @@
 from ._standing import Standing
 
 UPSTREAMS = 2
-"""A second one serves while the first is gone. Behind it there is the store."""
+"""Number of upstreams: the second one is used while the first is unavailable. After it, the store
+is used."""
 
 
 def choose_upstreams(own: Standing, announced: Iterable[Standing]) -> tuple[Standing, ...]:
-    """The instances that one should follow, the first choice first; none of them: the store.
+    """Return the instances to follow, the first choice first; empty to follow the store.
 
-    Nobody follows an instance of its domain that ranks behind it, so instances that see the same don't follow
-    each other.
+    No instance follows an instance of its own domain that ranks behind it, so instances with the
+    same view don't follow each other.
     """
     others = [one for one in announced if one.node != own.node and one.replica is not None]
     if own.failure_domain is None:
@@ -38,7 +40,7 @@
 
 
 def _heads(announced: Iterable[Standing]) -> Iterable[Standing]:
-    """The heads of failure domains near the store."""
+    """Return the heads of the failure domains near the store."""
     heads: dict[FailureDomainName, Standing] = {}
     for one in announced:
         if one.near_store and one.failure_domain is not None:
@@ -57,5 +59,5 @@
 
 
 def _affinity(domain: FailureDomainName | None, one: Standing) -> int:
-    """Spreads the domains over the heads that they may follow (rendezvous hashing)."""
+    """Return a sort key that spreads the domains over the heads (rendezvous hashing)."""
     return xxhash.xxh32_intdigest(f"{domain} {one.node}".encode())
--- a/fireflyfork/decisions/jobs/_urgency.py
+++ b/fireflyfork/decisions/jobs/_urgency.py
@@ -1,24 +1,25 @@
-"""In which order tasks are placed."""
+"""The order in which waiting tasks are placed."""
 
 from __future__ import annotations
 
 from ._runs import LATE_FACTOR, Task
 
 Urgency = tuple[int, int, int, float, float]
-"""Sorts tasks, the most urgent first: the queue's priority, whether the task lasts, what its job can
-still achieve, how much work is left of it, and when it is due."""
+"""Sort key of tasks, the most urgent first: the queue's priority, whether the task is long-running
+(those come first), whether its job can still meet its objective, the remaining work of the job, and
+the end that its objective allows."""
 
 _ACHIEVABLE, _LATE, _USELESS = range(3)
 
 
 def urgency(task: Task, now_ms: int) -> Urgency:
-    """What sorts a task that waits.
+    """Return the sort key of a waiting task.
 
-    Within a priority, jobs that can't meet their objective any more stand behind those that can; else
-    each job would wait for others that are late already and end late itself. Among those that can, the
-    one with the least work left goes first. When more comes than can be done, that serves the most
-    callers; by the earliest objective first, all are begun and most end too late. Jobs that are beyond use go
-    by age, so that none waits for ever.
+    Within a priority, jobs that can no longer meet their objective come after those that can;
+    otherwise each job would wait for others that are already late and would itself end late. Of the
+    jobs that can meet it, the one with the least remaining work goes first. Under overload that
+    order serves the most callers; with the earliest objective first, all jobs are begun and most
+    end too late. Jobs that are too late to be of use are ordered by age, so none waits forever.
     """
     job = task.job
     priority = job.queue.priority
--- a/fireflyfork/decisions/jobs/_waiting_tasks.py
+++ b/fireflyfork/decisions/jobs/_waiting_tasks.py
@@ -1,7 +1,7 @@
-"""Tasks that wait for a place, step by step.
+"""The tasks that wait for an executor, grouped by step.
 
-Tasks of a step are alike: they are equally urgent, and where one finds no room none does. So they wait
-together, and what a backlog costs grows with its steps, not with its tasks.
+Tasks of a step are alike: they are equally urgent, and if one finds no executor, none does. So they
+wait as a group, and the cost of a backlog grows with its steps, not with its tasks.
 """
 
 from __future__ import annotations
@@ -19,21 +19,24 @@
 
 @dataclass(slots=True, eq=False)
 class WaitingStep:
-    """Tasks of one step that wait, in the order in which they came."""
+    """Waiting tasks of one step, in the order of their arrival."""
 
     key: Hashable
     tasks: deque[Task] = field(default_factory=deque)
     parked: bool = True
-    """Whether it is tried again only at the next tick."""
+    """Whether the step is only retried at the next tick."""
     reason: WaitReason = WaitReason.NOTHING
-    """Why its tasks found no place when they were last looked for."""
+    """Why no executor could run its tasks at the last attempt to place them."""
 
 
 class WaitingTasks:
-    """All that wait, the most urgent step first."""
+    """All waiting tasks, the most urgent step first."""
 
     def __init__(self, goes_alone: Callable[[Task], bool]) -> None:
-        """Nothing waits. A task that ``goes_alone`` is placed apart from the others of its step."""
+        """Initialize without tasks.
+
+        Tasks for which `is_separate` returns True are queued apart from the others of their step.
+        """
         self._goes_alone = goes_alone
         self._steps: dict[Hashable, WaitingStep] = {}
         self._order: list[tuple[Urgency, int, WaitingStep]] = []
@@ -41,15 +44,15 @@
         self._numbers = count()
 
     def __len__(self) -> int:
-        """How many tasks wait."""
+        """Return the number of waiting tasks."""
         return sum(len(one.tasks) for one in self._steps.values()) + len(self._deferred)
 
     def __iter__(self) -> Iterator[Task]:
-        """All of them, in no order."""
+        """Iterate over the waiting tasks in no particular order."""
         return chain(*(one.tasks for one in self._steps.values()), self._deferred)
 
     def push(self, task: Task, now_ms: int) -> None:
-        """A task waits, and may be placed at once."""
+        """Add a task that may be placed immediately."""
         key = self._key(task)
         step = self._steps.get(key)
         if step is None:
@@ -59,19 +62,22 @@
             self._line_up(step, now_ms)
 
     def defer(self, task: Task) -> None:
-        """A task waits for the next tick."""
+        """Add a task that waits for the next tick."""
         self._deferred.append(task)
 
     def pop(self) -> WaitingStep | None:
-        """Take the most urgent step that isn't parked; ``park`` or ``drop`` comes next. None: all are."""
+        """Return the most urgent step that isn't parked, or None.
+
+        The caller must pass the step to `park` or `drop`.
+        """
         return heapq.heappop(self._order)[-1] if self._order else None
 
     def drop(self, step: WaitingStep) -> None:
-        """None of its tasks waits any more."""
+        """Remove a step that has no waiting tasks any more."""
         del self._steps[step.key]
 
     def park(self, step: WaitingStep, reason: WaitReason) -> None:
-        """Its tasks found no place: it is tried again at the next tick, or when another one comes."""
+        """Park a step without an executor until the next tick or the arrival of another task."""
         step.parked = True
         if step.reason is not reason:
             step.reason = reason
@@ -79,7 +85,7 @@
                 task.waits_for = reason
 
     def retry(self, now_ms: int) -> None:
-        """Everything that waits may be placed again."""
+        """Allow all waiting tasks to be placed again."""
         deferred, self._deferred = self._deferred, []
         for task in deferred:
             self.push(task, now_ms)
@@ -95,6 +101,7 @@
     def _key(self, task: Task) -> Hashable:
         if self._goes_alone(task):
             return task.step_id, task.key
-        # Room is kept from tasks that last and never ran, but not from those that have to come back.
+        # Resources are kept free from long-running tasks that never ran, but not from restarted
+        # ones.
         ran_before = task.spec.long_running and task.attempt > 0
         return task.step_id, ran_before
--- a/fireflyfork/decisions/jobs/_waves.py
+++ b/fireflyfork/decisions/jobs/_waves.py
@@ -1,4 +1,4 @@
-"""Waves of upkeep that operators ask for, and the machines that they concern."""
+"""The waves of upkeep that operators request, and their machines."""
 
 from __future__ import annotations
 
@@ -15,59 +15,60 @@
     number: int
     machines: tuple[MachineId, ...]
     most_at_once: int
-    """At most so many of them may be down for it at one time."""
+    """Maximum number of them that may be down for upkeep at the same time."""
 
 
 class MachineState(Enum):
-    """What the platform says of a machine."""
+    """The state of a machine as reported by the platform."""
 
     UP = "up"
     MOVING = "moving"
-    """On its way to another service."""
+    """The machine is being moved to another service."""
     UPKEEP = "upkeep"
     DOWN = "down"
 
 
 @dataclass(frozen=True, slots=True)
 class MachineListing:
-    """One machine as the platform lists it."""
+    """One machine as listed by the platform."""
 
     machine: MachineId
     service: ServiceName
     state: MachineState
     executor: ExecutorId | None
-    """Its present life, where it has one."""
+    """The executor's present id, or None if there is none."""
 
 
 class UpkeepPhase(Enum):
-    """How far a machine's upkeep in one wave is."""
+    """The phase of a machine's upkeep in one wave."""
 
     ORDERED = "ordered"
-    """The order may have been sent: it counts as down until it is known to have begun."""
+    """The order may have been sent: the machine counts as down until its upkeep is known to have
+    begun."""
     BEGUN = "begun"
     """The platform has accepted the order."""
 
 
 @dataclass(frozen=True, slots=True)
 class UpkeepMark:
-    """What is stored of a machine's upkeep in one wave."""
+    """The stored state of a machine's upkeep in one wave."""
 
     phase: UpkeepPhase
     executor: ExecutorId | None
-    """Its life that the order was to end."""
+    """The executor id that the order was to end."""
 
 
 class UpkeepOutcome(Enum):
     """How the platform answered the order to begin a machine's upkeep."""
 
     ACCEPTED = "accepted"
-    """It begins now, or had begun in this wave before."""
+    """The upkeep begins now, or had already begun in this wave."""
     FENCED = "fenced"
-    """An order with a higher fencing token has been seen for this machine."""
+    """The machine has received an order with a higher fencing token."""
     BUSY = "busy"
     """The machine is not up, or is leaving."""
     OTHER_WAVE = "other-wave"
-    """The machine is not one of the wave's."""
+    """The machine is not part of the wave."""
     UNKNOWN_MACHINE = "unknown-machine"
     UNKNOWN = "unknown"
-    """No answer: it may have begun, or may begin in a few seconds."""
+    """No answer: the upkeep may have begun, or may still begin in a few seconds."""
