--- a/fireflyfork/decisions/jobs/_work.py
+++ b/fireflyfork/decisions/jobs/_work.py
@@ -1,4 +1,4 @@
-"""What is being worked on: jobs, executors, runs, and the tasks that wait for a place."""
+"""The state of one service: its jobs, executors and runs, and the waiting tasks."""
 
 from __future__ import annotations
 
@@ -19,55 +19,61 @@
 from ._waiting_tasks import WaitingTasks
 
 STRIKES_TO_AVOID = 2
-"""One failure in fifty is a task's own; two in a row on one executor are its own once in 2,500."""
+"""Consecutive failures after which an executor is avoided for a while. About one failure in fifty
+is the task's own fault, so two in a row on one executor are both the tasks' fault only once in
+2,500 cases."""
 AVOID_SECONDS = 1.0
 LONGEST_AVOID_SECONDS = 8.0
-"""An avoided executor is tried again after 1 s, then 2 s and so on: troubled ones recover within
-seconds, and each try costs at most one task's attempt."""
+"""An avoided executor is retried after 1 s, then 2 s, and so on up to this limit. Executors in
+trouble usually recover within seconds, and each retry costs at most one attempt of one task."""
 
 
 class Work:
-    """The state of one service and its elementary changes, each of which keeps it consistent."""
+    """The state of one service and its transitions, each of which keeps the state consistent."""
 
     def __init__(self) -> None:
-        """Nothing to do."""
+        """Initialize an empty state."""
         self.jobs = JobTable()
         self.executors: dict[ExecutorId, ExecutorState] = {}
         self.new_executors: list[ExecutorState] = []
-        """Those that nobody polls yet."""
+        """Executors that have been registered but are not polled yet."""
         self.known_executors_changed = False
-        """Whether the executors to store for a successor have changed."""
+        """Whether the list of executors that is stored for a successor has changed."""
         self.interference = InterferenceModel()
         self.tickets = TicketBook()
         self.promises = PromiseBook()
         self.commands: list[Command] = []
         self.notes: list[Note] = []
         self.waiting = WaitingTasks(lambda task: self.promises.destination(task) is not None)
-        """Tasks that wait for a place."""
+        """Tasks that wait for an executor."""
         self.copies: list[Task] = []
-        """Tasks that a second run may be started of beside the first."""
+        """Tasks of which a second, speculative run may be started next to the first."""
         self.unreached: dict[ExecutorId, float] = {}
-        """Executors that an earlier owner used and that haven't answered yet, each with the time when
-        all that it may run for that owner is over."""
+        """Executors that an earlier owner used and that have not answered yet, each with the time
+        at which every lease that the earlier owner may have granted it has expired."""
         self.held: list[Task] = []
-        """Tasks that may run on one of those."""
+        """Tasks that may already be running on one of the unreached executors."""
         self.shed = Shed.NOTHING
-        """What is left undone now."""
+        """The work that is skipped at the current load."""
         self.owned_at = float("inf")
-        """When it was last certain that this owner owned the service; infinite where nobody succeeds it."""
+        """The latest time at which this owner is known to have owned the service; infinite if no
+        successor is possible."""
 
     def add_executor(self, executor: ExecutorState) -> None:
-        """An executor has become known."""
+        """Add an executor, to be polled from now on."""
         self.executors[executor.executor] = executor
         self.new_executors.append(executor)
 
     @staticmethod
     def wants_run(task: Task) -> bool:
-        """Whether a task, or its gang, should run and doesn't."""
+        """Whether a task or its gang still has to run and has no run at present."""
         return not task.job.state.is_final and task.key in task.job.tasks and is_free(task)
 
     def enqueue(self, task: Task, at_once: bool = True) -> None:
-        """A task may start; it waits for its place."""
+        """Queue a task that may start.
+
+        With `at_once` it can be placed immediately, otherwise at the next tick.
+        """
         if task.spec.gang:
             task = members(task)[0] if task.key in task.job.tasks else task
         if task.waiting or not self.wants_run(task):
@@ -82,26 +88,30 @@
             self.waiting.defer(task)
 
     def stop(self, run: Run, now: float) -> None:
-        """Have a run stopped; it holds its room until that has shown."""
+        """Request that a run be stopped. It keeps its resources until its end is confirmed."""
         if run.phase is not RunPhase.UNSURE:
             run.phase = RunPhase.STOPPING
         run.stop_sent_at = now
         self.commands.append(StopRun(run))
 
     def gone(self, run: Run, now: float, why: RunOver, at_once: bool = True) -> None:
-        """A run is certainly over, or never was; its task may start again, at once or with the tick."""
+        """Remove a run that has certainly ended or never began, and queue its task again.
+
+        With `at_once` the task can be placed immediately, otherwise at the next tick.
+        """
         run.executor.remove(run)
         task = run.task
         task.last_over = why
         if run in task.runs:
             task.runs.remove(run)
         if task.spec.gang and task.key in task.job.tasks:
-            # The others would hold their room and wait for a member that doesn't come back.
+            # The other members would hold resources while they wait for a member that does not
+            # return.
             self.break_up(task, now)
         self.enqueue(task, at_once)
 
     def break_up(self, task: Task, now: float) -> None:
-        """Stop the members of a gang that run while others don't."""
+        """Stop the running members of a gang unless all of its members run."""
         gang = members(task)
         if all(member.runs for member in gang):
             return
@@ -109,7 +119,7 @@
             self.stop(run, now)
 
     def finish(self, job: Job, state: JobState, now: float, now_ms: int) -> None:
-        """Make a job's state final and stop what it runs."""
+        """Make a job's state final and stop its runs."""
         self.jobs.finish(job, state, now_ms)
         self.notes.append(job_over(job, now_ms))
         for task in job.tasks.values():
@@ -118,7 +128,7 @@
                     self.stop(run, now)
 
     def strike(self, executor: ExecutorState, now: float) -> None:
-        """An executor failed something; after several times it is avoided for a while."""
+        """Record a failure of an executor; after several in a row it is avoided for a while."""
         executor.strikes += 1
         executor.struck_at = now
         if executor.strikes >= STRIKES_TO_AVOID:
@@ -126,21 +136,23 @@
             executor.avoided_until = now + min(pause, LONGEST_AVOID_SECONDS)
 
     def is_current(self, executor: ExecutorState) -> bool:
-        """Whether this state still stands for its executor.
+        """Whether this is the current state of its executor.
 
-        An executor that was given up may come back under the same id while a poll of it is out. What
-        the poll tells then concerns its new life, which another state stands for: taken for the old
-        one, it would make the new one and its runs vanish, and their jobs would never end.
+        An executor that was given up may register again under the same id while a poll of its
+        previous incarnation is pending. The answer then concerns the new incarnation, which has its
+        own state. Applying it to the old state would drop the new state and its runs, and their
+        jobs would never end.
         """
         return self.executors.get(executor.executor) is executor
 
     def reborn(
         self, executor: ExecutorState, registration: ExecutorRegistration, now: float
     ) -> None:
-        """The executor started anew: what ran in its earlier life is over.
+        """Handle the restart of an executor: the runs of its previous incarnation are over.
 
-        So is what was on its way there: calls come to the incarnation that they are meant for, or to none.
-        Waiting for a word of the new life instead would hold tasks back for ever, should it vanish first.
+        Orders still on their way to it are over too, since an order is carried out only by the
+        incarnation that it is addressed to. Waiting for an answer of the new incarnation instead
+        would block tasks forever if it vanished first.
         """
         self._note_given_up(executor, RunOver.NEW_INCARNATION)
         runs = tuple(executor.runs.values())
@@ -149,10 +161,11 @@
             self.gone(run, now, RunOver.NEW_INCARNATION)
 
     def forget_if_over(self, executor: ExecutorState, now: float) -> None:
-        """What ran on an executor that doesn't answer is over once its lease has lapsed.
+        """Drop the runs of an executor that does not answer, once its lease has expired.
 
-        It must have lapsed while this owner certainly owned the service. A successor may reach an executor
-        that this owner doesn't, and renew its lease; a task that runs on there would run twice.
+        The lease must have expired at a time when this owner certainly owned the service. A
+        successor may reach an executor that this owner cannot reach, and renew its lease; a task
+        that still runs there would then run twice.
         """
         reached = executor.polled_at is not None
         if reached and not executor.answers and executor.lease_has_lapsed(self._sure_until(now)):
@@ -166,12 +179,14 @@
             self.known_executors_changed = True
 
     def reached(self, executor: ExecutorId, now: float) -> None:
-        """An executor has listed what it runs."""
+        """Note that an executor has listed all of its runs; release held tasks if it was the
+        last."""
         if self.unreached.pop(executor, None) is not None:
             self.release_held(now)
 
     def wants_proof(self, now: float) -> bool:
-        """Whether something would be over by now, were it certain that this owner still owns."""
+        """Whether a run could be declared over now if this owner certainly still owned the
+        service."""
         sure = self._sure_until(now)
         if any(sure < until <= now for until in self.unreached.values()):
             return True
@@ -185,9 +200,10 @@
         return min(now, self.owned_at)
 
     def give_up_unreached(self, now: float) -> None:
-        """Executors that never answered run nothing of an earlier owner's any more.
+        """Give up executors that have not answered before the leases of an earlier owner expired.
 
-        A successor may have reached them meanwhile; that none had when the time was up must be certain.
+        A successor may have reached them in the meantime, so this owner must have owned the service
+        for certain when the leases expired.
         """
         given_up = [
             one
@@ -198,15 +214,15 @@
             del self.unreached[executor]
             self._note_given_up(self.executors[executor], RunOver.LEASE_LAPSED)
         if given_up:
-            # What ran there used attempt numbers that nobody knows.
+            # Runs there may have used attempt numbers that this owner has not seen.
             for task in self.held:
                 task.attempt = AttemptNumber(task.attempt + 1)
             self.release_held(now)
 
     def _has_ends_to_list(self, name: ExecutorId, now: float) -> bool:
-        """Whether an executor listed only some of its ends, and its lease goes on by our polls.
+        """Whether ends are missing from an executor's list and its lease is still renewed by polls.
 
-        What stands further down its list may be the good end of a task that is held.
+        The rest of the list may hold the successful end of a held task.
         """
         executor = self.executors.get(name)
         if executor is None or executor.polled_at is None:
@@ -218,18 +234,18 @@
         self.notes.append(ExecutorGivenUp(executor.executor, incarnation, len(executor.runs), why))
 
     def release_held(self, now: float) -> None:
-        """Let tasks go that waited for executors, once none is left to wait for."""
+        """Queue the tasks that waited for unreached executors, once all of those are settled."""
         if self.unreached:
             return
         held, self.held = self.held, []
         for task in held:
             if task.spec.gang and not is_free(task):
-                # The earlier owner went while it started the gang.
+                # The earlier owner was lost while it was starting the gang.
                 self.break_up(task, now)
             self.waiting.push(task, task.job.spec.accepted_ms)
 
 
 def job_over(job: Job, now_ms: int) -> JobOver:
-    """The note that a job's state is final."""
+    """Return the note that a job's state has become final."""
     age = now_ms - job.spec.accepted_ms
     return JobOver(job.spec.job, job.state, age, int(job.allowed_ms()))
