--- a/fireflyfork/decisions/jobs/_arrangement.py
+++ b/fireflyfork/decisions/jobs/_arrangement.py
@@ -262,8 +262,7 @@
 
 
 def spare_headroom(executors: Iterable[ExecutorState]) -> float:
-    """Return the headroom that disturbing work may take of a service, averaged over recent
-    loads."""
+    """Return the headroom that disturbing work may take of a service, averaged over all."""
     lows = [min(one.lasting_headroom.values()) for one in executors if one.lasting_headroom]
     mean = sum(lows) / len(lows) if lows else WANTED_HEADROOM
     return max(LEAST_SPARE_HEADROOM, mean - WANTED_HEADROOM)
--- a/fireflyfork/decisions/jobs/_job_table.py
+++ b/fireflyfork/decisions/jobs/_job_table.py
@@ -23,8 +23,7 @@
 
 
 def terms_without_queue(spec: JobSpec) -> QueueTerms:
-    """Return terms for a job whose queue is no longer configured: accepted jobs are still
-    finished."""
+    """Return terms for a job whose queue is no longer configured, so that the job is finished."""
     return QueueTerms(spec.queue, "", "", spec.service, 9, 3, 2.0, 1000, 0)
 
 
--- a/fireflyfork/decisions/jobs/_placing.py
+++ b/fireflyfork/decisions/jobs/_placing.py
@@ -96,8 +96,7 @@
 
 
 def price(task: Task, executor: ExecutorState, model: InterferenceModel) -> Price | None:
-    """Return the cost of any task of the same shape on an executor, or None if it can't run
-    there."""
+    """Return the cost of any task of the same shape, or None if it can't run on the executor."""
     step = task.spec
     if not executor.fits(step.reserved_cpu_millis, step.memory_mb, step.accelerators):
         return None
--- a/fireflyfork/decisions/jobs/_report_handling.py
+++ b/fireflyfork/decisions/jobs/_report_handling.py
@@ -178,8 +178,7 @@
         self._work.jobs.note_changed(task.job)
 
     def _task(self, name: TaskName) -> Task | None:
-        """Return the task of that name, opening its occurrence, or None if it is over or
-        unknown."""
+        """Return the task of that name, or None. Opens its occurrence."""
         for ready in self._work.jobs.open_begun(name):
             self._work.enqueue(ready)
         return self._work.jobs.task(name)
--- a/fireflyfork/decisions/jobs/_scheduler.py
+++ b/fireflyfork/decisions/jobs/_scheduler.py
@@ -185,8 +185,7 @@
             self._work.forget_if_over(known, now)
 
     def take_changed_executors(self) -> tuple[ExecutorRegistration, ...] | None:
-        """Return the executors to store for a successor, or None if unchanged since the last
-        call."""
+        """Return the executors to store for a successor, or None if they haven't changed."""
         if not self._work.known_executors_changed:
             return None
         self._work.known_executors_changed = False
--- a/fireflyfork/decisions/jobs/_stragglers.py
+++ b/fireflyfork/decisions/jobs/_stragglers.py
@@ -76,7 +76,6 @@
 
 
 def other_executors(task: Task, executors: Iterable[ExecutorState]) -> list[ExecutorState]:
-    """Return the executors for a copy of a task: without a run of it, and without recent
-    failures."""
+    """Return the executors without a run of the task and without recent failures."""
     present = {run.executor.executor for run in task.runs}
     return [one for one in executors if one.executor not in present and not one.strikes]
--- a/fireflyfork/decisions/jobs/_work.py
+++ b/fireflyfork/decisions/jobs/_work.py
@@ -179,14 +179,15 @@
             self.known_executors_changed = True
 
     def reached(self, executor: ExecutorId, now: float) -> None:
-        """Note that an executor has listed all of its runs; release held tasks if it was the
-        last."""
+        """Note that an executor has listed all of its runs.
+
+        If it was the last unreached executor, the held tasks are queued.
+        """
         if self.unreached.pop(executor, None) is not None:
             self.release_held(now)
 
     def wants_proof(self, now: float) -> bool:
-        """Whether a run could be declared over now if this owner certainly still owned the
-        service."""
+        """Whether a run could be declared over now, given a proof of ownership."""
         sure = self._sure_until(now)
         if any(sure < until <= now for until in self.unreached.values()):
             return True
--- a/fireflyfork/decisions/jobs/tests/__init__.py
+++ b/fireflyfork/decisions/jobs/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what the owner of a service decides."""
+"""Tests of the scheduling decisions of the owner of a service."""
--- a/fireflyfork/decisions/jobs/tests/builders_jobs.py
+++ b/fireflyfork/decisions/jobs/tests/builders_jobs.py
@@ -1,4 +1,5 @@
-"""Jobs, executors and polls for tests, and an owner that answers itself."""
+"""Builders of jobs, executors and polls for tests, and a scheduler whose orders the test
+answers."""
 
 from __future__ import annotations
 
@@ -41,37 +42,37 @@
 
 SERVICE = ServiceName("desk")
 LEASE_MS = 5_000
-"""The longest lease that any owner grants."""
+"""The longest lease that any owner grants, in milliseconds."""
 TERMS = SchedulerTerms(SERVICE, unheard_lease=8.0, longest_lease=LEASE_MS / 1000)
 START = 1000.0
-"""Seconds on the owner's clock when tests begin."""
+"""Time on the owner's clock at the start of a test, in seconds."""
 START_MS = 1_700_000_000_000
 
 
 def queue(**changes: object) -> QueueTerms:
-    """A queue whose jobs may fail twice."""
+    """Return a queue whose tasks have two attempts."""
     terms = QueueTerms(QueueName("q"), "h", "/q/", SERVICE, 0, 2, 2.0, 1000, 3000)
     return replace(terms, **changes)  # type: ignore[arg-type]
 
 
 def table(*queues: QueueTerms) -> QueueTable:
-    """A configuration of these queues."""
+    """Return a configuration of these queues."""
     return queue_table(ConfigurationVersion(1), queues or (queue(),), frozenset({SERVICE}))
 
 
 def step(**changes: object) -> StepSpec:
-    """One task of one core."""
+    """Return a step of one task with one core."""
     return replace(StepSpec(1, 1000, 1000, 0, 1000), **changes)  # type: ignore[arg-type]
 
 
 def job(name: str = "00000000000000aa", *steps: StepSpec, **changes: object) -> JobSpec:
-    """A job of these steps, or of one task."""
+    """Return a job of these steps, or of one task."""
     spec = JobSpec(JobId(name), QueueName("q"), SERVICE, "work", steps or (step(),), START_MS)
     return replace(spec, **changes)  # type: ignore[arg-type]
 
 
 def registration(name: str = "i-0", **changes: object) -> ExecutorRegistration:
-    """An executor of sixteen cores."""
+    """Return the registration of an executor with sixteen cores."""
     made = ExecutorRegistration(
         ExecutorId(name),
         SERVICE,
@@ -87,20 +88,20 @@
 
 
 def learned(serving: str, effect: float) -> LearnedFit:
-    """What an earlier owner knew: ``noisy`` takes so much headroom beside this service."""
+    """Return what an earlier owner learned: the effect of `noisy` on this service."""
     weight = 1000.0
     products = (weight, 0.0, weight)
     return LearnedFit(serving, ("\x00", "noisy"), products, (2.4 * weight, -effect * weight))
 
 
 class OwnerUnderTest:
-    """A scheduler whose orders are answered as the test says, at a time that the test moves."""
+    """A scheduler whose orders are answered by the test, on a clock that the test advances."""
 
     def __init__(self, *executors: str, polled: bool = True) -> None:
-        """``polled``: all executors have answered a first poll."""
+        """Register the executors; with `polled` each answers a first poll."""
         self.now = START
         self.store_answers = True
-        """Whether writes are confirmed, at once."""
+        """Whether writes are confirmed, which happens immediately."""
         self.scheduler = Scheduler(TERMS)
         self.scheduler.configure(table())
         self.ends: dict[str, list[EndedRow]] = {}
@@ -112,24 +113,24 @@
                 self.poll(name)
 
     def executor(self, name: str = "i-0") -> ExecutorState:
-        """The state of an executor."""
+        """Return the state of an executor."""
         return self.scheduler.executors[ExecutorId(name)]
 
     def place(self) -> list[Run]:
-        """Place what may start, let all starts be accepted, and return them."""
+        """Place the tasks that may start, accept all starts and return the runs."""
         runs = self.send()
         for run in runs:
             self.answer_start(run)
         return runs
 
     def send(self) -> list[Run]:
-        """Place what may start; no start is answered."""
+        """Place the tasks that may start and return their runs; no start is answered."""
         self.store()
         self.scheduler.place(self.now, START_MS + self.clock())
         return [one.run for one in self.scheduler.take_commands() if isinstance(one, StartRun)]
 
     def store(self) -> None:
-        """The executors that are known are stored, if the store answers."""
+        """Store the known executors, if the store answers."""
         executors = self.scheduler.take_changed_executors()
         if executors is None:
             return
@@ -139,25 +140,25 @@
             self.scheduler.executors_not_stored()
 
     def stops(self) -> list[Run]:
-        """The runs that are to be stopped."""
+        """Return the runs that are to be stopped."""
         return [one.run for one in self.scheduler.take_commands() if isinstance(one, StopRun)]
 
     def paces(self) -> list[tuple[TaskName, int]]:
-        """The tasks that are to work at another pace, in percent."""
+        """Return the tasks with a new pace, in percent."""
         commands = self.scheduler.take_commands()
         return [(one.run.task.name, one.percent) for one in commands if isinstance(one, PaceRun)]
 
     def answer_start(self, run: Run, outcome: CallOutcome = CallOutcome.ACCEPTED) -> None:
-        """An executor answers a start."""
+        """Answer a start order."""
         clock = None if outcome is CallOutcome.UNKNOWN else self.clock()
         self.scheduler.start_answered(run, OrderAnswer(outcome, clock), self.now)
 
     def answer_stop(self, run: Run, outcome: CallOutcome = CallOutcome.ACCEPTED) -> None:
-        """An executor answers a stop."""
+        """Answer a stop order."""
         self.scheduler.stop_answered(run, OrderAnswer(outcome, self.clock()), self.now)
 
     def clock(self) -> int:
-        """The clock of every executor."""
+        """Return the clock of every executor, in milliseconds."""
         return int((self.now - START) * 1000) + 10
 
     def poll(
@@ -168,7 +169,7 @@
         sent_at: float | None = None,
         ends_may_be_cut: bool = False,
     ) -> None:
-        """An executor lists these runs, and the ends noted by ``end``."""
+        """Answer a poll with these runs and the ends recorded by `end`."""
         self.store()
         answer = PollAnswer(
             CallOutcome.ACCEPTED,
@@ -186,16 +187,16 @@
     def end(
         self, name: str, task: TaskName, attempt: int, reason: EndReason, saved: str = ""
     ) -> None:
-        """A run ends; the next polls list it."""
+        """Record the end of a run, which the next polls list."""
         rows = self.ends.setdefault(name, [])
         rows.append(EndedRow(len(rows) + 1, task, AttemptNumber(attempt), reason, saved))
 
     def tick(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock and run the periodic checks."""
         self.now += seconds
         self.scheduler.check_time(self.now, START_MS + self.clock())
 
 
 def row(run: Run, percent: int = 10, figure: float = 0.0, checkpoint: str = "") -> RunningRow:
-    """How an executor lists a run."""
+    """Return the row by which an executor lists a run."""
     return RunningRow(run.task.name, run.attempt, checkpoint, percent, figure)
--- a/fireflyfork/decisions/jobs/tests/test_arrangement.py
+++ b/fireflyfork/decisions/jobs/tests/test_arrangement.py
@@ -1,10 +1,10 @@
-"""Services that stand in each other's way: strays are moved to where their like are.
+"""Moves of serving tasks away from executors with a mixture of images.
 
-The pattern: lasting tasks of several services came first and fill nine tenths of the processors. Batch
-work uses what they leave over, but each kind of it slows some of the services. In a played day of that
-kind six of nine batch images were heavy beside three of five services, half of the executors served a
-mixture, and two thirds of all batch jobs came too late to be of use although half of the time left over
-was never used.
+Long-running tasks of several services are placed first and reserve nine tenths of the processors;
+batch work uses what they leave over, but each kind of it slows down some of the services. With six
+of nine batch images heavy for three of five services, half of the executors served a mixture, and
+two thirds of all batch jobs ended too late to be of use although half of the leftover CPU was never
+used.
 """
 
 import unittest
@@ -30,7 +30,8 @@
 
 
 def _owner(*jobs: tuple[str, str, int]) -> OwnerUnderTest:
-    """An owner whose executors serve these: job's number, image, executor's number."""
+    """Return an owner whose executors serve these, given as job number, image and executor
+    number."""
     owner = OwnerUnderTest(*PLACES)
     owner.scheduler.adopt((learned("web", HEAVY), learned("desk", LIGHT)))
     for number, image, place in jobs:
@@ -65,7 +66,10 @@
 
 
 def _settle(owner: OwnerUnderTest, seconds: float) -> list[Run]:
-    """Carry out what the owner orders for so long. Returns the lasting runs that it stopped."""
+    """Carry out the owner's orders for some seconds.
+
+    Returns the runs of long-running tasks that it stopped.
+    """
     stopped: list[Run] = []
     for _ in range(int(seconds / 0.1)):
         owner.tick(0.1)
@@ -86,7 +90,7 @@
     """Which tasks are moved, and how."""
 
     def test_two_mixed_executors_become_pure_ones(self) -> None:
-        """Guards against batch work that finds no place since every executor serves a mixture."""
+        """Guards against batch work that finds no executor because every one serves a mixture."""
         owner = _owner(*MIXED)
         _let_batch_wait(owner)
         _poll_all(owner)
@@ -96,7 +100,8 @@
         self.assertEqual(sum(mix.get("web", 0) for mix in _mix(owner)), 2)
 
     def test_a_place_on_an_executor_that_has_vanished_is_given_up(self) -> None:
-        """Guards against a task that is sent to an executor which has vanished since its place was kept."""
+        """Guards against a task that is sent to an executor which vanished after the
+        reservation."""
         owner = _owner(*MIXED)
         _let_batch_wait(owner)
         stopped: list[Run] = []
@@ -137,7 +142,7 @@
                 self.assertEqual(_settle(owner, 3.0), [])
 
     def test_nothing_is_moved_while_no_work_waits(self) -> None:
-        """Each move takes a service's task away for half a second, which its users notice."""
+        """Guards against moves without a gain: each makes a task unavailable for half a second."""
         owner = _owner(*MIXED)
         _poll_all(owner)
         self.assertEqual(_settle(owner, 4.0), [])
@@ -170,7 +175,7 @@
             self.assertLessEqual(len(stops), MOVES_AT_ONCE)
 
     def test_a_moved_task_rests(self) -> None:
-        """What is known of pairs wavers. A task that followed each change would be away all day."""
+        """Guards against tasks that are moved after each change of the learned effects."""
         owner = _owner(*MIXED)
         _let_batch_wait(owner)
         _poll_all(owner)
@@ -180,7 +185,7 @@
         self.assertFalse({run.task.name for run in first} & {run.task.name for run in again})
 
     def test_the_room_that_is_kept_goes_to_nobody_else(self) -> None:
-        """Guards against an executor that holds more than it can once a moved task arrives."""
+        """Guards against an executor that is overcommitted once a moved task arrives."""
         owner = _owner(*MIXED)
         _let_batch_wait(owner)
         _poll_all(owner)
@@ -197,7 +202,7 @@
 
 
 class UsefulnessTest(unittest.TestCase):
-    """What an executor is good for."""
+    """How much work without a reservation an executor can run."""
 
     @given(st.sets(st.sampled_from(("web", "desk", "third")), max_size=3))
     @settings(max_examples=20)
--- a/fireflyfork/decisions/jobs/tests/test_arrangement_at_size.py
+++ b/fireflyfork/decisions/jobs/tests/test_arrangement_at_size.py
@@ -1,8 +1,8 @@
-"""Looking for a better arrangement of services in a fleet of hundreds.
+"""The search for a better arrangement of services in a fleet of hundreds of executors.
 
-The pattern: hundreds of executors serve mixtures of several services, and batch work that these mixtures keep
-away waits all the time, so a look for moves is due every half second. On a played day with 270 executors
-each look stopped the owner for a quarter of a second.
+All executors serve mixtures of several services, and batch work that these mixtures reject waits
+all the time, so a search runs every half second. With 270 executors each search blocked the owner
+for a quarter of a second.
 """
 
 import unittest
@@ -19,7 +19,7 @@
 
 
 def _fleet(size: int, mixed: range) -> OwnerUnderTest:
-    """Executors with one service each, but for those with a second one beside it."""
+    """Return executors with one service each, and a second one on those in `mixed`."""
     owner = OwnerUnderTest(*(f"i-{number}" for number in range(size)))
     owner.scheduler.adopt(
         tuple(learned(image, LIGHT if image == "desk" else HEAVY) for image in IMAGES)
@@ -39,7 +39,7 @@
 
 
 def _serve(owner: OwnerUnderTest, name: str, image: str) -> None:
-    """Have a service's task run on an executor."""
+    """Run a task of a service on an executor."""
     number = len(owner.scheduler.jobs) + 0x100
     lasting = step(cpu_millis=5000, image=image, tail_target_ms=50, long_running=True)
     spec = job(f"{number:016x}", lasting)
@@ -61,7 +61,7 @@
 
 
 def _most_comparisons(size: int) -> int:
-    """How often one tick asks what an executor would be good for, at most."""
+    """Return the maximum number of evaluations of executors in one tick."""
     owner = _fleet(size, range(size))
     _poll_all(owner)
     plain = Usefulness.of
@@ -75,14 +75,14 @@
 
 
 class ArrangementAtSizeTest(unittest.TestCase):
-    """What a look costs, and what it finds."""
+    """The cost of a search, and the tasks that it finds."""
 
     def test_a_look_costs_no_more_than_in_a_small_fleet(self) -> None:
-        """Guards against an owner that stands still at each look, while polls and starts wait."""
+        """Guards against an owner that is blocked by each search while polls and starts wait."""
         self.assertLessEqual(_most_comparisons(LARGE), 1.5 * _most_comparisons(SMALL))
 
     def test_strays_anywhere_in_a_large_fleet_are_moved(self) -> None:
-        """Guards against looks that never come to some executors."""
+        """Guards against searches that never reach some executors."""
         for first in (0, LARGE // 2, LARGE - 4):
             with self.subTest(first=first):
                 owner = _fleet(LARGE, range(first, first + 2))
--- a/fireflyfork/decisions/jobs/tests/test_backlog.py
+++ b/fireflyfork/decisions/jobs/tests/test_backlog.py
@@ -1,7 +1,7 @@
-"""A rush of large jobs: thousands of tasks wait while all executors are full.
+"""A backlog of thousands of tasks while all executors are full.
 
-The pattern: large steps come faster than they can be done for some seconds, and the owner looks at what waits
-ten times a second, beside everything else that it has to do.
+For some seconds large steps arrive faster than they can be run, and the owner retries the waiting
+tasks ten times a second, in addition to its other work.
 """
 
 import unittest
@@ -20,7 +20,7 @@
 
 
 class BacklogTest(unittest.TestCase):
-    """What a backlog costs, and who is served first."""
+    """The cost of a backlog, and the order in which it is served."""
 
     def test_a_tick_costs_by_steps_and_not_by_tasks(self) -> None:
         """Guards against an owner that spends all of its time on tasks that it can't place."""
@@ -45,7 +45,8 @@
 
     @given(st.lists(st.tuples(st.integers(1, 5), st.integers(200, 9000)), min_size=1, max_size=8))
     def test_what_is_started_is_the_most_urgent(self, steps: list[tuple[int, int]]) -> None:
-        """Guards against jobs that are passed by less urgent ones since their tasks wait together."""
+        """Guards against jobs that are overtaken by less urgent ones because tasks wait in
+        groups."""
         owner = OwnerUnderTest("i-0")
         for number, (count, estimate_ms) in enumerate(steps):
             spec = step(count=count, cpu_millis=4000, estimate_ms=estimate_ms)
@@ -57,7 +58,7 @@
             self.assertLessEqual(urgency(run.task, START_MS), least)
 
     def test_a_task_that_comes_back_is_tried_before_the_next_tick(self) -> None:
-        """Guards against tasks that wait for a tick although room has come free."""
+        """Guards against tasks that wait for a tick although resources have become free."""
         owner = OwnerUnderTest("i-0")
         owner.scheduler.accept(job("00000000000000aa", step(count=5, cpu_millis=4000)), START_MS)
         runs = owner.place()
@@ -66,8 +67,11 @@
         self.assertEqual(len(owner.place()), 1)
 
     def test_a_lasting_task_comes_back_past_others_that_wait_for_room_kept_free(self) -> None:
-        """Guards against a service whose task has ended and is not started again, with room for it, since
-        tasks of its step that never ran may not have that room."""
+        """Guards against a service whose ended task is not restarted although resources are free.
+
+        Tasks of its step that never ran may not have those resources, since they are kept free from
+        new tasks.
+        """
         owner = OwnerUnderTest("i-0")
         lasting = step(count=20, cpu_millis=1000, memory_mb=100, long_running=True)
         owner.scheduler.accept(job("00000000000000aa", lasting), START_MS)
--- a/fireflyfork/decisions/jobs/tests/test_candidates.py
+++ b/fireflyfork/decisions/jobs/tests/test_candidates.py
@@ -1,6 +1,7 @@
 """Finding executors for the tasks of a step, in a small fleet and in one of hundreds.
 
-The pattern: hundreds of starts a second, each of which could go to any of hundreds of executors.
+The owner handles hundreds of starts a second, each of which could go to any of hundreds of
+executors.
 """
 
 import unittest
@@ -25,7 +26,7 @@
 
 
 class CandidatesTest(unittest.TestCase):
-    """Against the plain choice."""
+    """Compares the candidates with a choice among all executors."""
 
     @given(_LOADS, _SIZES, st.booleans(), st.integers(0, 2))
     def test_the_same_executors_are_chosen(
@@ -49,7 +50,7 @@
     def test_a_place_is_found_wherever_there_is_one(
         self, loads: list[int], cpu_millis: int, first: int, looked_at: int
     ) -> None:
-        """Guards against tasks that wait since the free executors were never looked at."""
+        """Guards against tasks that wait because the free executors were never considered."""
         executors, tasks = _fleet(loads, step(count=12, cpu_millis=cpu_millis))
         model = InterferenceModel()
         candidates = Candidates(
@@ -63,7 +64,7 @@
             found.add(Run(task, AttemptNumber(1), found, RunPhase.RUNNING, 0.0))
 
     def test_a_start_in_a_large_fleet_costs_no_more_than_in_a_small_one(self) -> None:
-        """Guards against an owner that falls behind since each start asks all of its executors."""
+        """Guards against an owner that falls behind because each start considers all executors."""
         executors, tasks = _fleet([1] * 400, step(count=12))
         with patch.object(_price_lists, "price", wraps=price) as priced:
             candidates = Candidates(
@@ -74,7 +75,8 @@
         self.assertLessEqual(priced.call_count, LOOKED_AT + len(tasks))
 
     def test_what_a_step_disturbs_is_not_summed_up_for_each_of_its_tasks(self) -> None:
-        """Guards against an owner that falls behind since each start sums up what stands on all executors."""
+        """Guards against an owner that falls behind because each start sums up all executors'
+        loads."""
         executors, tasks = _fleet([1] * 100, step(count=12, uses_leftover_cpu=True))
         for one in executors:
             one.lasting_headroom = {"web": 5.0}
@@ -89,7 +91,7 @@
         self.assertEqual(summed.call_count, len(executors))
 
     def test_what_has_changed_on_an_executor_is_priced_anew(self) -> None:
-        """Guards against work that is sent beside a service by what stood or was reported there before."""
+        """Guards against work sent next to a service by an outdated state of the executor."""
         (executor,), (task, other, *_) = _fleet([1], step(count=12, uses_leftover_cpu=True))
         executor.lasting_headroom = {"web": 1.0}
         model = InterferenceModel()
@@ -109,7 +111,8 @@
         self.assertLess(price(), alone)
 
     def test_executors_near_the_data_of_a_step_are_always_looked_at(self) -> None:
-        """Guards against tasks that take twice as long since their data's rack was passed over."""
+        """Guards against tasks that take twice as long because their data's rack was not
+        considered."""
         executors, tasks = _fleet([1] * 100, step(count=1, data_rack="r9"))
         near = executors[3]
         near.registration = replace(near.registration, labels=frozenset({"r9"}))
@@ -119,7 +122,8 @@
         self.assertIs(candidates.best(), near)
 
     def test_where_all_that_were_looked_at_are_in_trouble_others_are(self) -> None:
-        """Guards against work that goes to executors that fail everything while sound ones are free."""
+        """Guards against work that goes to executors that fail everything while sound ones are
+        free."""
         executors, tasks = _fleet([1] * 100, step(count=1))
         for one in executors[:LOOKED_AT]:
             one.strikes = 1
@@ -130,8 +134,10 @@
         self.assertEqual(found.strikes, 0)
 
     def test_work_that_slows_services_goes_where_it_slows_them_least(self) -> None:
-        """Guards against services over their target in a large fleet, beside work that has a better place
-        on an executor that wasn't looked at."""
+        """Guards against services over their target next to work that has a better executor.
+
+        In a large fleet the better executor may be outside of the first batch of candidates.
+        """
         owner = OwnerUnderTest(*(f"i-{number}" for number in range(2 * LOOKED_AT)))
         owner.scheduler.adopt((learned("web", 2.0), learned("desk", 0.1)))
         executors = list(owner.scheduler.executors.values())
@@ -145,7 +151,7 @@
 
 
 def _fleet(loads: list[int], spec: StepSpec) -> tuple[list[ExecutorState], list[Task]]:
-    """Executors with so many cores in use each, and the tasks of one step."""
+    """Return executors with these numbers of cores in use, and the tasks of one step."""
     owner = OwnerUnderTest(*(f"i-{number}" for number in range(len(loads))))
     executors = list(owner.scheduler.executors.values())
     for number, load in enumerate(loads):
--- a/fireflyfork/decisions/jobs/tests/test_change_log.py
+++ b/fireflyfork/decisions/jobs/tests/test_change_log.py
@@ -11,7 +11,7 @@
     """Compares the log with a model that keeps every change."""
 
     def __init__(self) -> None:
-        """Nothing changed."""
+        """Initialize without changes."""
         super().__init__()
         self.log = ChangeLog()
         self.changed: dict[int, JobId] = {}
@@ -20,19 +20,19 @@
 
     @rule(job=st.sampled_from([JobId("a"), JobId("b"), JobId("c")]))
     def change(self, job: JobId) -> None:
-        """A job changes."""
+        """Change a job."""
         self.changed[self.log.note(job)] = job
 
     @precondition(lambda self: self.flying is None)
     @rule(most=st.integers(1, 3))
     def take(self, most: int) -> None:
-        """A write begins."""
+        """Begin a write."""
         self.flying = (set(self.log.take(most)), self.log.last)
 
     @precondition(lambda self: self.flying is not None)
     @rule(succeeds=st.booleans())
     def finish(self, succeeds: bool) -> None:
-        """A write ends."""
+        """End a write."""
         assert self.flying is not None
         jobs, last = self.flying
         if succeeds:
@@ -44,12 +44,12 @@
 
     @invariant()
     def says_nothing_is_stored_that_is_not(self) -> None:
-        """Every change up to ``stored_to`` is stored."""
+        """Every change up to `stored_to` is stored."""
         assert set(range(1, self.log.stored_to + 1)) <= self.stored
 
     @invariant()
     def knows_that_all_is_stored(self) -> None:
-        """When every change is stored, it says so."""
+        """If every change is stored, `stored_to` is the latest change."""
         if self.stored == set(self.changed) and self.flying is None:
             assert self.log.stored_to == self.log.last
 
--- a/fireflyfork/decisions/jobs/tests/test_ends.py
+++ b/fireflyfork/decisions/jobs/tests/test_ends.py
@@ -1,4 +1,4 @@
-"""What the ends that executors list prove, and what they don't."""
+"""What the ends listed by executors prove, and what they don't prove."""
 
 import unittest
 
@@ -10,12 +10,16 @@
 
 
 class CutListsTest(unittest.TestCase):
-    """Executors list so many ends at once; the rest only when the first ones may be forgotten."""
+    """Executors list a limited number of ends; further ones only after the first may be
+    forgotten."""
 
     def test_a_run_whose_end_does_not_fit_on_the_list_is_not_started_again(self) -> None:
-        """The store is away, so no end may be forgotten, and a busy executor lists the same five hundred
-        ends each time. A task that ended after those is neither among them nor among the runs. Taken for
-        gone, it ran a second time, and its job's room was booked twice.
+        """Guards against starting a task again whose end is missing from a truncated list.
+
+        The store is unavailable, so no end may be forgotten, and a busy executor lists the same
+        five hundred ends each time. A task that ended after those is neither among the ends nor
+        among the runs. It was taken for lost and ran a second time, and its job's hotel room was
+        booked twice.
         """
         owner = OwnerUnderTest("i-0")
         owner.scheduler.accept(job(A), START_MS)
@@ -33,8 +37,10 @@
         self.assertIs(run.task.job.state, JobState.COMPLETED)
 
     def test_a_new_owner_waits_for_the_rest_of_the_list(self) -> None:
-        """An owner is lost after a long outage of the store. What its successor is told first by a busy
-        executor are the oldest five hundred ends; a task that ended after those was started again.
+        """Guards against starting a task again after a takeover because its end was not listed yet.
+
+        An owner is lost after a long outage of the store. A busy executor first lists its oldest
+        five hundred ends to the successor, which started a task that had ended after those again.
         """
         owner = OwnerUnderTest()
         owner.scheduler.recover([(job(A), None)], [registration("i-0")], [], owner.now, START_MS)
@@ -52,8 +58,10 @@
     """Ends are numbered, and may be listed in any order."""
 
     def test_an_end_that_is_listed_after_a_later_one_counts(self) -> None:
-        """The pages number the ends and don't say in which order they are listed. An end that came after one
-        with a higher number was passed over and then let go, and its task ran again.
+        """Guards against skipping an end that is listed after one with a higher number.
+
+        The executor interface numbers the ends but does not define the order in which they are
+        listed. The end was skipped and then forgotten, and its task ran again.
         """
         owner = OwnerUnderTest("i-0")
         owner.scheduler.accept(job(A, step(count=2)), START_MS)
@@ -66,10 +74,10 @@
 
 
 class TimedJobsTest(unittest.TestCase):
-    """Occurrences that an earlier owner has begun, by a clock that was ahead of its successor's."""
+    """Occurrences started by an earlier owner whose clock was ahead of its successor's."""
 
     def setUp(self) -> None:
-        """The only occurrence becomes due in a second, by the clock of the owner at work now."""
+        """The only occurrence becomes due in a second, by the clock of the present owner."""
         self.spec = job(A, repetitions=1, first_due_ms=START_MS + 1000, interval_ms=1000)
         self.task = TaskName(f"{A}.0.0.0")
         self.owner = OwnerUnderTest()
@@ -80,9 +88,11 @@
         )
 
     def test_a_task_that_has_ended_well_is_not_run_again_when_its_time_comes(self) -> None:
-        """An owner starts a nightly booking run and dies; the run ends well. By the clock of its successor
-        the run wasn't due yet, so that took the end for one of nothing it knew, let it be forgotten, and
-        made all bookings a second time when its own clock got there.
+        """Guards against running a task again whose end was listed before its occurrence was due.
+
+        An owner starts a nightly booking run and is lost; the run ends successfully. By the
+        successor's clock the run was not due yet. It treated the end as one of an unknown task, let
+        the executor forget it, and made all bookings again when the run became due.
         """
         self._take_over()
         self.owner.end("i-0", self.task, 1, EndReason.DONE)
@@ -94,8 +104,10 @@
         self.assertIs(known.state, JobState.COMPLETED)
 
     def test_a_task_that_runs_goes_on(self) -> None:
-        """The same while it still runs: it was stopped, and started anew beside the one that was stopping
-        when its time came.
+        """Guards against stopping a run of an occurrence that is not due by the successor's clock.
+
+        The run was stopped, and the task was started again next to the stopping run when it became
+        due.
         """
         self._take_over()
         found = RunningRow(self.task, AttemptNumber(1), "", 40, 0.0)
@@ -110,9 +122,10 @@
         self.assertIs(known.state, JobState.COMPLETED)
 
     def test_attempts_that_were_stored_are_kept(self) -> None:
-        """An owner stores that two attempts were used up and dies. Its successor dropped what was stored of
-        an occurrence that wasn't due by its clock, and sent out the first attempt again, which executors
-        refuse, or a task that had failed too often got all its attempts anew.
+        """Guards against dropping the stored attempts of an occurrence that is not due yet.
+
+        The successor then used the first attempt number again, which executors refuse, or a task
+        that had failed too often got all of its attempts again.
         """
         stored = StoredTask(0, 0, 0, AttemptNumber(2), (1,))
         self._take_over(StoredProgress(JobState.RUNNING, tasks=(stored,)))
@@ -122,7 +135,7 @@
         self.assertEqual((run.attempt, run.task.failed_attempts), (3, [1]))
 
     def test_the_step_after_an_end_that_was_stored_is_known(self) -> None:
-        """The first step is stored as done; a task of the second one runs and ends well."""
+        """The first step is stored as done; a task of the second one runs and ends successfully."""
         self.spec = job(
             A, step(), step(after=(0,)), repetitions=1, first_due_ms=START_MS + 1000, interval_ms=1
         )
@@ -144,15 +157,17 @@
 
 
 class LateRegistrationsTest(unittest.TestCase):
-    """Executors tell of a new life in answers to polls, and in the store, whose word takes longer."""
+    """Executors report a restart in answers to polls, and later through the store."""
 
     def test_the_registration_of_an_earlier_life_does_not_end_the_runs_of_the_present_one(
         self,
     ) -> None:
-        """An executor starts anew, and a poll tells so first. What its earlier life had written in the store
-        comes next, and then its new registration. The owner went back to the earlier life, took the new
-        registration for one more start, and all that ran there for gone: each of its tasks was started a
-        second time, elsewhere.
+        """Guards against a late registration of an earlier incarnation.
+
+        After a restart, a poll reports the new incarnation first. Then the registration of the
+        earlier incarnation arrives from the store, and after it the new one. The owner went back to
+        the earlier incarnation, took the new registration for another restart, and all runs there
+        for over: each of their tasks was started a second time elsewhere.
         """
         owner = OwnerUnderTest("i-0")
         owner.poll("i-0", incarnation=2)
@@ -169,8 +184,10 @@
         self.assertEqual(list(owner.executor().runs.values()), [run])
 
     def test_the_registration_of_an_earlier_life_is_not_used(self) -> None:
-        """The earlier life had room for more, and another address. Runs sent there by its word would be
-        refused, or overfill what is there now.
+        """Guards against the capacity or address of an earlier incarnation.
+
+        Runs sent according to its registration would be refused, or would overcommit the present
+        incarnation.
         """
         owner = OwnerUnderTest()
         now = registration("i-0", incarnation=2)
@@ -181,7 +198,8 @@
         self.assertTrue(owner.executor().registered)
 
     def test_an_executor_whose_earlier_life_leaves_is_still_there(self) -> None:
-        """The registration of an earlier life is removed late, and the executor answers all the while."""
+        """The registration of an earlier incarnation is removed late, while the executor
+        answers."""
         owner = OwnerUnderTest("i-0")
         owner.scheduler.register(registration("i-0", incarnation=2), owner.now)
         owner.poll("i-0", incarnation=2)
@@ -189,9 +207,10 @@
         self.assertIn(ExecutorId("i-0"), owner.scheduler.executors)
 
     def test_an_executor_whose_clock_went_back_before_it_started_anew_is_heard(self) -> None:
-        """An executor's clock is set back while it is down, so its present life seems to have begun before
-        the earlier one. Its answers were dropped as those of an earlier life; nothing that ran there
-        ever ended for the owner, and the jobs hung.
+        """Guards against ignoring an executor whose clock was set back before it restarted.
+
+        Its present incarnation seems to have begun before the earlier one. Its answers were dropped
+        as those of an earlier incarnation; the owner never saw its runs end, and the jobs hung.
         """
         owner = OwnerUnderTest()
         owner.scheduler.register(registration("i-0", incarnation=9), owner.now)
--- a/fireflyfork/decisions/jobs/tests/test_interference.py
+++ b/fireflyfork/decisions/jobs/tests/test_interference.py
@@ -1,4 +1,4 @@
-"""Learning which images disturb which, and what is done about it."""
+"""Learning which images disturb which, and the effect on placement and pace."""
 
 import unittest
 from dataclasses import replace
@@ -29,7 +29,7 @@
 
 
 def _trained(seed: int = 1) -> InterferenceModel:
-    """A model after half a minute of polls at tasks that "noisy" hurts and "quiet" does not."""
+    """Return a model after five minutes of polls, with one heavy and one light image."""
     random, model = Random(seed), InterferenceModel()
     before: Sample | None = None
     for number in range(600):
@@ -43,7 +43,7 @@
 
 
 class InterferenceModelTest(unittest.TestCase):
-    """The fit."""
+    """The fit of the effects."""
 
     def test_effects_are_found_behind_a_swinging_load(self) -> None:
         model = _trained()
@@ -55,7 +55,7 @@
         self.assertEqual(InterferenceModel().effect("web", "noisy"), PRIOR_EFFECT)
 
     def test_solutions_dont_come_faster_with_more_executors(self) -> None:
-        """Guards against an owner of hundreds of executors that spends its time on what it learns from them."""
+        """Guards against an owner of hundreds of executors that spends its time on learning."""
         model = InterferenceModel()
         with patch.object(_interference, "_solution", wraps=_interference._solution) as solved:
             for number in range(4000):
@@ -70,9 +70,7 @@
         self.assertEqual(model.effect("web", "odd"), 0.0)
 
     def test_what_is_old_gives_way(self) -> None:
-        """Two tasks that got on begin to hurt each other. A model that remembered everything for ever
-        would go on putting them side by side while callers wait.
-        """
+        """Guards against a model that never forgets: effects change, and callers wait meanwhile."""
         model = InterferenceModel()
         for number in range(6000):
             uses = {"other": number % 2 * 0.2}
@@ -82,8 +80,10 @@
         self.assertAlmostEqual(model.effect("web", "other"), 3.5, delta=0.2)
 
     def test_the_next_owner_goes_on_from_what_was_learned(self) -> None:
-        """An owner dies. Its successor took every pair for average and put work beside services that
-        it slows most, so clerks waited for some seconds after each change of owner.
+        """Guards against a successor that assumes every pair of images to be average.
+
+        It placed work next to the services that it slows down most, so callers waited for some
+        seconds after each change of owner.
         """
         before, after = _trained(), InterferenceModel()
         after.adopt(decode_learned(encode_learned(before.learned())))
@@ -93,14 +93,15 @@
         self.assertAlmostEqual(
             after.effect("web", "quiet"), before.effect("web", "quiet"), delta=0.1
         )
-        # It weighs as much as before: one odd sample does not turn it over.
+        # The adopted fit keeps its weight, so a few unusual samples don't reverse it.
         for _ in range(20):
             after.observe("web", Sample(0.0, 2.0, {"noisy": 0.2}), None)
         self.assertGreater(after.effect("web", "noisy"), HEAVY - 1.5)
 
     def test_what_was_learned_with_holes_is_not_read(self) -> None:
-        """Another version of the program wrote what was learned. Read as it is, it would make the new
-        owner fail at each recovery, and no job would start any more.
+        """Guards against decoding incomplete values that another version of the program wrote.
+
+        Otherwise the new owner would fail at each recovery, and no job would start any more.
         """
         for fit in (
             LearnedFit("web", ("a", "b"), (1.0,), (1.0, 2.0)),
@@ -111,11 +112,13 @@
 
 
 class PlacingTest(unittest.TestCase):
-    """Where work without a reservation goes."""
+    """Where work without a reservation is placed."""
 
     def test_work_goes_where_nobody_near_minds_it(self) -> None:
-        """Two executors serve users with different services. Work that slows one of the two was put
-        beside it when its load happened to be low, and clerks waited when the load came back.
+        """Guards against placing work next to a service that it disturbs while its load is low.
+
+        Of two executors, one serves an image that the work does not disturb. Users of the other one
+        would wait when its load rises again.
         """
         model = _trained()
         owner = OwnerUnderTest("i-0", "i-1")
@@ -132,8 +135,10 @@
         self.assertEqual(chosen.executor, "i-1")
 
     def test_work_waits_where_it_would_only_slow_everybody(self) -> None:
-        """Large jobs come at once. All started together they share what is left and all end late; one
-        after the other, the first ones end in time.
+        """Guards against starting many large jobs at once, which share the leftover CPU and all end
+        late.
+
+        Run one after the other, the first ones end in time.
         """
         owner = OwnerUnderTest("i-0")
         best_effort = step(count=30, uses_leftover_cpu=True, cpu_millis=2000)
@@ -144,9 +149,11 @@
         self.assertEqual(owner.scheduler.waiting_tasks, 30 - started)
 
     def test_an_executor_whose_services_have_left_takes_work_again(self) -> None:
-        """The last service on an executor is cancelled while its tail is bad. Nobody polls an idle
-        executor, so what was seen last kept all other work away from it for good: jobs that could
-        have run at once never ended.
+        """Guards against an executor that stays closed for work after its services have left.
+
+        The last service on an executor is cancelled while its tail latency is high. Idle executors
+        are not polled, so the last values seen kept other work away permanently, and jobs that
+        could have run never ended.
         """
         owner = OwnerUnderTest("i-0")
         serving = step(long_running=True, image="web", tail_target_ms=18, cpu_millis=3000)
@@ -165,8 +172,11 @@
         self.assertEqual(len(owner.place()), 1)
 
     def test_work_does_not_wait_for_ever_for_a_better_place(self) -> None:
-        """Every executor serves something that a job disturbs. The job was accepted and has to end,
-        so after some seconds it starts where it does the least harm, and is paced there.
+        """Guards against a job that waits forever because every executor serves an image it
+        disturbs.
+
+        An accepted job has to end, so after some seconds it starts where it does the least harm,
+        and is paced there.
         """
         owner = OwnerUnderTest("i-0")
         serving = step(long_running=True, image="web", tail_target_ms=18, cpu_millis=3000)
@@ -183,8 +193,10 @@
         self.assertEqual(started, 1)
 
     def test_short_tasks_find_room_beside_lasting_ones(self) -> None:
-        """Services come in until every processor is reserved. A quote that needs a few cores for half
-        a second then found no room for as long as they ran.
+        """Guards against long-running tasks that reserve every processor.
+
+        A short task that needs a few cores for half a second would find no executor for as long as
+        they run.
         """
         owner = OwnerUnderTest("i-0")
         lasting = step(count=40, long_running=True, cpu_millis=500, memory_mb=10)
@@ -195,7 +207,7 @@
 
 
 class PacingTest(unittest.TestCase):
-    """How fast work without a reservation may go on."""
+    """The pace of work without a reservation."""
 
     def _beside(self, tail_ms: float, model: InterferenceModel) -> list[tuple[Run, int]]:
         owner = OwnerUnderTest("i-0")
@@ -218,8 +230,9 @@
             self.assertGreaterEqual(percent, LOWEST_PACE)
 
     def test_a_tail_that_stays_over_its_target_stops_the_work_beside_it(self) -> None:
-        """What is known of a pair is wrong, or a pace does not arrive, and a service stays too slow
-        for its callers for seconds while the work beside it goes on.
+        """Guards against a service that stays slow because the learned effect or the pace is wrong.
+
+        The work next to it pauses when its tail latency has been over the target for some seconds.
         """
         owner = OwnerUnderTest("i-0")
         serving = step(long_running=True, image="web", tail_target_ms=18, cpu_millis=3000)
@@ -245,8 +258,9 @@
         self.assertEqual(self._beside(5.0, InterferenceModel()), [])
 
     def test_a_pace_that_may_not_be_in_force_is_ordered_again(self) -> None:
-        """An owner slows a job and dies, or the answer to its order is lost. Whoever takes the job to
-        be at full pace never says so, and the job stays slow until its caller has given up.
+        """Guards against a job that stays slow after a change of owner or a lost pace answer.
+
+        An owner that assumes full pace never orders it again, and the job stays slow.
         """
         for name in ("found", "lost answer"):
             with self.subTest(name):
@@ -273,9 +287,11 @@
                 self.assertEqual(owner.scheduler.take_commands(), [])
 
     def test_work_that_is_of_no_use_any_more_slows_nobody(self) -> None:
-        """Jobs pile up until some have taken three times what their objective allows. They were
-        accepted and have to end, and started at full pace after the rush, when room was found for them
-        anywhere, they kept services over their targets for ten seconds on end.
+        """Guards against useless jobs that slow down services.
+
+        After a backlog, some jobs have taken three times what their objective allows but still have
+        to end. Started at full pace on any executor, they kept services over their targets for ten
+        seconds.
         """
         owner = OwnerUnderTest("i-0")
         best_effort = step(uses_leftover_cpu=True, image="quiet", cpu_millis=1000)
--- a/fireflyfork/decisions/jobs/tests/test_late_listings.py
+++ b/fireflyfork/decisions/jobs/tests/test_late_listings.py
@@ -1,4 +1,4 @@
-"""An owner that asks its executors seldom, since it has too many of them for its processor."""
+"""An owner that polls its executors rarely, since it has too many of them for its processor."""
 
 import unittest
 
@@ -8,10 +8,10 @@
 
 
 class LateListingTest(unittest.TestCase):
-    """What the owner hasn't asked for is no sign of anything."""
+    """Missing polls are no evidence about runs or executors."""
 
     def test_a_run_that_nobody_has_asked_about_does_not_stand_still(self) -> None:
-        """Guards against an owner that is late to ask, stops sound runs and avoids their executors for it."""
+        """Guards against a late owner that stops sound runs and avoids their executors."""
         owner = OwnerUnderTest("i-0")
         owner.scheduler.accept(job(), 0)
         (run,) = owner.place()
@@ -21,7 +21,7 @@
             self.assertEqual((owner.stops(), owner.executor().strikes), ([], 0))
 
     def test_a_run_that_is_listed_without_progress_stands_still(self) -> None:
-        """Guards against a run that is never stopped, since it is asked for too seldom."""
+        """Guards against a stalled run that is never stopped because it is polled too rarely."""
         owner = OwnerUnderTest("i-0")
         owner.scheduler.accept(job(), 0)
         (run,) = owner.place()
--- a/fireflyfork/decisions/jobs/tests/test_load_shedding.py
+++ b/fireflyfork/decisions/jobs/tests/test_load_shedding.py
@@ -1,6 +1,6 @@
-"""What an owner leaves undone while it is late.
+"""The work that an owner skips while its event loop is late.
 
-The pattern: more polls, starts and ends come in than the owner's share of a processor can take, for seconds.
+For seconds, more polls, starts and ends arrive than the owner's share of a processor can handle.
 """
 
 import unittest
@@ -24,7 +24,7 @@
 
 
 class ShedLevelTest(unittest.TestCase):
-    """How much is left out."""
+    """The level of load shedding."""
 
     def test_the_order_is_fixed(self) -> None:
         for lag, expected in (
@@ -37,7 +37,8 @@
                 self.assertIs(shed_at(lag, Shed.NOTHING), expected)
 
     def test_it_is_taken_up_again_later_than_it_was_left(self) -> None:
-        """Guards against looks that begin anew at each moment without lag, and cause the next one."""
+        """Guards against searches that resume at each moment without lag, and cause the next
+        lag."""
         lag = 0.8 * ARRANGEMENT_LAG_SECONDS
         self.assertIs(shed_at(lag, Shed.NOTHING), Shed.NOTHING)
         self.assertIs(shed_at(lag, Shed.ARRANGEMENT), Shed.ARRANGEMENT)
@@ -50,7 +51,7 @@
 
 
 class SheddingTest(unittest.TestCase):
-    """What is left out, and what never is."""
+    """The work that is skipped, and the work that never is."""
 
     def setUp(self) -> None:
         self.owner = OwnerUnderTest("i-0")
@@ -65,7 +66,7 @@
         self.owner.poll("i-0", row(self.serving, 100, 50.0), row(self.filling, 10, 4000.0))
 
     def test_no_look_for_another_arrangement_while_late(self) -> None:
-        """Guards against a late owner that spends its time on what can wait."""
+        """Guards against a late owner that spends its time on work that can wait."""
         self.owner.scheduler.note_lag(1.1 * ARRANGEMENT_LAG_SECONDS)
         with patch.object(Arrangement, "check", autospec=True) as looked:
             self.owner.tick(0.1)
@@ -75,7 +76,7 @@
             looked.assert_called_once()
 
     def test_places_that_are_kept_are_given_back_while_late(self) -> None:
-        """Guards against room that stays kept for a task which went elsewhere."""
+        """Guards against resources that stay reserved for a task which went elsewhere."""
         executor = self.owner.executor("i-0")
         work = self.owner.scheduler._work
         work.promises.make(self.serving.task, executor, self.owner.now + 1.0)
--- a/fireflyfork/decisions/jobs/tests/test_ownership_proof.py
+++ b/fireflyfork/decisions/jobs/tests/test_ownership_proof.py
@@ -1,4 +1,4 @@
-"""What an owner may conclude and start when it isn't certain to own the service any more."""
+"""What an owner may conclude and start while it is uncertain whether it still owns the service."""
 
 import unittest
 
@@ -8,18 +8,20 @@
 
 
 class OwnershipProofTest(unittest.TestCase):
-    """A successor may have reached what this owner doesn't reach."""
+    """A successor may have reached executors that this owner cannot reach."""
 
     def setUp(self) -> None:
-        """One executor that answers."""
+        """Set up one executor that answers."""
         self.owner = OwnerUnderTest("i-0")
 
     def _prove(self) -> None:
         self.owner.scheduler.note_ownership(self.owner.now)
 
     def test_a_lease_has_lapsed_only_while_the_owner_certainly_owned(self) -> None:
-        """A successor renews the lease of an executor that the owner is cut off from. What runs there goes
-        on; started elsewhere by the owner's reckoning, it would run twice.
+        """Guards against declaring a run over while a successor renews its executor's lease.
+
+        The owner is cut off from the executor. The run there continues; if the owner started its
+        task elsewhere, it would run twice.
         """
         owner = self.owner
         owner.scheduler.accept(job(A), START_MS)
@@ -37,7 +39,7 @@
         self.assertEqual([again.attempt for again in owner.place()], [2])
 
     def test_an_executor_that_never_answered_is_given_up_only_by_a_certain_owner(self) -> None:
-        """The same for executors that a new owner never reached: its successor may have."""
+        """Guards against giving up an executor that a successor may have reached."""
         owner = OwnerUnderTest()
         owner.scheduler.recover(
             [(job(A), None)],
@@ -57,8 +59,10 @@
         self.assertEqual(len(owner.place()), 1)
 
     def test_nothing_starts_that_a_successor_would_start_beside_it(self) -> None:
-        """A successor waits 8 s for executors that it can't reach. Each start lets its executor go on for a
-        second and a little more, so the last one must be sent well before that.
+        """Guards against starting tasks shortly before a successor may start them as well.
+
+        A successor waits 8 s for executors that it can't reach. Each start extends its executor's
+        lease by a little more than a second, so the last start must be sent well before that.
         """
         owner = self.owner
         self._prove()
--- a/fireflyfork/decisions/jobs/tests/test_price_lists.py
+++ b/fireflyfork/decisions/jobs/tests/test_price_lists.py
@@ -1,7 +1,6 @@
-"""Prices that are kept while nothing changes.
+"""Costs that are cached while nothing changes.
 
-The pattern: a backlog of many shapes of work that fills, tried again ten times a second on hundreds of
-executors.
+A backlog of best-effort work of many shapes is retried ten times a second on hundreds of executors.
 """
 
 import unittest
@@ -22,10 +21,10 @@
 
 
 class _Place:
-    """An executor that things happen to."""
+    """An executor whose state is changed by events."""
 
     def __init__(self) -> None:
-        """It serves users, and has room."""
+        """Set up an executor with a serving task and free resources."""
         self.owner = OwnerUnderTest("i-0")
         self.executor: ExecutorState = self.owner.executor("i-0")
         self._started = 0
@@ -33,7 +32,7 @@
         self.report()
 
     def start(self, spec: object = None) -> None:
-        """A run begins."""
+        """Add a run."""
         self._started += 1
         made = spec or step(cpu_millis=700, image="noisy", uses_leftover_cpu=True)
         run = Run(
@@ -46,11 +45,11 @@
         self.executor.add(run)
 
     def end(self) -> None:
-        """The run that began last ends."""
+        """Remove the newest run."""
         self.executor.remove(next(reversed(self.executor.runs.values())))
 
     def report(self) -> None:
-        """A poll tells how its services are."""
+        """Report the tail latencies of its services."""
         self.owner.now += 0.5
         rows = tuple(row(run, 100, 9.0) for run in self.executor.runs.values())
         list(
@@ -60,20 +59,20 @@
         )
 
     def fail(self) -> None:
-        """It is blamed for a failure."""
+        """Record a failure."""
         self.executor.strikes += 1
 
     def promise(self) -> None:
-        """Room is kept there."""
+        """Reserve resources for a moved task."""
         self.executor.promised_cpu_millis += 2000
 
     def register_anew(self) -> None:
-        """It says that it has other labels and less room."""
+        """Register with other labels and less room."""
         room = replace(self.executor.registration.room, cpu_millis=12_000)
         self.executor.registration = registration(labels=frozenset({"b"}), room=room)
 
     def go_down_for_upkeep(self) -> None:
-        """Its machine comes next."""
+        """Mark its machine as due for upkeep."""
         self.executor.upkeep_due = True
 
 
@@ -107,11 +106,12 @@
 
 
 class PriceListTest(unittest.TestCase):
-    """Against prices worked out anew."""
+    """Compares cached costs with newly computed ones."""
 
     @given(_SHAPES, st.lists(_EVENTS, max_size=12))
     def test_a_kept_price_is_what_it_costs_now(self, spec: object, events: list[object]) -> None:
-        """Guards against work sent by what an executor was like before: it may have no room any more."""
+        """Guards against work sent by an outdated state of an executor, which may be full by
+        now."""
         place = _Place()
         model = place.owner.scheduler._work.interference
         task = _task(place.owner, 1, spec)
@@ -124,7 +124,7 @@
             self.assertEqual(prices.price(place.executor), price(task, place.executor, model))
 
     def test_a_backlog_that_is_tried_again_prices_only_what_has_changed(self) -> None:
-        """Guards against an owner that falls behind because work waits."""
+        """Guards against an owner that falls behind because of a backlog."""
         owner = OwnerUnderTest(*(f"i-{number}" for number in range(EXECUTORS)))
         for number in range(SHAPES):
             wide = step(
--- a/fireflyfork/decisions/jobs/tests/test_relay_choice.py
+++ b/fireflyfork/decisions/jobs/tests/test_relay_choice.py
@@ -1,6 +1,6 @@
-"""Which instances make calls to executors for an owner.
+"""The choice of the instances that relay calls to executors.
 
-The pattern: an owner of hundreds of executors in several failure domains, on unequal instances.
+An owner has hundreds of executors in several failure domains, on unequal instances.
 """
 
 import unittest
@@ -25,7 +25,7 @@
 
 
 class RelayChoiceTest(unittest.TestCase):
-    """Guards against calls that one loop can't carry, and against detours that nobody needs."""
+    """Guards against more calls than one event loop can handle, and against unnecessary hops."""
 
     def test_each_failure_domain_has_its_strongest(self) -> None:
         chosen = choose_relays(OWN, _fleet(6, 16), LARGE)
@@ -33,11 +33,11 @@
         self.assertGreaterEqual(min(one.strength for one in chosen), 0.1 * 12 - 1e-9)
 
     def test_a_small_fleet_is_called_directly(self) -> None:
-        """Guards against a hop more for each call of an owner that has time enough."""
+        """Guards against an additional hop for each call of an owner that has enough CPU time."""
         self.assertEqual(choose_relays(OWN, _fleet(3, 3), LARGE - 1), ())
 
     def test_the_owner_and_instances_without_a_relay_are_passed_over(self) -> None:
-        """Guards against calls that go to an instance of the version before, which makes none."""
+        """Guards against calls sent to an instance of an earlier version, which does not relay."""
         old = Standing(NodeName("old"), 2.0, FailureDomainName("0"))
         own = Standing(OWN, 2.0, FailureDomainName("0"), RELAY)
         other = Standing(NodeName("n"), 0.1, FailureDomainName("0"), RELAY)
--- a/fireflyfork/decisions/jobs/tests/test_scheduler.py
+++ b/fireflyfork/decisions/jobs/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""What an owner does about starts, ends, and executors that fail."""
+"""The handling of starts, ends and failing executors."""
 
 import unittest
 
@@ -64,8 +64,10 @@
         self.assertIs(known.state, JobState.COMPLETED)
 
     def test_a_job_that_is_listed_again_after_its_end_does_not_run_again(self) -> None:
-        """The store drops its history, so the owner lists all jobs anew and meets one that ended
-        before. If it took it for a new one, a booking would be made twice.
+        """Guards against running a job again that is listed after its end.
+
+        After the store has dropped its history, the owner lists all jobs again, among them one that
+        has ended. If it were taken for a new job, a booking would be made twice.
         """
         owner = OwnerUnderTest("i-0")
         owner.scheduler.accept(job(A), START_MS)
@@ -80,8 +82,10 @@
         self.assertEqual(owner.place(), [])
 
     def test_a_job_that_was_just_removed_does_not_run_again(self) -> None:
-        """An old job is removed from the store while a listing that still holds it is on its way. Taken
-        for a new job, a booking of some minutes ago would be made once more.
+        """Guards against running a job again that was just removed from the store.
+
+        A listing that still contains the job is on its way. If the job were taken for a new one, an
+        old booking would be made again.
         """
         owner = OwnerUnderTest("i-0")
         over = StoredProgress(JobState.COMPLETED, final_ms=START_MS)
@@ -96,11 +100,13 @@
 
 
 class RoomTest(unittest.TestCase):
-    """No executor gets more than it holds."""
+    """No executor gets more work than its capacity."""
 
     def test_a_run_that_is_being_stopped_holds_its_room_until_its_end_is_listed(self) -> None:
-        """A cancelled task takes a moment to stop. If its room were given away at once, the executor
-        would hold more than it has processors for, and everything on it would slow down.
+        """Guards against reusing the resources of a cancelled task before it has stopped.
+
+        Otherwise the executor would have more work than processors, and everything on it would slow
+        down.
         """
         owner = OwnerUnderTest("i-0")
         owner.scheduler.accept(job(A, step(cpu_millis=16000)), START_MS)
@@ -115,8 +121,10 @@
         self.assertEqual(len(owner.place()), 1)
 
     def test_a_run_of_a_job_that_is_over_counts_while_it_is_stopped(self) -> None:
-        """An owner dies while tasks of a cancelled job are being stopped. Its successor knows that
-        the job is over; if it took the runs it finds for nothing, it would overfill the executor.
+        """Guards against ignoring runs of a cancelled job that are still being stopped.
+
+        The previous owner was lost while it stopped them. Its successor finds the runs and knows
+        that the job is over; if it ignored them, it would overcommit the executor.
         """
         owner = OwnerUnderTest()
         over = job(A, step(cpu_millis=16000))
@@ -130,11 +138,13 @@
 
 
 class UnansweredOrdersTest(unittest.TestCase):
-    """An order without an answer may have been carried out, or may be later."""
+    """An order without an answer may have been carried out, or may still be carried out later."""
 
     def test_a_start_without_an_answer_is_barred_before_the_task_starts_elsewhere(self) -> None:
-        """The answer to a start is lost on the way. The task may run there, or begin there seconds
-        later; started elsewhere at once, it would run twice and a clerk would hold two rooms.
+        """Guards against starting a task elsewhere while an unanswered start may still take effect.
+
+        The answer was lost on the way, and the task may run there or begin seconds later. It would
+        run twice, and a customer would hold two rooms.
         """
         owner = OwnerUnderTest("i-0", "i-1")
         owner.scheduler.accept(job(A), START_MS)
@@ -151,9 +161,10 @@
         self.assertEqual([run.attempt for run in owner.place()], [2])
 
     def test_a_list_with_more_ends_than_it_holds_proves_nothing(self) -> None:
-        """The store is away for a minute, nothing may be forgotten, and more has ended on an executor than
-        one answer lists. A run that ended well, and is in neither list for that reason, was taken for gone
-        and started again elsewhere.
+        """Guards against taking a run for over because its end is missing from a truncated list.
+
+        While the store is unavailable no end may be forgotten, and more runs have ended on an
+        executor than one answer lists. A run that ended successfully was started again elsewhere.
         """
         owner = OwnerUnderTest("i-0", "i-1")
         owner.scheduler.accept(job(A), START_MS)
@@ -179,8 +190,11 @@
         self.assertEqual(owner.stops(), [lost])
 
     def test_a_list_that_was_made_before_the_start_proves_nothing(self) -> None:
-        """Answers on different connections overtake each other: a list made before a start arrives
-        after its answer. Taken for proof that the run is gone, it would start the task twice.
+        """Guards against evidence from a list of runs made before a start.
+
+        Answers on different connections can arrive out of order: a list made before a start arrives
+        after the answer to the start. Taken as proof that the run is over, it would start the task
+        twice.
         """
         owner = OwnerUnderTest("i-0")
         owner.scheduler.accept(job(A), START_MS)
@@ -192,8 +206,10 @@
         self.assertEqual(owner.place(), [])
 
     def test_an_order_that_is_refused_as_malformed_is_not_sent_again_at_once(self) -> None:
-        """Executors refuse what a job says about its task. Sent again as soon as the refusal came, the
-        order went out hundreds of times a second and kept the owner from everything else.
+        """Guards against orders that are sent hundreds of times a second.
+
+        An executor refuses a malformed start. Sent again as soon as the refusal arrived, the order
+        kept the owner from all other work.
         """
         owner = OwnerUnderTest("i-0")
         owner.scheduler.accept(job(A), START_MS)
@@ -205,11 +221,14 @@
 
 
 class LostExecutorsTest(unittest.TestCase):
-    """Executors that don't answer, or start anew."""
+    """Executors that don't answer or that restart."""
 
     def test_tasks_of_a_silent_executor_start_elsewhere_once_its_lease_has_lapsed(self) -> None:
-        """A cable is pulled. The executor runs on by itself until its lease is over, also on a clock
-        that is two in a hundred slow; a moment earlier its tasks would run twice.
+        """Guards against starting tasks of a silent executor elsewhere before its lease has
+        expired.
+
+        A disconnected executor continues until its lease ends, on a clock that may be 2% slow.
+        Restarted any earlier, its tasks would run twice.
         """
         owner = OwnerUnderTest("i-0", "i-1")
         owner.scheduler.accept(job(A), START_MS)
@@ -233,8 +252,10 @@
         self.assertEqual([run.attempt for run in owner.place()], [2])
 
     def test_an_executor_that_starts_anew_and_vanishes_holds_no_task_back(self) -> None:
-        """An executor starts anew while an order is on its way to it, and is gone before its new life has
-        answered once. Its owner waited for that answer for ever, and the job's caller with it.
+        """Guards against a task that waits forever for an executor that restarted and vanished.
+
+        An executor restarts while an order is on its way to it, and is lost before the new
+        incarnation answers. The owner waited for that answer forever, and so did the job's caller.
         """
         owner = OwnerUnderTest("i-0", "i-1")
         owner.scheduler.accept(job(A), START_MS)
@@ -252,8 +273,11 @@
         self.assertEqual([(one.attempt, one.executor is reborn) for one in again], [(2, False)])
 
     def test_an_answer_of_an_earlier_life_is_not_mixed_in(self) -> None:
-        """An executor starts anew while the answer to a poll is under way. Its old list would make
-        the owner wait for runs that are long gone.
+        """Guards against mixing the answer of an earlier incarnation into the state of the present
+        one.
+
+        An executor restarts while the answer to a poll is under way. With the old list, the owner
+        would wait for runs that are over.
         """
         owner = OwnerUnderTest("i-0")
         owner.scheduler.accept(job(A), START_MS)
@@ -263,8 +287,11 @@
         self.assertEqual(owner.executor().runs, {})
 
     def test_a_failed_look_of_a_life_that_was_given_up_leaves_the_next_one_alone(self) -> None:
-        """An executor crashes, is given up and comes back under its id while a poll of before is
-        out. When that poll failed, the new life vanished from the tables, and jobs hung for ever.
+        """Guards against a failed poll of an earlier incarnation that removes the present one.
+
+        An executor crashes, is given up, and registers again under its id while a poll is pending.
+        When that poll failed, the new incarnation was dropped from the tables, and its jobs hung
+        forever.
         """
         owner = OwnerUnderTest("i-0")
         given_up = owner.executor()
@@ -276,8 +303,11 @@
         self.assertIn(ExecutorId("i-0"), owner.scheduler.executors)
 
     def test_the_clock_of_an_executor_is_not_taken_for_that_of_the_instance(self) -> None:
-        """An instance has been up for hours when an executor starts, whose clock begins at 0. Taken
-        to be hours ahead, its leases were cut short and its tasks given away while they still ran.
+        """Guards against estimating an executor's clock by that of the instance.
+
+        An executor's clock begins at 0 when it starts. When it was taken to be hours ahead, like
+        the instance's own clock, its leases were cut short and its tasks were started elsewhere
+        while they still ran.
         """
         owner = OwnerUnderTest("i-0", polled=False)
         self.assertLess(owner.executor().clock(owner.now + 1.0), 1100)
@@ -291,8 +321,10 @@
         self.assertEqual(owner.stops(), [run])
 
     def test_an_owner_that_finds_an_executor_leaving_moves_its_tasks_too(self) -> None:
-        """An executor announces that it leaves, and the owner dies. Its successor meets the executor
-        as one that leaves already; its lasting tasks were cut off when it exited.
+        """Guards against a successor that ignores an executor which is already draining.
+
+        The earlier owner was lost after the executor announced that it drains. Its long-running
+        tasks were cut off when it exited.
         """
         owner = OwnerUnderTest()
         leaving = registration("i-0", draining=True)
@@ -304,9 +336,8 @@
         self.assertEqual([run.task.name for run in owner.stops()], [f"{A}.0.0.0"])
 
     def test_a_run_that_stands_still_is_stopped(self) -> None:
-        """A worker hangs: its task's progress stays where it is, and without this its caller would
-        wait for ever for an answer that never comes.
-        """
+        """Guards against a run that hangs: its progress stops, and its caller would wait
+        forever."""
         owner = OwnerUnderTest("i-0", "i-1")
         owner.scheduler.accept(job(A), START_MS)
         (run,) = owner.place()
@@ -317,7 +348,7 @@
 
 
 class FailuresTest(unittest.TestCase):
-    """Attempts are counted once, and blamed on the right one."""
+    """Each failed attempt is counted once, and against the task or executor at fault."""
 
     def test_a_job_fails_when_a_task_has_used_its_attempts(self) -> None:
         owner = OwnerUnderTest("i-0")
@@ -333,9 +364,11 @@
         self.assertEqual(owner.place(), [])
 
     def test_a_failure_that_was_stored_is_not_counted_again_by_the_next_owner(self) -> None:
-        """An owner stores a failed attempt and dies before the executor was told to forget it. Its
-        successor finds the end in the list again; counted twice, the job would be shown as failed
-        though it had another attempt.
+        """Guards against counting a stored failure a second time.
+
+        An owner stores a failed attempt and is lost before the executor is told to forget it. Its
+        successor finds the end in the list again; counted twice, the job would fail although it has
+        another attempt.
         """
         owner = OwnerUnderTest()
         stored = StoredTask(0, 0, 0, AttemptNumber(1), (1,))
@@ -371,7 +404,7 @@
     """What a new owner may start, and when."""
 
     def setUp(self) -> None:
-        """A job of two steps that an earlier owner may have begun, and two executors."""
+        """Set up a job of two steps that an earlier owner may have begun, and two executors."""
         self.owner = OwnerUnderTest()
         self.spec = job(A, step(), step(after=(0,)))
         self.owner.scheduler.recover(
@@ -383,8 +416,10 @@
         )
 
     def test_a_task_waits_until_every_executor_has_answered(self) -> None:
-        """An owner is killed just after it started a task, before anything of that was stored. Its
-        successor finds the job without a trace of it; started at once, the task would run twice.
+        """Guards against starting a task that an earlier owner has started without storing it.
+
+        An owner is killed just after it started a task. Its successor finds no record of the run;
+        started immediately, the task would run twice.
         """
         self.owner.poll("i-0")
         self.assertEqual(self.owner.place(), [])
@@ -400,8 +435,11 @@
         self.assertEqual(len(self.owner.executor("i-0").runs), 1)
 
     def test_the_next_step_waits_too_when_the_end_of_the_one_before_comes_first(self) -> None:
-        """The first executor lists the end of the first step, and the second one runs the next step
-        already. Started on the strength of the end alone, that step would run twice.
+        """Guards against starting a step that already runs on an executor which has not answered
+        yet.
+
+        The first executor lists the end of the first step, and the second one already runs the next
+        step.
         """
         self.owner.end("i-0", TaskName(f"{A}.0.0.0"), 1, EndReason.DONE)
         self.owner.poll("i-0")
@@ -423,8 +461,11 @@
         self.assertEqual([run.task.name for run in self.owner.place()], ["00000000000000bb.0.0.0"])
 
     def test_executors_whose_registration_has_lapsed_are_waited_for(self) -> None:
-        """Registrations lapse while the store is away. An owner that is elected when it comes back
-        sees three executors of thirty; the others still run what their last owner had started.
+        """Guards against starting tasks of executors whose registrations have expired.
+
+        Registrations expire while the store is unavailable. An owner that is elected when the store
+        returns sees three executors of thirty; the others still run the tasks that their last owner
+        started.
         """
         owner = OwnerUnderTest()
         owner.scheduler.recover(
@@ -437,8 +478,10 @@
         self.assertEqual(run.executor.executor, "i-0")
 
     def test_a_run_that_was_given_up_is_stopped_when_it_turns_up(self) -> None:
-        """A worker leaves an order unanswered and carries it out seconds later, when the task has
-        long been started elsewhere under a higher number.
+        """Guards against a late start that runs next to its replacement.
+
+        An executor leaves an order unanswered and carries it out seconds later, after the task has
+        been started elsewhere under a higher attempt number.
         """
         self.owner.poll("i-0")
         self.owner.poll("i-1")
@@ -452,9 +495,12 @@
         )
 
     def test_what_the_last_owner_lets_an_executor_run_counts_from_its_first_answer(self) -> None:
-        """An owner renews an executor's lease and goes. Its successor finds the task there, and then
-        nothing gets through to that executor, also none of its own renewals. The executor goes on under
-        the lease of before; started elsewhere at once, the task would run in two places.
+        """Guards against taking a lease granted by an earlier owner for expired.
+
+        An owner renews an executor's lease and is lost. Its successor finds the task there, and
+        then cannot reach the executor any more, not even with its own renewals. The executor
+        continues under the earlier lease; started elsewhere immediately, the task would run in two
+        places.
         """
         found = RunningRow(TaskName(f"{A}.0.0.0"), AttemptNumber(1), "", 40, 0.0)
         self.owner.poll("i-0", found)
@@ -470,9 +516,11 @@
         self.assertEqual([(run.attempt, run.executor.executor) for run in again], [(2, "i-1")])
 
     def test_a_lease_outlives_what_the_owner_remembers_of_its_executor(self) -> None:
-        """An idle executor vanishes just after its lease was renewed, is dropped, and comes back. It gets
-        a task and vanishes again. The task goes on under the renewal of before, as if nothing had been
-        forgotten, and must not start elsewhere meanwhile.
+        """Guards against forgetting a lease together with the state of its executor.
+
+        An idle executor vanishes just after its lease was renewed, is dropped, and registers again.
+        It gets a task and vanishes again. The task continues under the earlier renewal and must not
+        start elsewhere before it ends.
         """
         owner = OwnerUnderTest("i-0")
         owner.executor().lease_until_ms = owner.clock() + LEASE_MS
@@ -493,9 +541,11 @@
         self.assertEqual([again.attempt for again in owner.place()], [2])
 
     def test_an_executor_is_waited_for_until_it_has_listed_all_its_ends(self) -> None:
-        """The store was away, and more has ended on an executor than one answer lists. Its owner is
-        replaced when the store is back, and the successor starts what ended well, but isn't listed yet,
-        a second time.
+        """Guards against releasing held tasks before an executor has listed all of its ends.
+
+        While the store was unavailable, more runs have ended on an executor than one answer lists.
+        The owner is replaced when the store returns, and its successor starts a task again that
+        ended successfully but isn't listed yet.
         """
         self.owner.poll("i-1")
         self.owner.poll("i-0", ends_may_be_cut=True)
@@ -517,7 +567,7 @@
     """An executor gets runs only while a successor would wait for it."""
 
     def setUp(self) -> None:
-        """An owner whose writes get no answer, and a job."""
+        """Set up an owner whose writes are not confirmed."""
         self.owner = OwnerUnderTest()
         self.owner.store_answers = False
 
@@ -527,8 +577,10 @@
         return bool(self.owner.place())
 
     def test_an_executor_waits_for_the_write_that_holds_it(self) -> None:
-        """A write without an answer may not have been carried out. The next owner would know nothing of
-        the executor, and start what runs there a second time.
+        """Guards against using an executor before the write that contains it is confirmed.
+
+        An unanswered write may not have been carried out. The next owner would not know the
+        executor, and would start its tasks a second time.
         """
         self.owner.scheduler.register(registration("i-0"), self.owner.now)
         self.owner.poll("i-0")
@@ -537,14 +589,15 @@
         self.assertEqual(len(self.owner.place()), 1)
 
     def test_executors_that_an_earlier_owner_had_stored_are_used_at_once(self) -> None:
-        """A takeover while the store is slow would otherwise leave callers waiting for one more write."""
+        """Guards against a takeover that waits for another write while the store is slow."""
         known = registration("i-0")
         self.owner.scheduler.recover([], [known], [known], self.owner.now, START_MS)
         self.owner.poll("i-0")
         self.assertTrue(self._is_used())
 
     def test_an_executor_that_was_dropped_is_stored_again(self) -> None:
-        """The list was written without it meanwhile."""
+        """Guards against an executor that is missing from the list, which was written without
+        it."""
         known = registration("i-0")
         self.owner.scheduler.recover([], [known], [known], self.owner.now, START_MS)
         self.owner.poll("i-0")
@@ -556,8 +609,10 @@
         self.assertFalse(self._is_used())
 
     def test_an_executor_that_has_moved_is_stored_again(self) -> None:
-        """It is at another address. The next owner, which may not see its registration, would look for it
-        where it was, give it up after some seconds, and its callers would have waited for nothing.
+        """Guards against a successor that looks for an executor at its earlier address.
+
+        A successor that doesn't see the new registration would give the executor up after some
+        seconds, and its callers would wait for nothing.
         """
         known = registration("i-0")
         self.owner.scheduler.recover([], [known], [known], self.owner.now, START_MS)
@@ -572,11 +627,13 @@
 
 
 class StoredEndsTest(unittest.TestCase):
-    """An executor may forget an end only when it is stored."""
+    """An executor may forget an end only when the end is stored."""
 
     def test_an_end_is_forgettable_once_its_change_is_stored(self) -> None:
-        """If an executor forgot an end that is not stored yet and the owner died, nobody would know
-        that the task is done, and it would run again.
+        """Guards against losing an end that is not stored yet.
+
+        If the executor forgot it and the owner was lost, no record would show that the task is
+        done, and it would run again.
         """
         owner = OwnerUnderTest("i-0")
         owner.scheduler.accept(job(A), START_MS)
@@ -595,15 +652,16 @@
 
 
 class GangsTest(unittest.TestCase):
-    """Tasks that work only together."""
+    """Gangs: tasks that work only together."""
 
     def setUp(self) -> None:
-        """Two executors that hold three members each."""
+        """Set up two executors with room for three members each."""
         self.owner = OwnerUnderTest("i-0", "i-1")
         self.gang = step(count=4, cpu_millis=5000, gang=True, checkpointing=True)
 
     def test_all_members_start_at_once_or_none(self) -> None:
-        """Two gangs that each get half of the room would wait for each other for good."""
+        """Guards against two gangs that each get half of the resources and wait for each other
+        forever."""
         self.owner.scheduler.accept(job(A, self.gang), START_MS)
         runs = self.owner.place()
         self.assertEqual({run.attempt for run in runs}, {1})
@@ -625,8 +683,10 @@
         self.assertIs(known.state, JobState.COMPLETED)
 
     def test_a_broken_gang_starts_again_together_from_one_checkpoint(self) -> None:
-        """An executor fails one member; the others end as broken. Started one by one, each would hold
-        its room and wait for the others.
+        """Guards against restarting the members of a broken gang one by one.
+
+        An executor fails one member, and the others end as broken. Each restarted member would hold
+        its resources and wait for the others.
         """
         self.owner.scheduler.accept(job(A, self.gang), START_MS)
         runs = self.owner.place()
@@ -641,8 +701,10 @@
         self.assertEqual(len(again), 4)
 
     def test_a_gang_that_a_predecessor_began_in_part_is_stopped_and_started_anew(self) -> None:
-        """An owner is killed while it sends out the members of a gang. Those that were started wait
-        for the others, which nobody starts.
+        """Guards against a gang of which an earlier owner started only a part.
+
+        The owner was killed while it sent out the members. The started ones wait for the others,
+        which are never started.
         """
         owner = OwnerUnderTest()
         owner.scheduler.recover(
@@ -673,11 +735,12 @@
 
 
 class BlameTest(unittest.TestCase):
-    """Tasks that can't succeed are told from executors that fail everything."""
+    """Tasks that can't succeed are distinguished from executors that fail everything."""
 
     def test_a_task_that_fails_everywhere_does_not_put_executors_out_of_use(self) -> None:
-        """Many jobs come that can never be done. Blamed for each of their failures, all executors
-        would be avoided and sound jobs would find no place.
+        """Guards against avoiding all executors because many jobs arrive that can't succeed.
+
+        If each of their failures counted against the executor, sound jobs would find no executor.
         """
         owner = OwnerUnderTest("i-0", "i-1")
         owner.scheduler.configure(table(queue(attempts=9)))
@@ -702,10 +765,10 @@
 
 
 class TicketsTest(unittest.TestCase):
-    """Queues whose policy lets only some executors run a step."""
+    """Queues whose advisor permits only some executors to run a step."""
 
     def setUp(self) -> None:
-        """A queue that needs tickets, and two executors."""
+        """Set up a queue that needs tickets, and two executors."""
         self.owner = OwnerUnderTest("i-0", "i-1")
         self.owner.scheduler.configure(table(queue(needs_tickets=True)))
         self.owner.scheduler.accept(job(A), START_MS)
@@ -728,8 +791,10 @@
         self.assertEqual((run.executor.executor, run.ticket), ("i-1", "t"))
 
     def test_an_advisor_that_does_not_answer_is_asked_again(self) -> None:
-        """The advisor is busy and turns a question away. Asked again at once it would only be busier;
-        never asked again, the job would wait for good.
+        """Guards against a job that waits forever because the advisor did not answer.
+
+        The advisor is busy and rejects a question. Asked again immediately it would only be busier,
+        so the question is repeated after a delay.
         """
         self._answer(self._ask(), None)
         self.owner.scheduler.place(self.owner.now, START_MS)
@@ -738,7 +803,7 @@
         self._ask()
 
     def test_a_ticket_that_is_refused_is_not_used_again(self) -> None:
-        """A ticket runs out on its way. Sent again and again, the start would be refused each time."""
+        """Guards against sending an expired ticket again and again, which is refused each time."""
         self._answer(self._ask(), {ExecutorId("i-1"): "old"})
         (run,) = self.owner.send()
         self.owner.answer_start(run, CallOutcome.NO_TICKET)
--- a/fireflyfork/decisions/jobs/tests/test_standing.py
+++ b/fireflyfork/decisions/jobs/tests/test_standing.py
@@ -1,4 +1,4 @@
-"""Which instance should own a service."""
+"""The choice of the instance to own a service."""
 
 import unittest
 
@@ -15,7 +15,7 @@
 
 
 class StrengthTest(unittest.TestCase):
-    """What an instance can carry."""
+    """The capacity of an instance."""
 
     def test_the_scarcer_of_processor_and_link_counts(self) -> None:
         for processors, link_mbps, near, expected in (
@@ -29,7 +29,7 @@
 
 
 class BidTest(unittest.TestCase):
-    """Who asks first for a service that nobody owns."""
+    """The order in which instances bid for a vacant service."""
 
     @given(fleets)
     def test_the_strongest_never_waits(self, fleet: list[Standing]) -> None:
@@ -43,18 +43,20 @@
         self.assertEqual(delays, sorted(delays, reverse=True))
 
     def test_equals_do_not_wait_for_each_other(self) -> None:
-        """Callers of a fleet of equal instances pay nothing for the ranking."""
+        """The ranking costs no time in a fleet of equal instances."""
         fleet = [Standing(NodeName(f"n-{i}"), 0.43) for i in range(9)]
         self.assertEqual({bid_delay(one, fleet) for one in fleet}, {0.0})
 
 
 class HandOverTest(unittest.TestCase):
-    """When an owner leaves its part to another instance."""
+    """When an owner hands its service over to another instance."""
 
     @given(fleets)
     def test_hand_overs_end(self, fleet: list[Standing]) -> None:
-        """A service that is handed from one instance to the next and back has no owner half of the time.
-        Each hand-over goes to a much stronger instance, so they come to an end.
+        """Guards against a service that is handed over again and again, and has no owner half of
+        the time.
+
+        Each hand-over goes to a much stronger instance, so their number is limited.
         """
         owner, hand_overs = min(fleet, key=lambda one: one.strength), 0
         while should_hand_over(owner, fleet):
--- a/fireflyfork/decisions/jobs/tests/test_stragglers.py
+++ b/fireflyfork/decisions/jobs/tests/test_stragglers.py
@@ -7,13 +7,13 @@
 
 
 class StragglersTest(unittest.TestCase):
-    """One executor works at a sixth of its speed; it answers every poll and fails nothing."""
+    """One executor works at a sixth of its speed; it answers every poll and fails no task."""
 
     def setUp(self) -> None:
         self.owner = OwnerUnderTest("i-0", "i-1")
 
     def _start(self, number: int, **changes: object) -> Run:
-        """A job of one task, started while only ``i-0`` has room for it."""
+        """Start a job of one task while only `i-0` is usable."""
         self.owner.executor("i-1").emptied = True
         name = f"{number:016x}"
         self.owner.scheduler.accept(job(name, step(**changes)), START_MS)
@@ -28,8 +28,9 @@
         self.owner.tick(0.1)
 
     def test_a_slow_run_of_a_step_that_may_be_copied_gets_a_copy(self) -> None:
-        """A clerk waits for the slowest task of a booking, and one of them is on the slow executor. A
-        copy elsewhere is done in a fraction of what is left; whichever ends first counts.
+        """Guards against callers that wait for the slowest task of a job on a slow executor.
+
+        A copy elsewhere ends in a fraction of the remaining time; the run that ends first counts.
         """
         slow = self._start(1, speculative=True)
         self._report(0.9, slow, percent=15)
@@ -51,15 +52,17 @@
         self.assertEqual(self.owner.place(), [])
 
     def test_runs_of_two_jobs_show_that_the_executor_is_slow(self) -> None:
-        """Steps that may not be copied are stopped and started elsewhere; left where they are, their
-        callers would wait six times as long.
+        """Guards against leaving runs on a slow executor, where their callers wait six times as
+        long.
+
+        Steps that may not be copied are stopped and started elsewhere.
         """
         first, second = self._start(1), self._start(2)
         self._report(0.9, first, second, percent=15)
         self.assertEqual(set(self.owner.stops()), {first, second})
 
     def test_what_is_not_moved(self) -> None:
-        """A job whose own tasks are long would be moved from executor to executor and never end."""
+        """Guards against moving long tasks from executor to executor, so that they never end."""
         for name, changes, seconds, percent in (
             ("one job alone", {}, 0.9, 15),
             ("at its usual speed", {"speculative": True}, 0.9, 60),
@@ -74,7 +77,8 @@
                 self.assertEqual((self.owner.stops(), self.owner.place()), ([], []))
 
     def test_a_run_that_no_poll_has_listed_yet_is_not_judged(self) -> None:
-        """Its progress is not known. Taken for none, every run would be moved after half a second."""
+        """Guards against moving every run after half a second because its progress is still
+        unknown."""
         self._start(1, speculative=True)
         self.owner.tick(0.9)
         self.assertEqual(self.owner.place(), [])
--- a/fireflyfork/decisions/jobs/tests/test_upkeep.py
+++ b/fireflyfork/decisions/jobs/tests/test_upkeep.py
@@ -1,4 +1,4 @@
-"""Waves of upkeep: which machines are emptied, which go down, and when a wave is over."""
+"""Waves of upkeep: which machines are cordoned, which go down, and when a wave is over."""
 
 import unittest
 
@@ -30,7 +30,7 @@
     number: int = 1,
     services: dict[int, ServiceName] | None = None,
 ) -> WaveView:
-    """A wave of the machines 0 to 2, each the executor of its number while it is up."""
+    """Return a wave of the machines 0 to 2, each with the executor of its number while it is up."""
     machines = {
         _machine(one): MachineListing(
             _machine(one),
@@ -52,7 +52,7 @@
 
 
 class WaveViewTest(unittest.TestCase):
-    """What a listing and the stored marks tell of a wave."""
+    """What the list of machines and the stored marks show about a wave."""
 
     def test_when_a_wave_is_over(self) -> None:
         done = dict.fromkeys(range(3), BEGUN)
@@ -67,8 +67,9 @@
                 self.assertEqual(view.over(), over)
 
     def test_services_take_turns(self) -> None:
-        """A wave spans two services, whose owners don't hear of each other's orders. Both at work at
-        once, they took down more machines than the operator allows.
+        """Guards against two owners that together take down more machines than the operator allows.
+
+        A wave spans two services, and neither owner sees the other's orders.
         """
         services = {0: ServiceName("quotes"), 1: SERVICE, 2: SERVICE}
         self.assertEqual(_view(ALL_UP, services=services).turn_of(), SERVICE)
@@ -77,7 +78,7 @@
 
 
 class UpkeepTest(unittest.TestCase):
-    """An owner's part in a wave."""
+    """The part of an owner in a wave."""
 
     def setUp(self) -> None:
         self.owner = OwnerUnderTest("i-0", "i-1", "i-2")
@@ -86,7 +87,7 @@
         return self.owner.scheduler.next_upkeep(views, self.owner.now)
 
     def _serving(self, count: int, budget: int) -> list[Run]:
-        """Lasting tasks, one on each executor, all at work."""
+        """Start long-running tasks, one on each executor, that all serve."""
         lasting = step(
             count=count, long_running=True, per_executor_limit=1, unavailable_budget=budget
         )
@@ -102,16 +103,20 @@
                 self.assertEqual(len(self._orders(_view(ALL_UP, most_at_once=most))), expected)
 
     def test_an_order_without_an_answer_counts_as_down_and_is_repeated(self) -> None:
-        """The answer to an order is lost. Taken for refused, the next machine went down beside it when
-        it was carried out after all, and the operator's limit was broken.
+        """Guards against more machines down than the operator allows.
+
+        The answer to an order is lost. Taken for refused, it was carried out after all while the
+        next machine went down.
         """
         view = _view(ALL_UP, {0: ORDERED})
         self.assertEqual(self._orders(view), [(1, _machine(0))])
         self.assertFalse(self.owner.executor("i-0").usable(self.owner.now))
 
     def test_a_machine_whose_order_may_come_late_gets_no_work_from_the_next_owner(self) -> None:
-        """An owner dies right after it has ordered a machine down. Its successor started tasks there,
-        and the late order ended them at once.
+        """Guards against a successor that starts tasks on a machine which is about to go down.
+
+        The earlier owner was lost right after it had ordered the machine down; the late order ended
+        the new tasks.
         """
         mark = UpkeepMark(ORDERED, ExecutorId("i-1"))
         self.owner.scheduler.recover_upkeep([(_machine(1), mark)], self.owner.now)
@@ -119,8 +124,10 @@
         self.assertEqual(usable, [0, 2])
 
     def test_an_executor_that_its_owner_hears_of_later_is_kept_free_as_well(self) -> None:
-        """The same, but the executor's registration is away while the next owner reads, or it is dropped
-        for a while. Met again, it got tasks, and the late order ended them.
+        """Guards against forgetting that an executor is cordoned while it is not registered.
+
+        The executor's registration is missing while the next owner reads the store, or the executor
+        is dropped for a while. Registered again, it got tasks, and the late order ended them.
         """
         mark = UpkeepMark(ORDERED, ExecutorId("i-9"))
         self.owner.scheduler.recover_upkeep([(_machine(9), mark)], self.owner.now)
@@ -135,15 +142,18 @@
         self.assertFalse(self.owner.executor("i-9").usable(self.owner.now))
 
     def test_a_machine_is_not_ordered_down_for_two_waves_at_once(self) -> None:
-        """Two waves name the same machine. Ordered for both, the second order was refused while it was
-        down, and repeated just when it was back with new work.
+        """Guards against ordering a machine down for two waves at once.
+
+        The second order was refused while the machine was down, and repeated just when it was back
+        with new work.
         """
         orders = self._orders(_view(ALL_UP), _view(ALL_UP, number=2))
         self.assertEqual(len({machine for _, machine in orders}), len(orders))
 
     def test_a_machine_goes_down_only_when_its_tasks_have_ended(self) -> None:
-        """A short task is at work on a machine that is due. Upkeep ends everything there at once, so
-        the task's time would be lost and its caller would wait for a second run.
+        """Guards against upkeep that ends short tasks on a machine.
+
+        The work done would be lost, and the caller would wait for a second run.
         """
         self.owner.scheduler.accept(job("00000000000000bb", step(count=9)), START_MS)
         runs = self.owner.place()
@@ -160,8 +170,10 @@
         self.assertEqual(self._orders(view), [(1, _machine(emptied))])
 
     def test_lasting_tasks_are_moved_one_after_the_other(self) -> None:
-        """Two tasks of a service stand on machines that are due. Both stopped at once, its users had
-        fewer at work than they are promised.
+        """Guards against stopping several tasks of a service at once.
+
+        Both run on machines that are due, and its users would have fewer tasks than they are
+        promised.
         """
         for budget, expected in ((0, 1), (1, 1), (2, 2)):
             with self.subTest(budget):
@@ -174,8 +186,9 @@
                 self.assertEqual(self.owner.stops(), [])
 
     def test_machines_take_work_again_when_a_wave_is_withdrawn(self) -> None:
-        """An operator withdraws a wave while machines are emptied for it. They stood idle until the
-        next change of owner, and jobs waited for room that was there.
+        """Guards against machines that stay cordoned after an operator has withdrawn their wave.
+
+        They were idle until the next change of owner, while jobs waited for resources.
         """
         self._orders(_view(ALL_UP))
         self.assertTrue(self.owner.executor("i-0").emptied)
@@ -184,9 +197,8 @@
         self.assertEqual(usable, [True] * 3)
 
     def test_what_is_moved_does_not_go_where_it_would_be_moved_again(self) -> None:
-        """A service is moved off a machine that is due, onto one that is due next, and away once more:
-        its users wait for it twice.
-        """
+        """Guards against moving a service to a machine that is due next, so that users wait
+        twice."""
         lasting = step(long_running=True, image="web", tail_target_ms=18, cpu_millis=3000)
         self._orders(_view({0: UP, 1: UP}))
         self.owner.scheduler.accept(job("00000000000000aa", lasting), START_MS)
--- a/fireflyfork/decisions/jobs/tests/test_upstreams.py
+++ b/fireflyfork/decisions/jobs/tests/test_upstreams.py
@@ -1,7 +1,7 @@
-"""From whom instances hear of the configuration.
+"""The choice of the instances from which the configuration is read.
 
-The pattern: dozens of instances in several failure domains of two regions, and configurations that are large for
-the link between these.
+Dozens of instances are in several failure domains of two regions, and configurations are large for
+the link between the regions.
 """
 
 import unittest
@@ -16,7 +16,7 @@
 from .._upstreams import UPSTREAMS, choose_upstreams
 
 DOMAINS = {"suva": True, "nadi": True, "labasa": False, "taveuni": False}
-"""Whether the store is in their region."""
+"""Whether the store is in the region of a failure domain."""
 
 
 def _instance(number: int, domain: str, strength: float, near: bool | None = None) -> Standing:
@@ -40,11 +40,11 @@
 
 
 class UpstreamsTest(unittest.TestCase):
-    """Who follows whom."""
+    """Which instances follow which."""
 
     @given(fleets)
     def test_following_leads_to_the_store(self, fleet: list[Standing]) -> None:
-        """Instances that followed each other in a circle would never hear of a change."""
+        """Guards against instances that follow each other in a cycle and never receive a change."""
         for own in fleet:
             seen = [own]
             while (found := _upstream(seen[-1], fleet)) is not None:
@@ -54,7 +54,7 @@
 
     @given(fleets)
     def test_each_failure_domain_is_told_once_from_outside(self, fleet: list[Standing]) -> None:
-        """A large configuration that each instance has sent over the link between regions fills it."""
+        """Guards against sending a large configuration between regions once per instance."""
         from_outside = Counter(
             own.failure_domain
             for own in fleet
@@ -76,12 +76,12 @@
         self.assertEqual(set(choose_upstreams(far, [far, *near])), {near[1], near[2]})
 
     def test_without_an_instance_near_the_store_heads_follow_the_store(self) -> None:
-        """A slow store makes all instances measure that they are far from it."""
+        """A slow store makes every instance measure that it is far from the store."""
         fleet = [_instance(number, "suva", 1.0, near=False) for number in range(3)]
         self.assertEqual(choose_upstreams(fleet[0], fleet), ())
 
     def test_instances_that_tell_nothing_are_not_followed(self) -> None:
-        """Some have no port to spare for it."""
+        """Some instances have no spare port to serve a replica."""
         mute = Standing(NodeName("n-1"), 2.0, FailureDomainName("suva"), near_store=True)
         own = _instance(2, "suva", 1.0)
         self.assertEqual(choose_upstreams(own, [mute, own]), ())
--- a/fireflyfork/decisions/jobs/tests/test_urgency.py
+++ b/fireflyfork/decisions/jobs/tests/test_urgency.py
@@ -1,4 +1,4 @@
-"""In which order waiting tasks are placed."""
+"""The order in which waiting tasks are placed."""
 
 import unittest
 
@@ -16,7 +16,7 @@
 
 
 class UrgencyTest(unittest.TestCase):
-    """Least work first among jobs that can meet their objective; the late ones stand behind."""
+    """Jobs that can meet their objective go first, ordered by least work; late ones follow."""
 
     def test_of_jobs_with_as_much_work_the_earlier_objective_goes_first(self) -> None:
         owner = OwnerUnderTest()
@@ -25,8 +25,10 @@
         self.assertLess(urgency(soon, START_MS), urgency(later, START_MS))
 
     def test_the_least_work_goes_first(self) -> None:
-        """A rush brings more than can be done. Begun in the order of their objectives, all jobs get a
-        part of the room and most callers wait in vain; the small ones alone would have been in time.
+        """Guards against serving jobs by objective under overload.
+
+        All jobs would get a part of the resources and most callers would wait in vain; the small
+        ones alone would have been in time.
         """
         owner = OwnerUnderTest()
         large = _task(owner, "00000000000000aa", 2000, age_ms=100)
@@ -42,17 +44,17 @@
         self.assertEqual(wide.job.remaining_work(), 0)
 
     def test_jobs_of_no_more_use_go_by_age(self) -> None:
-        """They still have to end. Sorted by their work, a large one would wait for ever while small ones
-        keep coming.
-        """
+        """Guards against a large job that waits forever while small ones keep arriving."""
         owner = OwnerUnderTest()
         large = _task(owner, "00000000000000aa", 600, age_ms=60_000)
         small = _task(owner, "00000000000000bb", 500, age_ms=30_000)
         self.assertLess(urgency(large, START_MS), urgency(small, START_MS))
 
     def test_a_job_that_is_late_anyway_stands_behind_those_that_can_be_in_time(self) -> None:
-        """More work comes than can be done. Served by age alone, each job waits for others that are
-        late already and ends late itself, so that no caller gets an answer in time.
+        """Guards against serving jobs by age alone under overload.
+
+        Each job would wait for others that are already late and end late itself, so no caller would
+        get an answer in time.
         """
         owner = OwnerUnderTest()
         late = _task(owner, "00000000000000aa", 500, age_ms=1900)
