--- a/bench/job_scheduler_cost.py
+++ b/bench/job_scheduler_cost.py
@@ -133,7 +133,7 @@
         self._scheduler.take_commands()
         self._scheduler.take_notes()
         self._scheduler.jobs.changes.take(10**6)
-        self._scheduler.jobs.changes.stored()
+        self._scheduler.jobs.changes.mark_stored()
         self._scheduler.note_stored()
         self._scheduler.check_time(self._now, 0)
 
--- a/fireflyfork/decisions/jobs/__init__.py
+++ b/fireflyfork/decisions/jobs/__init__.py
@@ -4,11 +4,18 @@
 from ._change_log import ChangeLog
 from ._commands import AskAdvice, Command, PaceRun, RunCommand, StartRun, StopRun
 from ._executors import ExecutorRegistration, ExecutorRoom, ExecutorState
+from ._instance_standing import (
+    InstanceStanding,
+    bid_delay,
+    choose_relays,
+    has_stronger,
+    should_hand_over,
+    strength,
+)
 from ._interference import LearnedFit
 from ._job_table import JobTable
 from ._load_shedding import Shed
 from ._notes import ExecutorGivenUp, JobOver, Note, RunEnded, TaskSent
-from ._overs import RunOver
 from ._progress import JobState, StoredProgress, StoredTask
 from ._queues import QueueTable, QueueTerms, queue_table
 from ._reports import (
@@ -21,10 +28,10 @@
     RunningRow,
     StartRequest,
 )
+from ._run_end_evidence import RunEndEvidence
 from ._runs import Job, Run, RunPhase, Task
 from ._scheduler import Scheduler, SchedulerTerms
 from ._specs import JobSpec, StepSpec, TaskKey, parse_task_name, step_name
-from ._standing import Standing, bid_delay, can_do_better, choose_relays, should_hand_over, strength
 from ._stored_forms import (
     StoredFormatError,
     decode_learned,
@@ -53,6 +60,7 @@
     "ExecutorRegistration",
     "ExecutorRoom",
     "ExecutorState",
+    "InstanceStanding",
     "Job",
     "JobOver",
     "JobSpec",
@@ -70,14 +78,13 @@
     "QueueTerms",
     "Run",
     "RunCommand",
+    "RunEndEvidence",
     "RunEnded",
-    "RunOver",
     "RunPhase",
     "RunningRow",
     "Scheduler",
     "SchedulerTerms",
     "Shed",
-    "Standing",
     "StartRequest",
     "StartRun",
     "StepSpec",
@@ -95,7 +102,6 @@
     "WaitReason",
     "WaveView",
     "bid_delay",
-    "can_do_better",
     "choose_relays",
     "choose_upstreams",
     "decode_learned",
@@ -108,6 +114,7 @@
     "encode_progress",
     "encode_registrations",
     "encode_upkeep_mark",
+    "has_stronger",
     "parse_task_name",
     "queue_table",
     "should_hand_over",
--- a/fireflyfork/decisions/jobs/_change_log.py
+++ b/fireflyfork/decisions/jobs/_change_log.py
@@ -24,9 +24,9 @@
     @property
     def stored_to(self) -> int:
         """The highest number up to which all changes are stored."""
-        waiting = next(iter(self._unstored.values()), self._last + 1)
-        flying = min(self._in_flight.values(), default=waiting)
-        return min(waiting, flying) - 1
+        first_unstored = next(iter(self._unstored.values()), self._last + 1)
+        first_in_flight = min(self._in_flight.values(), default=first_unstored)
+        return min(first_unstored, first_in_flight) - 1
 
     def __len__(self) -> int:
         """Return the number of jobs with changes to store."""
@@ -36,23 +36,23 @@
         """Whether a job has changes that may not be stored yet."""
         return job in self._unstored or job in self._in_flight
 
-    def note(self, job: JobId) -> int:
+    def record(self, job: JobId) -> int:
         """Record a change of a job. Returns the number of the change."""
         self._last += 1
         self._unstored.setdefault(job, self._last)
         return self._last
 
-    def take(self, most: int) -> tuple[JobId, ...]:
+    def take(self, max_jobs: int) -> tuple[JobId, ...]:
         """Return up to `max_jobs` of the jobs that have waited longest.
 
         They stay in flight until `stored` or `put_back` is called.
         """
-        jobs = tuple(job for job, _ in zip(self._unstored, range(most), strict=False))
+        jobs = tuple(job for job, _ in zip(self._unstored, range(max_jobs), strict=False))
         for job in jobs:
             self._in_flight[job] = self._unstored.pop(job)
         return jobs
 
-    def stored(self) -> None:
+    def mark_stored(self) -> None:
         """Mark the jobs in flight as stored."""
         self._in_flight.clear()
 
--- a/fireflyfork/decisions/jobs/_price_lists.py
+++ b/fireflyfork/decisions/jobs/_cost_caches.py
@@ -11,58 +11,58 @@
 
 from ._executors import ExecutorState
 from ._interference import InterferenceModel
-from ._placing import Price, price
+from ._placement_costs import PlacementCost, placement_cost
 from ._runs import Task
 
-LISTS_KEPT = 32
+MAX_CACHES = 32
 """Number of shapes with a cache, the most recently placed ones. Each cache has an entry for every
 executor."""
 
-MOST_PRICES = 8_192
+MAX_CACHE_ENTRIES = 8_192
 """Maximum number of entries in one cache."""
 
 
-class PriceList:
+class CostCache:
     """Costs of tasks that don't differ in anything that decides where they may run."""
 
     def __init__(self, task: Task, model: InterferenceModel) -> None:
         """Initialize for `task` and others of its shape."""
         self._task = task
         self._model = model
-        self._known: dict[ExecutorState, tuple[Hashable, Price | None]] = {}
+        self._cache: dict[ExecutorState, tuple[Hashable, PlacementCost | None]] = {}
 
-    def price(self, executor: ExecutorState) -> Price | None:
+    def cost(self, executor: ExecutorState) -> PlacementCost | None:
         """Return the cost on an executor at present, or None if the tasks can't run there."""
-        state = executor.priced_state
-        known = self._known.get(executor)
-        if known is not None and known[0] == state:
-            return known[1]
-        found = price(self._task, executor, self._model)
-        if len(self._known) >= MOST_PRICES:
+        state = executor.cost_state
+        cached = self._cache.get(executor)
+        if cached is not None and cached[0] == state:
+            return cached[1]
+        cost = placement_cost(self._task, executor, self._model)
+        if len(self._cache) >= MAX_CACHE_ENTRIES:
             # Most entries belong to executors that no longer exist.
-            self._known.clear()
-        self._known[executor] = (state, found)
-        return found
+            self._cache.clear()
+        self._cache[executor] = (state, cost)
+        return cost
 
 
-class PriceLists:
+class CostCaches:
     """The caches of the most recently placed shapes."""
 
     def __init__(self, model: InterferenceModel) -> None:
         """Initialize without caches."""
         self._model = model
-        self._lists: OrderedDict[Hashable, PriceList] = OrderedDict()
+        self._caches: OrderedDict[Hashable, CostCache] = OrderedDict()
 
-    def for_task(self, task: Task) -> PriceList:
+    def for_task(self, task: Task) -> CostCache:
         """Return the cache for a task's shape. The task must not have failed on any executor."""
         shape = _shape(task)
-        found = self._lists.get(shape)
-        if found is None:
-            found = self._lists[shape] = PriceList(task, self._model)
-            if len(self._lists) > LISTS_KEPT:
-                self._lists.popitem(last=False)
-        self._lists.move_to_end(shape)
-        return found
+        cache = self._caches.get(shape)
+        if cache is None:
+            cache = self._caches[shape] = CostCache(task, self._model)
+            if len(self._caches) > MAX_CACHES:
+                self._caches.popitem(last=False)
+        self._caches.move_to_end(shape)
+        return cache
 
 
 def _shape(task: Task) -> Hashable:
--- a/fireflyfork/decisions/jobs/_executors.py
+++ b/fireflyfork/decisions/jobs/_executors.py
@@ -11,10 +11,10 @@
 from ._interference import Sample
 from ._runs import Run
 
-SLOWEST_CLOCK = 0.98
+MIN_CLOCK_RATE = 0.98
 """Slowest rate of an executor's steady clock relative to real time: the platform documents that it
 may run 2% slow."""
-LAPSE_MARGIN_MS = 150
+LEASE_MARGIN_MS = 150
 """Milliseconds to wait after the end of a lease, for the time that an executor takes to kill its
 runs. Its stops take up to 200 ms; a part of that is already covered by the estimate of its clock,
 which is always behind by half a round trip or more."""
@@ -61,7 +61,7 @@
     stored."""
     runs: dict[tuple[TaskName, AttemptNumber], Run] = field(default_factory=dict)
     used_cpu_millis: int = 0
-    lasting_cpu_millis: int = 0
+    long_running_cpu_millis: int = 0
     """The part of `used_cpu_millis` that belongs to long-running tasks."""
     serving_cpu_millis: int = 0
     """The part of `used_cpu_millis` that belongs to serving tasks."""
@@ -69,16 +69,16 @@
     """CPU time that the tasks without a reservation here would use if they could."""
     used_memory_mb: int = 0
     used_accelerators: int = 0
-    promised_cpu_millis: int = 0
+    incoming_cpu_millis: int = 0
     """CPU time reserved for tasks that are being moved here."""
-    promised_memory_mb: int = 0
+    incoming_memory_mb: int = 0
     polled_at: float | None = None
     """When the last answered poll was sent; None before the first answer."""
     failed_polls: int = 0
     """Polls without an answer since the last answer."""
     answers_late: bool = False
     """Whether the last answer was late, so that orders would not be answered in time either."""
-    heard_at: float = float("-inf")
+    last_answer_at: float = float("-inf")
     """When the last answer arrived, late or not. An executor whose answers keep arriving is not
     silent, and its lease is renewed."""
     clock_ms: int = 0
@@ -87,11 +87,11 @@
     lease_until_ms: int = 0
     """The latest time on the executor's clock until which an order of this or an earlier owner may
     have let its runs continue; unknown before its first answer."""
-    seen_end: int = 0
+    processed_end: int = 0
     """Number of the last end that has been processed."""
     forgettable_end: int = 0
     """Number of the last end that is stored together with all ends before it."""
-    told_end: int = 0
+    released_end: int = 0
     """The executor has been told that it may forget ends up to this number."""
     unstored_ends: deque[tuple[int, int]] = field(default_factory=deque)
     """Pairs of the number of an end and the number of the change that must be stored before the
@@ -99,28 +99,28 @@
     avoided_until: float = 0.0
     leaving_since: float | None = None
     """When the executor was first seen to be draining; None while it is not."""
-    emptied: bool = False
+    cordoned: bool = False
     """Whether its machine is next to go down for upkeep, so that the executor gets no new work."""
     upkeep_due: bool = False
     """Whether its machine still has to go down in a wave of upkeep."""
-    strikes: int = 0
+    consecutive_failures: int = 0
     """Number of failures in a row; a task that ends successfully resets it."""
-    struck_at: float = 0.0
+    last_failure_at: float = 0.0
     """When the last failure occurred."""
     sampled_at: float = 0.0
     """When tail latencies were last sampled."""
-    undisturbed: dict[str, float] = field(default_factory=dict)
+    undisturbed_headroom: dict[str, float] = field(default_factory=dict)
     """By serving image: the lowest headroom that its tasks here would have without any disturbance,
     according to the last sample."""
-    lasting_headroom: dict[str, float] = field(default_factory=dict)
+    recent_min_headroom: dict[str, float] = field(default_factory=dict)
     """By serving image: the lowest undisturbed headroom of the recent past. Work that is placed now
     will still be here when the load has changed."""
-    missing_headroom: dict[str, float] | None = None
+    headroom_deficit: dict[str, float] | None = None
     """By serving image: the headroom to keep minus the headroom of its tasks here; None if it must
     be recomputed."""
-    changes: int = 0
+    change_count: int = 0
     """Counts the changes of the runs here or of their headroom."""
-    serving: dict[str, int] = field(default_factory=dict)
+    serving_counts: dict[str, int] = field(default_factory=dict)
     """By image: the number of serving tasks here."""
     samples: dict[TaskName, Sample] = field(default_factory=dict)
     """The last sample of each serving task here."""
@@ -150,7 +150,7 @@
         """
         return self.stored_address == self.registration.address
 
-    def usable(self, now: float) -> bool:
+    def is_usable(self, now: float) -> bool:
         """Whether new runs may be sent to the executor."""
         return (
             self.registered
@@ -158,20 +158,20 @@
             and self.answers
             and not self.answers_late
             and not self.registration.draining
-            and not self.emptied
+            and not self.cordoned
             and self.avoided_until <= now
         )
 
     @property
     def free_cpu_millis(self) -> int:
         """CPU time that is neither used nor reserved for tasks being moved here."""
-        used = self.used_cpu_millis + self.promised_cpu_millis
+        used = self.used_cpu_millis + self.incoming_cpu_millis
         return self.registration.room.cpu_millis - used
 
     @property
     def free_memory_mb(self) -> int:
         """Memory that is neither used nor reserved for tasks being moved here."""
-        return self.registration.room.memory_mb - self.used_memory_mb - self.promised_memory_mb
+        return self.registration.room.memory_mb - self.used_memory_mb - self.incoming_memory_mb
 
     def fits(self, cpu_millis: int, memory_mb: int, accelerators: int) -> bool:
         """Whether the given resources are free."""
@@ -183,35 +183,35 @@
         )
 
     @property
-    def priced_state(self) -> Hashable:
+    def cost_state(self) -> Hashable:
         """A value that changes whenever anything changes that affects the cost of a task here."""
         return (
-            self.changes,
-            self.strikes,
+            self.change_count,
+            self.consecutive_failures,
             self.upkeep_due,
-            self.promised_cpu_millis,
-            self.promised_memory_mb,
+            self.incoming_cpu_millis,
+            self.incoming_memory_mb,
             self.registration,
         )
 
-    def note_changed(self) -> None:
+    def mark_changed(self) -> None:
         """Note that the runs here, or their headroom, have changed."""
-        self.changes += 1
-        self.missing_headroom = None
+        self.change_count += 1
+        self.headroom_deficit = None
 
     def add(self, run: Run) -> None:
         """Allocate the resources of a run."""
         step = run.task.spec
-        self.note_changed()
+        self.mark_changed()
         self.runs[run.key] = run
         self.used_cpu_millis += step.reserved_cpu_millis
-        self.lasting_cpu_millis += step.reserved_cpu_millis if step.long_running else 0
+        self.long_running_cpu_millis += step.reserved_cpu_millis if step.long_running else 0
         self.used_memory_mb += step.memory_mb
         self.used_accelerators += step.accelerators
         self.best_effort_cpu_millis += step.cpu_millis if step.uses_leftover_cpu else 0
         if step.tail_target_ms:
             self.serving_cpu_millis += step.reserved_cpu_millis
-            self.serving[step.image] = self.serving.get(step.image, 0) + 1
+            self.serving_counts[step.image] = self.serving_counts.get(step.image, 0) + 1
         else:
             demand = self.disturbing_cpu_millis.get(step.image, 0)
             self.disturbing_cpu_millis[step.image] = demand + step.cpu_millis
@@ -221,36 +221,36 @@
         if self.runs.pop(run.key, None) is None:
             return
         step = run.task.spec
-        self.note_changed()
+        self.mark_changed()
         self.used_cpu_millis -= step.reserved_cpu_millis
-        self.lasting_cpu_millis -= step.reserved_cpu_millis if step.long_running else 0
+        self.long_running_cpu_millis -= step.reserved_cpu_millis if step.long_running else 0
         self.used_memory_mb -= step.memory_mb
         self.used_accelerators -= step.accelerators
         self.best_effort_cpu_millis -= step.cpu_millis if step.uses_leftover_cpu else 0
         if step.tail_target_ms:
             self.serving_cpu_millis -= step.reserved_cpu_millis
-            self._serves_less(step.image)
+            self._remove_serving_task(step.image)
         else:
             self.disturbing_cpu_millis[step.image] -= step.cpu_millis
             if not self.disturbing_cpu_millis[step.image]:
                 del self.disturbing_cpu_millis[step.image]
 
-    def _serves_less(self, image: str) -> None:
-        self.serving[image] -= 1
-        if not self.serving[image]:
+    def _remove_serving_task(self, image: str) -> None:
+        self.serving_counts[image] -= 1
+        if not self.serving_counts[image]:
             # Idle executors are not polled, so the last values seen would keep work away
             # permanently.
-            del self.serving[image]
-            self.undisturbed.pop(image, None)
-            self.lasting_headroom.pop(image, None)
+            del self.serving_counts[image]
+            self.undisturbed_headroom.pop(image, None)
+            self.recent_min_headroom.pop(image, None)
 
-    def clock(self, now: float) -> int:
+    def min_clock_ms(self, now: float) -> int:
         """Return a lower bound of the executor's steady clock, in milliseconds."""
-        return self.clock_ms + int((now - self.clock_at) * 1000 * SLOWEST_CLOCK)
+        return self.clock_ms + int((now - self.clock_at) * 1000 * MIN_CLOCK_RATE)
 
-    def note_clock(self, clock_ms: int, now: float) -> None:
+    def update_clock(self, clock_ms: int, now: float) -> None:
         """Update the clock estimate from an answer; answers may arrive out of order."""
-        if clock_ms >= self.clock(now):
+        if clock_ms >= self.min_clock_ms(now):
             self.clock_ms = clock_ms
             self.clock_at = now
 
@@ -260,7 +260,7 @@
 
     def lease_has_lapsed(self, now: float) -> bool:
         """Whether every run that was started under any lease has been killed by now."""
-        return self.clock(now) > self.lease_until_ms + LAPSE_MARGIN_MS
+        return self.min_clock_ms(now) > self.lease_until_ms + LEASE_MARGIN_MS
 
     def disturbing_shares(self) -> dict[str, float]:
         """By image: the share of the room that non-serving tasks here would use at full pace."""
@@ -269,9 +269,9 @@
 
     def working_runs(self) -> Iterator[Run]:
         """Yield the runs that are not being stopped."""
-        return (run for run in self.runs.values() if run.works)
+        return (run for run in self.runs.values() if run.is_active)
 
-    def begin_incarnation(self, registration: ExecutorRegistration, now: float) -> None:
+    def reset_for_incarnation(self, registration: ExecutorRegistration, now: float) -> None:
         """Reset the state for a new process of the executor.
 
         It has no runs and numbers its ends from 1.
@@ -282,16 +282,16 @@
         self.failed_polls = 0
         self.answers_late = False
         self.leaving_since = None
-        self.emptied = False
+        self.cordoned = False
         self.upkeep_due = False
         self.clock_ms = 0
         self.clock_at = now
         self.lease_until_ms = 0
-        self.seen_end = 0
+        self.processed_end = 0
         self.forgettable_end = 0
-        self.told_end = 0
+        self.released_end = 0
         self.unstored_ends.clear()
-        self.undisturbed = {}
-        self.lasting_headroom = {}
-        self.note_changed()
+        self.undisturbed_headroom = {}
+        self.recent_min_headroom = {}
+        self.mark_changed()
         self.samples = {}
--- a/fireflyfork/decisions/jobs/_gangs.py
+++ b/fireflyfork/decisions/jobs/_gangs.py
@@ -8,47 +8,51 @@
 from ._executors import ExecutorState
 from ._runs import Run, RunPhase, Task
 
-Choice = Callable[[Task, list[ExecutorState]], ExecutorState | None]
+ChooseExecutor = Callable[[Task, list[ExecutorState]], ExecutorState | None]
 
 
-def members(task: Task) -> list[Task]:
+def gang_members(task: Task) -> list[Task]:
     """Return all tasks of the gang that a task belongs to, or the task alone."""
     if not task.spec.gang:
         return [task]
     job, key = task.job, task.key
     return [
-        other
-        for other_key, other in job.tasks.items()
+        member
+        for other_key, member in job.tasks.items()
         if other_key.step == key.step and other_key.occurrence == key.occurrence
     ]
 
 
-def is_free(task: Task) -> bool:
+def has_no_runs(task: Task) -> bool:
     """Whether neither the task nor another member of its gang has a run."""
-    return not any(member.runs for member in members(task))
+    return not any(member.runs for member in gang_members(task))
 
 
 def next_attempt(task: Task) -> AttemptNumber:
     """Return the attempt number of the next run, which all members of a gang share."""
-    return AttemptNumber(max(member.attempt for member in members(task)) + 1)
+    return AttemptNumber(max(member.attempt for member in gang_members(task)) + 1)
 
 
-def failures(task: Task) -> int:
+def failed_attempt_count(task: Task) -> int:
     """Return how many attempts of the task, or of its gang, have failed."""
-    return len({attempt for member in members(task) for attempt in member.failed_attempts})
+    return len({attempt for member in gang_members(task) for attempt in member.failed_attempts})
 
 
-def save(task: Task, checkpoint: str) -> None:
+def save_checkpoint(task: Task, checkpoint: str) -> None:
     """Keep a checkpoint for all members of a gang.
 
     Any member's checkpoint is valid for the gang, and all members must start from the same one.
     """
-    for member in members(task):
+    for member in gang_members(task):
         member.checkpoint = checkpoint
 
 
 def place_together(
-    task: Task, usable: list[ExecutorState], choice: Choice, attempt: AttemptNumber, now: float
+    task: Task,
+    usable: list[ExecutorState],
+    choice: ChooseExecutor,
+    attempt: AttemptNumber,
+    now: float,
 ) -> list[Run]:
     """Allocate runs for all members of a gang, or none if they don't all fit at once.
 
@@ -56,7 +60,7 @@
     each got half of what they need would wait forever.
     """
     for group in _groups(task, usable):
-        runs = _try(members(task), group, choice, attempt, now)
+        runs = _allocate_runs(gang_members(task), group, choice, attempt, now)
         if runs:
             return runs
     return []
@@ -73,13 +77,15 @@
 
 
 def _free_cpu(executors: Iterable[ExecutorState]) -> int:
-    return sum(one.registration.room.cpu_millis - one.used_cpu_millis for one in executors)
+    return sum(
+        executor.registration.room.cpu_millis - executor.used_cpu_millis for executor in executors
+    )
 
 
-def _try(
+def _allocate_runs(
     tasks: list[Task],
     executors: list[ExecutorState],
-    choice: Choice,
+    choice: ChooseExecutor,
     attempt: AttemptNumber,
     now: float,
 ) -> list[Run]:
--- a/fireflyfork/decisions/jobs/_standing.py
+++ b/fireflyfork/decisions/jobs/_instance_standing.py
@@ -14,38 +14,38 @@
 from ..._ids import FailureDomainName, NodeName
 from ..._links import Address
 
-LINK_MBPS_FOR_A_PROCESSOR = 40.0
+LINK_MBPS_PER_PROCESSOR = 40.0
 """Link capacity in Mbit/s that corresponds to one processor. A start, with its share of polls,
 costs its owner about 1.5 ms of one processor and 8 KB on the link, so a link of 40 Mbit/s and one
 processor are used up at the same rate."""
-FAR_SHARE = 0.5
+FAR_STORE_FACTOR = 0.5
 """Factor on the strength of an instance in another region than the store: every write and most
 orders take ten times as long, over a link that all traffic shares."""
-CLEARLY_STRONGER = 1.3
+STRONGER_RATIO = 1.3
 """Ratio of strengths from which an instance waits for another. A bid by an equal instance costs
 nothing, and a delay does."""
-DELAY_FOR_EACH_STRONGER = 0.05
+BID_DELAY_PER_STRONGER = 0.05
 """Delay of a bid in seconds for each stronger instance. One bid takes about 10 ms near the store,
 and a failed bid costs two store calls."""
-LONGEST_DELAY = 0.5
+MAX_BID_DELAY = 0.5
 """Longest delay of a bid in seconds: the announced instances may be gone together with the
 owner."""
-HAND_OVER_FACTOR = 2.5
+HAND_OVER_RATIO = 2.5
 """Ratio of strengths from which a service is handed over. A hand-over leaves the service without an
 owner for about 0.2 s, so the gain has to be large."""
-RELAYS_FROM_EXECUTORS = 64
+MIN_EXECUTORS_FOR_RELAYS = 64
 """Number of executors from which an owner uses relays. With fewer, it makes all calls itself, since
 a relay adds a hop to each call."""
-RELAYS_FOR_A_DOMAIN = 4
+RELAYS_PER_DOMAIN = 4
 """Number of relays in each failure domain, the strongest instances. The loss of one affects a
 quarter of the calls there."""
-ENOUGH_STRENGTH = 0.4
+SUFFICIENT_STRENGTH = 0.4
 """Strength from which an owner always keeps its service: at their peak, services with 24 to 33
 executors need a quarter of it."""
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class InstanceStanding:
     """The capacity and addresses that an instance announces."""
 
     node: NodeName
@@ -65,47 +65,55 @@
 
     `processors` is its share of CPU time in units of one processor of usual speed.
     """
-    least = min(processors, link_mbps / LINK_MBPS_FOR_A_PROCESSOR)
-    return least if near_store else least * FAR_SHARE
+    capacity = min(processors, link_mbps / LINK_MBPS_PER_PROCESSOR)
+    return capacity if near_store else capacity * FAR_STORE_FACTOR
 
 
-def bid_delay(own: Standing, announced: Iterable[Standing]) -> float:
+def bid_delay(own: InstanceStanding, announced: Iterable[InstanceStanding]) -> float:
     """Return how many seconds an instance leaves a vacant service to stronger instances."""
     stronger = sum(
-        one.strength > own.strength * CLEARLY_STRONGER for one in announced if one.node != own.node
+        standing.strength > own.strength * STRONGER_RATIO
+        for standing in announced
+        if standing.node != own.node
     )
-    return min(LONGEST_DELAY, stronger * DELAY_FOR_EACH_STRONGER)
+    return min(MAX_BID_DELAY, stronger * BID_DELAY_PER_STRONGER)
 
 
-def can_do_better(own: Standing, others: Iterable[Standing], equals: bool) -> bool:
+def has_stronger(own: InstanceStanding, others: Iterable[InstanceStanding], equals: bool) -> bool:
     """Whether another instance is clearly stronger, or, with `equals`, at least as strong."""
-    least = own.strength * (1.0 if equals else CLEARLY_STRONGER)
-    return any(one.strength >= least for one in others)
+    min_strength = own.strength * (1.0 if equals else STRONGER_RATIO)
+    return any(standing.strength >= min_strength for standing in others)
 
 
-def should_hand_over(own: Standing, announced: Iterable[Standing]) -> bool:
+def should_hand_over(own: InstanceStanding, announced: Iterable[InstanceStanding]) -> bool:
     """Whether an owner is too weak for its service, compared with the strongest other instance."""
-    if own.strength >= ENOUGH_STRENGTH:
+    if own.strength >= SUFFICIENT_STRENGTH:
         return False
-    others = (one.strength for one in announced if one.node != own.node)
-    return max(others, default=0.0) >= own.strength * HAND_OVER_FACTOR
+    other_strengths = (standing.strength for standing in announced if standing.node != own.node)
+    return max(other_strengths, default=0.0) >= own.strength * HAND_OVER_RATIO
 
 
 def choose_relays(
-    own: NodeName, announced: Iterable[Standing], executors: int
-) -> tuple[Standing, ...]:
+    own: NodeName, announced: Iterable[InstanceStanding], executors: int
+) -> tuple[InstanceStanding, ...]:
     """Return the instances that relay calls for an owner of this many executors.
 
     Their number in each failure domain is limited.
     """
-    if executors < RELAYS_FROM_EXECUTORS:
+    if executors < MIN_EXECUTORS_FOR_RELAYS:
         return ()
-    domains: dict[FailureDomainName, list[Standing]] = {}
-    for one in announced:
-        if one.node != own and one.relay is not None and one.failure_domain is not None:
-            domains.setdefault(one.failure_domain, []).append(one)
+    domains: dict[FailureDomainName, list[InstanceStanding]] = {}
+    for standing in announced:
+        if (
+            standing.node != own
+            and standing.relay is not None
+            and standing.failure_domain is not None
+        ):
+            domains.setdefault(standing.failure_domain, []).append(standing)
     return tuple(
-        one
-        for there in domains.values()
-        for one in sorted(there, key=lambda one: (-one.strength, one.node))[:RELAYS_FOR_A_DOMAIN]
+        standing
+        for candidates in domains.values()
+        for standing in sorted(
+            candidates, key=lambda standing: (-standing.strength, standing.node)
+        )[:RELAYS_PER_DOMAIN]
     )
--- a/fireflyfork/decisions/jobs/_interference.py
+++ b/fireflyfork/decisions/jobs/_interference.py
@@ -25,18 +25,18 @@
 PRIOR_WEIGHT = 0.05
 """A pair is assumed to be average until this much squared use of the room has been observed for it:
 about ten samples of a task that uses a tenth of the room."""
-GROWTH = 1.0002
+SAMPLE_WEIGHT_GROWTH = 1.0002
 """Factor by which each sample outweighs the previous one. About eighty rows a second arrive for one
 serving image, so the weight halves in 45 s: effects change within seconds to minutes."""
-LARGEST_WEIGHT = 1e6
+MAX_WEIGHT = 1e6
 """The sums are scaled down beyond this weight, long before floats lose precision."""
 CHANGE_WEIGHT = 3.0
 """Weight of a change between two polls relative to a level. The load of a service changes by half
 within ten seconds, so levels scatter by 0.8 of headroom around the fit, and changes by 0.45."""
-LONGEST_CHANGE_SECONDS = 1.3
+MAX_CHANGE_SECONDS = 1.3
 """Longest interval between two polls whose difference is used. Over a longer interval the load has
 changed too much."""
-FEWEST_SAMPLES = 20
+MIN_SAMPLES = 20
 SOLVE_SECONDS = 1.0
 """Interval between two solutions for one serving image. In a large fleet samples arrive faster than
 effects change, and one solution for thirty images costs as much as many polls."""
@@ -65,27 +65,27 @@
         weight *= self.weight
         names = sorted(row)
         values = [row[name] for name in names]
-        for place, (name, value) in enumerate(zip(names, values, strict=True)):
-            weighed = weight * value
+        for position, (name, value) in enumerate(zip(names, values, strict=True)):
+            weighted_value = weight * value
             sums = self.products[name]
-            for other, other_value in zip(names[place:], values[place:], strict=True):
-                sums[other] += weighed * other_value
-            self.targets[name] = self.targets.get(name, 0.0) + weighed * target
+            for column_name, column_value in zip(names[position:], values[position:], strict=True):
+                sums[column_name] += weighted_value * column_value
+            self.targets[name] = self.targets.get(name, 0.0) + weighted_value * target
 
     def matrix(self, names: list[str]) -> list[list[float]]:
         """Return the matrix of the sums of products, in the order of `names`."""
-        places = {name: place for place, name in enumerate(names)}
+        positions = {name: position for position, name in enumerate(names)}
         rows = [[0.0] * len(names) for _ in names]
-        for left, sums in self.products.items():
-            for right, product in sums.items():
-                one, other = places[left], places[right]
-                rows[one][other] = rows[other][one] = product
+        for first_name, sums in self.products.items():
+            for second_name, product in sums.items():
+                row, column = positions[first_name], positions[second_name]
+                rows[row][column] = rows[column][row] = product
         return rows
 
-    def age(self) -> None:
+    def decay(self) -> None:
         """Reduce the relative weight of all equations added so far."""
-        self.weight *= GROWTH
-        if self.weight > LARGEST_WEIGHT:
+        self.weight *= SAMPLE_WEIGHT_GROWTH
+        if self.weight > MAX_WEIGHT:
             for sums in self.products.values():
                 for name in sums:
                     sums[name] /= self.weight
@@ -126,10 +126,10 @@
         """Initialize without samples: every pair is assumed to be average."""
         self._fits: dict[str, _Fit] = {}
 
-    def effect(self, serving: str, beside: str) -> float:
+    def effect(self, serving: str, disturbing: str) -> float:
         """Return the headroom that tasks of `serving` lose to a room full of `disturbing`."""
         fit = self._fits.get(serving)
-        return PRIOR_EFFECT if fit is None else fit.solution.get(beside, PRIOR_EFFECT)
+        return PRIOR_EFFECT if fit is None else fit.solution.get(disturbing, PRIOR_EFFECT)
 
     def lost_headroom(self, serving: str, uses: dict[str, float]) -> float:
         """Return the headroom that tasks of `serving` lose to these shares by image."""
@@ -139,26 +139,26 @@
         solution = fit.solution
         return sum(solution.get(image, PRIOR_EFFECT) * use for image, use in uses.items())
 
-    def observe(self, serving: str, sample: Sample, before: Sample | None) -> None:
+    def observe(self, serving: str, sample: Sample, previous: Sample | None) -> None:
         """Add a sample of a serving task, with the previous sample of the same task if any."""
         fit = self._fits.setdefault(serving, _Fit())
         fit.add({_INTERCEPT: 1.0, **sample.uses}, sample.headroom, 1.0)
-        if before is not None and sample.at - before.at <= LONGEST_CHANGE_SECONDS:
-            images = sample.uses.keys() | before.uses.keys()
+        if previous is not None and sample.at - previous.at <= MAX_CHANGE_SECONDS:
+            images = sample.uses.keys() | previous.uses.keys()
             change = {
-                image: sample.uses.get(image, 0.0) - before.uses.get(image, 0.0)
+                image: sample.uses.get(image, 0.0) - previous.uses.get(image, 0.0)
                 for image in sorted(images)
             }
-            fit.add(change, sample.headroom - before.headroom, CHANGE_WEIGHT)
-        fit.age()
+            fit.add(change, sample.headroom - previous.headroom, CHANGE_WEIGHT)
+        fit.decay()
         fit.samples += 1
-        if fit.samples >= FEWEST_SAMPLES and sample.at - fit.solved_at >= SOLVE_SECONDS:
+        if fit.samples >= MIN_SAMPLES and sample.at - fit.solved_at >= SOLVE_SECONDS:
             fit.solved_at = sample.at
             fit.solution = _solution(fit)
 
     def learned(self) -> tuple[LearnedFit, ...]:
         """Return what has been learned, to be stored for the next owner."""
-        return tuple(_learned(serving, fit) for serving, fit in self._fits.items())
+        return tuple(_to_learned_fit(serving, fit) for serving, fit in self._fits.items())
 
     def adopt(self, learned: Iterable[LearnedFit]) -> None:
         """Replace the model by what an earlier owner has learned.
@@ -167,13 +167,13 @@
         slows down most until it has learned the effects again. Tail latencies would rise for some
         seconds after each change of owner.
         """
-        for one in learned:
-            fit = _adopted(one)
+        for learned_fit in learned:
+            fit = _from_learned_fit(learned_fit)
             fit.solution = _solution(fit)
-            self._fits[one.serving] = fit
+            self._fits[learned_fit.serving] = fit
 
 
-def _learned(serving: str, fit: _Fit) -> LearnedFit:
+def _to_learned_fit(serving: str, fit: _Fit) -> LearnedFit:
     names = tuple(fit.targets)
     matrix = fit.matrix(list(names))
     products = tuple(matrix[row][column] / fit.weight for row, column in _triangle(len(names)))
@@ -181,12 +181,12 @@
     return LearnedFit(serving, names, products, targets)
 
 
-def _adopted(learned: LearnedFit) -> _Fit:
+def _from_learned_fit(learned: LearnedFit) -> _Fit:
     fit = _Fit(targets=dict(zip(learned.names, learned.targets, strict=True)))
-    places = _triangle(len(learned.names))
-    for (row, column), value in zip(places, learned.products, strict=True):
-        left, right = sorted((learned.names[row], learned.names[column]))
-        fit.products[left][right] = value
+    positions = _triangle(len(learned.names))
+    for (row, column), value in zip(positions, learned.products, strict=True):
+        first_name, second_name = sorted((learned.names[row], learned.names[column]))
+        fit.products[first_name][second_name] = value
     return fit
 
 
@@ -201,9 +201,9 @@
     # for a long time return to it.
     weight = PRIOR_WEIGHT * fit.weight
     rows = [[*sums, 0.0] for sums in fit.matrix(names)]
-    for place, name in enumerate(names):
-        rows[place][place] += weight
-        rows[place][-1] = fit.targets[name] + weight * prior[name]
+    for position, name in enumerate(names):
+        rows[position][position] += weight
+        rows[position][-1] = fit.targets[name] + weight * prior[name]
     slopes = dict(zip(names, _solve(rows), strict=True))
     # No task speeds up its neighbors; a negative effect is noise from its load.
     return {name: max(0.0, -slope) for name, slope in slopes.items() if name != _INTERCEPT}
@@ -223,6 +223,6 @@
     solution = [0.0] * size
     for pivot in reversed(range(size)):
         row = rows[pivot]
-        known = sum(row[column] * solution[column] for column in range(pivot + 1, size))
-        solution[pivot] = (row[size] - known) / row[pivot]
+        known_sum = sum(row[column] * solution[column] for column in range(pivot + 1, size))
+        solution[pivot] = (row[size] - known_sum) / row[pivot]
     return solution
--- a/fireflyfork/decisions/jobs/_job_table.py
+++ b/fireflyfork/decisions/jobs/_job_table.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _OverJob:
+class _FinishedJob:
     """What is kept of a job that is over and stored."""
 
     spec: JobSpec
@@ -34,7 +34,7 @@
         """Initialize without jobs or queues."""
         self.changes = ChangeLog()
         self._jobs: dict[JobId, Job] = {}
-        self._over: dict[JobId, _OverJob] = {}
+        self._finished: dict[JobId, _FinishedJob] = {}
         self._removed: set[JobId] = set()
         self._removed_before: set[JobId] = set()
         self._queues: QueueTable | None = None
@@ -70,8 +70,10 @@
         if parsed is None:
             return None
         job = self._jobs.get(parsed[0])
-        over = self._over.get(parsed[0])
-        spec = job.spec if job is not None else over.spec if over is not None else None
+        finished_job = self._finished.get(parsed[0])
+        spec = (
+            job.spec if job is not None else finished_job.spec if finished_job is not None else None
+        )
         if spec is None or parsed[1].step >= len(spec.steps):
             return None
         return spec, spec.steps[parsed[1].step]
@@ -79,11 +81,11 @@
     def accept(self, spec: JobSpec, progress: StoredProgress | None, now_ms: int) -> list[Task]:
         """Add a job. Returns the tasks that may start; none if the job is already known or over."""
         if progress is not None and progress.state.is_final:
-            self._over[spec.job] = _OverJob(spec, progress.final_ms)
+            self._finished[spec.job] = _FinishedJob(spec, progress.final_ms)
         # All changes are listed again after the store has lost its history, so a job may be
         # reported again after it has ended. Its tasks must not run a second time.
-        known = spec.job in self._jobs or spec.job in self._over
-        if known or spec.job in self._removed or spec.job in self._removed_before:
+        is_known = spec.job in self._jobs or spec.job in self._finished
+        if is_known or spec.job in self._removed or spec.job in self._removed_before:
             return []
         queue = (self._queues and self._queues.by_name(spec.queue)) or terms_without_queue(spec)
         job = Job(spec, queue)
@@ -93,7 +95,7 @@
             job.done = {TaskKey(*key) for key in progress.done}
             job.done_occurrences = progress.done_occurrences
             job.opened_occurrences = progress.done_occurrences
-        ready = self._open_to(job, progress.begun_occurrences if progress is not None else 0)
+        ready = self._open_until(job, progress.begun_occurrences if progress is not None else 0)
         ready.extend(self.open_due(job, now_ms))
         for stored in progress.tasks if progress is not None else ():
             task = job.tasks.get(TaskKey(stored.occurrence, stored.step, stored.index))
@@ -108,9 +110,9 @@
         due = job.opened_occurrences
         while due < job.spec.occurrence_count and job.spec.due_ms(due) <= now_ms:
             due += 1
-        return self._open_to(job, due)
+        return self._open_until(job, due)
 
-    def open_begun(self, name: TaskName) -> list[Task]:
+    def open_started(self, name: TaskName) -> list[Task]:
         """Open the occurrence of a task that runs or has ended on an executor.
 
         Returns the tasks that may start. An earlier owner's clock may be seconds ahead, so it may
@@ -122,9 +124,9 @@
         job = self._jobs.get(parsed[0]) if parsed is not None else None
         if parsed is None or job is None or parsed[1].occurrence >= job.spec.occurrence_count:
             return []
-        return self._open_to(job, parsed[1].occurrence + 1)
+        return self._open_until(job, parsed[1].occurrence + 1)
 
-    def waiting_for_time(self) -> Iterator[Job]:
+    def with_future_occurrences(self) -> Iterator[Job]:
         """Yield the jobs with occurrences that are not due yet."""
         return (
             job
@@ -141,11 +143,11 @@
         """Note that a task of the job has been sent to an executor."""
         if job.state is JobState.QUEUED:
             job.state = JobState.RUNNING
-        self.changes.note(job.spec.job)
+        self.changes.record(job.spec.job)
 
     def note_changed(self, job: Job) -> int:
         """Note that the job has to be stored. Returns the number of the change."""
-        return self.changes.note(job.spec.job)
+        return self.changes.record(job.spec.job)
 
     def task_done(self, task: Task, now_ms: int) -> list[Task]:
         """Mark a task as successfully ended. Returns the tasks that may start now."""
@@ -153,42 +155,44 @@
         if job.tasks.pop(key, None) is None:
             return []
         job.done.add(key)
-        job.left[key.occurrence, key.step] -= 1
-        self.changes.note(job.spec.job)
-        if job.left[key.occurrence, key.step]:
+        job.remaining_tasks[key.occurrence, key.step] -= 1
+        self.changes.record(job.spec.job)
+        if job.remaining_tasks[key.occurrence, key.step]:
             return []
-        if not any(job.left[key.occurrence, step] for step in range(len(job.spec.steps))):
+        if not any(
+            job.remaining_tasks[key.occurrence, step] for step in range(len(job.spec.steps))
+        ):
             self._occurrence_done(job, now_ms)
             return []
         return [
-            other
+            ready_task
             for number, step in enumerate(job.spec.steps)
             if key.step in step.after and job.step_ready(key.occurrence, number)
-            for other in self._of_step(job, key.occurrence, number)
+            for ready_task in self._tasks_of_step(job, key.occurrence, number)
         ]
 
     def finish(self, job: Job, state: JobState, now_ms: int) -> None:
         """Make a job's state final."""
         job.state = state
         job.final_ms = now_ms
-        self.changes.note(job.spec.job)
+        self.changes.record(job.spec.job)
 
-    def drop_over(self) -> list[JobId]:
+    def drop_finished(self) -> list[JobId]:
         """Drop jobs whose final state is stored and that have no runs. Returns their ids."""
-        over = [
+        finished = [
             name
             for name, job in self._jobs.items()
-            if job.state.is_final and name not in self.changes and not self._still_runs(job)
+            if job.state.is_final and name not in self.changes and not self._has_runs(job)
         ]
-        for name in over:
+        for name in finished:
             job = self._jobs.pop(name)
-            self._over[name] = _OverJob(job.spec, job.final_ms)
-        return over
+            self._finished[name] = _FinishedJob(job.spec, job.final_ms)
+        return finished
 
-    def expired(self, before_ms: int, most: int) -> tuple[JobId, ...]:
+    def expired(self, before_ms: int, max_jobs: int) -> tuple[JobId, ...]:
         """Return up to `max_jobs` jobs with a stored final state from before `before_ms`."""
-        old = (name for name, job in self._over.items() if job.final_ms < before_ms)
-        return tuple(islice(old, most))
+        expired_names = (name for name, job in self._finished.items() if job.final_ms < before_ms)
+        return tuple(islice(expired_names, max_jobs))
 
     def forget(self, jobs: Iterable[JobId]) -> None:
         """Forget jobs that have been removed from the store.
@@ -197,7 +201,7 @@
         and run again. So their ids are kept until `forget_removed` has been called twice.
         """
         for name in jobs:
-            self._over.pop(name, None)
+            self._finished.pop(name, None)
             self._removed.add(name)
 
     def forget_removed(self) -> None:
@@ -212,7 +216,7 @@
                 counts[job.spec.queue] = counts.get(job.spec.queue, 0) + 1
         return counts
 
-    def _open_to(self, job: Job, occurrences: int) -> list[Task]:
+    def _open_until(self, job: Job, occurrences: int) -> list[Task]:
         """Open the occurrences before number `occurrences`. Returns the tasks that may start."""
         ready: list[Task] = []
         while not job.state.is_final and job.opened_occurrences < occurrences:
@@ -225,18 +229,18 @@
         for number, step in enumerate(job.spec.steps):
             keys = [TaskKey(occurrence, number, index) for index in range(step.count)]
             open_keys = [key for key in keys if key not in job.done]
-            job.left[occurrence, number] = len(open_keys)
+            job.remaining_tasks[occurrence, number] = len(open_keys)
             for key in open_keys:
                 job.tasks[key] = Task(job, key, key.name(job.spec.job), step)
         return [
             task
             for number in range(len(job.spec.steps))
             if job.step_ready(occurrence, number)
-            for task in self._of_step(job, occurrence, number)
+            for task in self._tasks_of_step(job, occurrence, number)
         ]
 
     @staticmethod
-    def _of_step(job: Job, occurrence: int, step: int) -> list[Task]:
+    def _tasks_of_step(job: Job, occurrence: int, step: int) -> list[Task]:
         keys = (TaskKey(occurrence, step, index) for index in range(job.spec.steps[step].count))
         return [job.tasks[key] for key in keys if key in job.tasks]
 
@@ -252,8 +256,8 @@
     def _all_done(job: Job, occurrence: int) -> bool:
         if occurrence >= job.opened_occurrences:
             return False
-        return not any(job.left[occurrence, step] for step in range(len(job.spec.steps)))
+        return not any(job.remaining_tasks[occurrence, step] for step in range(len(job.spec.steps)))
 
     @staticmethod
-    def _still_runs(job: Job) -> bool:
+    def _has_runs(job: Job) -> bool:
         return any(task.runs for task in job.tasks.values())
--- a/fireflyfork/decisions/jobs/_load_shedding.py
+++ b/fireflyfork/decisions/jobs/_load_shedding.py
@@ -12,7 +12,7 @@
 ARRANGEMENT_LAG_SECONDS = 0.15
 LEARNING_LAG_SECONDS = 0.3
 POLLS_LAG_SECONDS = 0.5
-RESUMED_SHARE = 0.5
+RESUME_SHARE = 0.5
 """Skipped work is resumed when the lag falls below this share of the lag at which it was
 skipped."""
 
@@ -37,13 +37,13 @@
 }
 
 
-def shed_at(lag: float, before: Shed) -> Shed:
+def shed_level(lag: float, previous: Shed) -> Shed:
     """Return the level for an event loop that is `lag` seconds late, given the level until now.
 
     Hysteresis keeps the level from changing with each lag, since skipping work ends the lag.
     """
-    left_out = [level for level, bound in _LAGS.items() if lag > bound]
-    kept = [
-        level for level, bound in _LAGS.items() if level <= before and lag > RESUMED_SHARE * bound
+    newly_skipped = [level for level, bound in _LAGS.items() if lag > bound]
+    still_skipped = [
+        level for level, bound in _LAGS.items() if level <= previous and lag > RESUME_SHARE * bound
     ]
-    return max((*left_out, *kept), default=Shed.NOTHING)
+    return max((*newly_skipped, *still_skipped), default=Shed.NOTHING)
--- a/fireflyfork/decisions/jobs/_promises.py
+++ b/fireflyfork/decisions/jobs/_move_reservations.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Promise:
+class MoveReservation:
     """A reservation for one task."""
 
     executor: ExecutorState
@@ -17,7 +17,7 @@
     """Seconds on the owner's clock; after this time the task may go to any executor."""
 
 
-class PromiseBook:
+class MoveReservations:
     """The reservations of all tasks that are being moved.
 
     A task that is moved ends on one executor before it starts on another. Without a reservation,
@@ -27,43 +27,43 @@
 
     def __init__(self) -> None:
         """Initialize without reservations."""
-        self._promises: dict[Task, Promise] = {}
+        self._reservations: dict[Task, MoveReservation] = {}
 
     def __len__(self) -> int:
         """Return the number of tasks that have a reservation."""
-        return len(self._promises)
+        return len(self._reservations)
 
-    def make(self, task: Task, executor: ExecutorState, until: float) -> None:
+    def add(self, task: Task, executor: ExecutorState, until: float) -> None:
         """Reserve resources for a task on an executor, in place of any earlier reservation."""
         self.drop(task)
-        self._promises[task] = Promise(executor, until)
-        executor.promised_cpu_millis += task.spec.reserved_cpu_millis
-        executor.promised_memory_mb += task.spec.memory_mb
+        self._reservations[task] = MoveReservation(executor, until)
+        executor.incoming_cpu_millis += task.spec.reserved_cpu_millis
+        executor.incoming_memory_mb += task.spec.memory_mb
 
     def destination(self, task: Task) -> ExecutorState | None:
         """Return the executor that has resources reserved for a task, or None."""
-        promise = self._promises.get(task)
+        promise = self._reservations.get(task)
         return promise.executor if promise is not None else None
 
     def has_room(self, task: Task) -> bool:
         """Whether the resources reserved for a task are free."""
-        there = self.destination(task)
-        if there is None:
+        destination = self.destination(task)
+        if destination is None:
             return False
-        cpu = there.free_cpu_millis + task.spec.reserved_cpu_millis
-        memory = there.free_memory_mb + task.spec.memory_mb
+        cpu = destination.free_cpu_millis + task.spec.reserved_cpu_millis
+        memory = destination.free_memory_mb + task.spec.memory_mb
         return cpu >= task.spec.reserved_cpu_millis and memory >= task.spec.memory_mb
 
     def drop(self, task: Task) -> None:
         """Drop the reservation of a task."""
-        promise = self._promises.pop(task, None)
+        promise = self._reservations.pop(task, None)
         if promise is not None:
-            promise.executor.promised_cpu_millis -= task.spec.reserved_cpu_millis
-            promise.executor.promised_memory_mb -= task.spec.memory_mb
+            promise.executor.incoming_cpu_millis -= task.spec.reserved_cpu_millis
+            promise.executor.incoming_memory_mb -= task.spec.memory_mb
 
     def expire(self, now: float) -> None:
         """Drop reservations that have expired or whose task is over or executor unusable."""
-        for task, promise in tuple(self._promises.items()):
-            over = task.job.state.is_final or task.key not in task.job.tasks
-            if over or promise.until <= now or not promise.executor.usable(now):
+        for task, promise in tuple(self._reservations.items()):
+            is_over = task.job.state.is_final or task.key not in task.job.tasks
+            if is_over or promise.until <= now or not promise.executor.is_usable(now):
                 self.drop(task)
--- a/fireflyfork/decisions/jobs/_notes.py
+++ b/fireflyfork/decisions/jobs/_notes.py
@@ -6,9 +6,9 @@
 
 from ..._ids import ExecutorId, JobId, TaskName
 from ..._waits import WaitReason
-from ._overs import RunOver
 from ._progress import JobState
 from ._reports import EndReason
+from ._run_end_evidence import RunEndEvidence
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
     waited_for: WaitReason
     """Why no executor could run the task at the previous attempt to place it; `NOTHING` if it was
     placed at once."""
-    after: RunOver
+    after: RunEndEvidence
     """The evidence that the task's previous run was over."""
 
 
@@ -63,7 +63,7 @@
     executor: ExecutorId
     incarnation: int
     runs: int
-    why: RunOver
+    why: RunEndEvidence
 
 
 Note = TaskSent | RunEnded | JobOver | ExecutorGivenUp
--- a/fireflyfork/decisions/jobs/_pacing.py
+++ b/fireflyfork/decisions/jobs/_pacing.py
@@ -13,17 +13,17 @@
 SAMPLE_SECONDS = 0.45
 """Minimum interval between samples. Executors report values over the last half second. Samples
 taken closer together repeat each other, and a pace set in between would not show in them."""
-WANTED_HEADROOM = 1.0
+HEADROOM_TO_KEEP = 1.0
 """Headroom (target divided by tail latency) to keep at the present load: the target itself. With a
 margin, tail latencies would exceed their target less often, but more of the work next to them would
 end late."""
-RECOVERY = 0.06
+HEADROOM_RECOVERY = 0.06
 """How much the remembered low of the headroom recovers with each sample. Loads change over about
 ten seconds, and a low of 1.5 below the usual headroom is remembered for that long."""
-LOWEST_PACE = 10
+MIN_PACE = 10
 """Lowest pace in percent, except for a pause. A run at a tenth of its pace still shows its effect
 on others; a stopped one would not."""
-LONGEST_OVER_SECONDS = 2.0
+MAX_OVER_TARGET_SECONDS = 2.0
 """When a task's tail latency has been over its target for this long, all work without a reservation
 on the executor pauses, whatever is known about the pair. By then four samples have shown that the
 paces chosen so far don't help. Users notice a service that stays slow after about four seconds; the
@@ -34,11 +34,11 @@
 waited for."""
 PACE_STEP = 10
 """Paces are multiples of this many percent: smaller changes aren't worth a call."""
-RAISE_STEP = 60
+MAX_PACE_RAISE = 60
 """How far a pace may rise at once, in percent; it may fall by any amount."""
-LOWEST_TAIL_MS = 1.0
+MIN_TAIL_MS = 1.0
 """Tail latencies are reported in whole milliseconds; a value of 0 means less than one."""
-MOST_HEADROOM = 6.0
+MAX_HEADROOM = 6.0
 """Headroom is capped at this value: above it, tail latencies in whole milliseconds are too
 coarse."""
 
@@ -57,49 +57,51 @@
     if now - executor.sampled_at < SAMPLE_SECONDS:
         return
     executor.sampled_at = now
-    uses = _uses(executor, rows)
-    executor.undisturbed = {}
+    room_shares = _room_shares(executor, rows)
+    executor.undisturbed_headroom = {}
     samples: dict[TaskName, Sample] = {}
     for row in rows:
         run = executor.runs.get((row.task, row.attempt))
         if run is None or not run.task.spec.tail_target_ms or row.progress_percent < 100:
             continue
         image = run.task.spec.image
-        headroom = run.task.spec.tail_target_ms / max(LOWEST_TAIL_MS, row.figure)
-        headroom = min(MOST_HEADROOM, headroom)
-        before = executor.samples.get(row.task)
-        sample = Sample(now, headroom, uses, _over_since(headroom, before, now))
+        headroom = run.task.spec.tail_target_ms / max(MIN_TAIL_MS, row.figure)
+        headroom = min(MAX_HEADROOM, headroom)
+        previous = executor.samples.get(row.task)
+        sample = Sample(now, headroom, room_shares, _over_since(headroom, previous, now))
         if learns:
-            model.observe(image, sample, before)
+            model.observe(image, sample, previous)
         samples[row.task] = sample
-        undisturbed = headroom + model.lost_headroom(image, uses)
-        known = executor.undisturbed.get(image, MOST_HEADROOM)
-        executor.undisturbed[image] = min(known, undisturbed)
+        undisturbed = headroom + model.lost_headroom(image, room_shares)
+        previous_min = executor.undisturbed_headroom.get(image, MAX_HEADROOM)
+        executor.undisturbed_headroom[image] = min(previous_min, undisturbed)
     executor.samples = samples
-    executor.lasting_headroom = {
-        image: min(now_there, executor.lasting_headroom.get(image, now_there) + RECOVERY)
-        for image, now_there in executor.undisturbed.items()
+    executor.recent_min_headroom = {
+        image: min(
+            headroom_now, executor.recent_min_headroom.get(image, headroom_now) + HEADROOM_RECOVERY
+        )
+        for image, headroom_now in executor.undisturbed_headroom.items()
     }
-    executor.note_changed()
+    executor.mark_changed()
     yield from _new_paces(executor, model, now)
 
 
-def _uses(executor: ExecutorState, rows: tuple[RunningRow, ...]) -> dict[str, float]:
+def _room_shares(executor: ExecutorState, rows: tuple[RunningRow, ...]) -> dict[str, float]:
     """Return the shares of the room that non-serving tasks used, by image."""
-    uses: dict[str, float] = {}
+    room_shares: dict[str, float] = {}
     room = max(1, executor.registration.room.cpu_millis)
     for row in rows:
         run = executor.runs.get((row.task, row.attempt))
         if run is not None and not run.task.spec.tail_target_ms and row.figure:
             image = run.task.spec.image
-            uses[image] = uses.get(image, 0.0) + row.figure / room
-    return uses
+            room_shares[image] = room_shares.get(image, 0.0) + row.figure / room
+    return room_shares
 
 
-def _over_since(headroom: float, before: Sample | None, now: float) -> float | None:
+def _over_since(headroom: float, previous: Sample | None, now: float) -> float | None:
     if headroom >= 1.0:
         return None
-    return now if before is None or before.over_since is None else before.over_since
+    return now if previous is None or previous.over_since is None else previous.over_since
 
 
 def _new_paces(
@@ -110,16 +112,16 @@
         for run in executor.runs.values()
         if run.task.spec.uses_leftover_cpu and run.phase is RunPhase.RUNNING
     ]
-    over = any(
-        sample.over_since is not None and now - sample.over_since >= LONGEST_OVER_SECONDS
+    is_over_target = any(
+        sample.over_since is not None and now - sample.over_since >= MAX_OVER_TARGET_SECONDS
         for sample in executor.samples.values()
     )
     paces = _allowed_paces(executor, best_effort, model)
     for run in best_effort:
-        wanted = min(paces[run.task.spec.image], run.pace_percent + RAISE_STEP)
+        wanted = min(paces[run.task.spec.image], run.pace_percent + MAX_PACE_RAISE)
         if run.in_background:
             wanted = min(wanted, BACKGROUND_PACE)
-        pace = 0 if over else max(LOWEST_PACE, wanted // PACE_STEP * PACE_STEP)
+        pace = 0 if is_over_target else max(MIN_PACE, wanted // PACE_STEP * PACE_STEP)
         if pace != run.pace_percent or not run.pace_confirmed:
             run.pace_percent = pace
             run.lowest_pace = min(run.lowest_pace, pace)
@@ -137,19 +139,19 @@
     """
     demand = executor.disturbing_shares()
     paces = {run.task.spec.image: 100 for run in best_effort}
-    for serving, undisturbed in executor.undisturbed.items():
+    for serving, undisturbed in executor.undisturbed_headroom.items():
         lost = {image: model.effect(serving, image) * use for image, use in demand.items()}
         excess = sum(loss * paces.get(image, 100) / 100 for image, loss in lost.items()) - (
-            undisturbed - WANTED_HEADROOM
+            undisturbed - HEADROOM_TO_KEEP
         )
-        for image in sorted(paces, key=lambda one: -model.effect(serving, one)):
+        for image in sorted(paces, key=lambda image_name: -model.effect(serving, image_name)):
             if excess <= 0:
                 break
             loss = lost.get(image, 0.0)
             if loss <= 0:
                 continue
-            given = loss * paces[image] / 100
-            kept = max(0.0, given - excess)
-            paces[image] = max(LOWEST_PACE, int(100 * kept / loss))
-            excess -= given - loss * paces[image] / 100
+            given_up = loss * paces[image] / 100
+            kept_loss = max(0.0, given_up - excess)
+            paces[image] = max(MIN_PACE, int(100 * kept_loss / loss))
+            excess -= given_up - loss * paces[image] / 100
     return paces
--- a/fireflyfork/decisions/jobs/_placement.py
+++ b/fireflyfork/decisions/jobs/_placement.py
@@ -5,85 +5,87 @@
 from dataclasses import dataclass, field
 
 from ..._waits import WaitReason
-from ._candidates import LOOKED_AT, Candidates
+from ._candidates import EXECUTORS_PER_BATCH, Candidates
 from ._commands import AskAdvice, StartRun
+from ._cost_caches import CostCaches
 from ._executors import ExecutorState
-from ._gangs import members, next_attempt, place_together
+from ._gangs import gang_members, next_attempt, place_together
 from ._notes import TaskSent
-from ._placing import choose, is_allowed, most_cost
-from ._price_lists import PriceLists
+from ._placement_costs import choose, is_allowed, max_accepted_cost
 from ._runs import Run, RunPhase, Task
+from ._service_state import ServiceState
 from ._stragglers import other_executors
 from ._tickets import StepId
 from ._waiting_tasks import WaitingStep
-from ._work import Work
 
 START_VALID_MS = 1_000
 """Milliseconds for which a start is valid; carried out later, it is void. Answers take 1 to 45 ms.
 A start that arrives seconds late could run at the same time as its replacement."""
-SHORT_TASK_RESERVE = 0.10
+RESERVED_SHARE_FOR_SHORT_TASKS = 0.10
 """Share of all processors that long-running tasks leave free. Short tasks arrive in waves of a
 twentieth of the processors on average, and a core for them is worth four times a core for a
 long-running task."""
-REFUSED_SHAPES = 24
+MAX_REFUSED_SHAPES = 24
 """A placement round ends when this many different shapes of tasks have found no executor: more
 would find none either, and each costs a comparison of every executor."""
 
 
 @dataclass(slots=True)
-class _Round:
+class _PlacementRound:
     """The state of one placement round."""
 
     usable: list[ExecutorState]
-    room: int
+    total_millis: int
     """CPU capacity of all usable executors, in thousandths of a core."""
-    reserved: int
+    reserved_millis: int
     """CPU time that was reserved on them when the round began."""
-    lasting: int
+    long_running_millis: int
     """CPU time reserved by long-running tasks, including those started in this round."""
-    refused: dict[tuple[object, ...], WaitReason] = field(default_factory=dict)
+    wait_reasons: dict[tuple[object, ...], WaitReason] = field(default_factory=dict)
     """By shape of task: the reason why no executor could run it."""
     candidates: dict[StepId, Candidates] = field(default_factory=dict)
 
     @classmethod
-    def of(cls, usable: list[ExecutorState]) -> _Round:
+    def for_executors(cls, usable: list[ExecutorState]) -> _PlacementRound:
         """Return a round over these executors."""
         return cls(
             usable,
-            sum(one.registration.room.cpu_millis for one in usable),
-            sum(one.used_cpu_millis for one in usable),
-            sum(one.lasting_cpu_millis for one in usable),
+            sum(executor.registration.room.cpu_millis for executor in usable),
+            sum(executor.used_cpu_millis for executor in usable),
+            sum(executor.long_running_cpu_millis for executor in usable),
         )
 
-    def most_cost(self, task: Task, now_ms: int) -> float:
+    def max_cost(self, task: Task, now_ms: int) -> float:
         """Return the highest cost that a task without a reservation accepts."""
         age = (now_ms - task.job.spec.accepted_ms) / 1000
-        return most_cost(age, self.reserved / max(1, self.room))
+        return max_accepted_cost(age, self.reserved_millis / max(1, self.total_millis))
 
 
 class Placement:
     """Assigns tasks to executors."""
 
-    def __init__(self, work: Work) -> None:
+    def __init__(self, state: ServiceState) -> None:
         """Initialize with the service state to read and change."""
-        self._work = work
-        self._prices = PriceLists(work.interference)
-        self._first = 0
+        self._state = state
+        self._cost_caches = CostCaches(state.interference)
+        self._first_index = 0
         """Index of the executor at which the candidates of the next step begin."""
 
     def place(self, now: float, now_ms: int) -> None:
         """Send waiting tasks to executors that can run them; the others wait for the next tick."""
-        usable = [one for one in self._work.executors.values() if one.usable(now)]
-        placing = _Round.of(usable)
-        while usable and (step := self._work.waiting.pop()) is not None:
-            reason = self._place_step(step, placing, now, now_ms)
+        usable = [
+            executor for executor in self._state.executors.values() if executor.is_usable(now)
+        ]
+        placement_round = _PlacementRound.for_executors(usable)
+        while usable and (step := self._state.waiting.pop()) is not None:
+            reason = self._place_step(step, placement_round, now, now_ms)
             if reason is None:
-                self._work.waiting.drop(step)
+                self._state.waiting.drop(step)
             else:
-                self._work.waiting.park(step, reason)
-        self._place_copies(placing, now, now_ms)
+                self._state.waiting.park(step, reason)
+        self._place_copies(placement_round, now, now_ms)
 
-    def leave(self, run: Run, now: float) -> bool:
+    def prepare_start(self, run: Run, now: float) -> bool:
         """Prepare a start for sending when its turn has come.
 
         Returns False if it must not be sent any more. The validity of the order begins only now: if
@@ -92,14 +94,14 @@
         """
         executor = run.executor
         wanted = executor.runs.get(run.key) is run and run.phase is RunPhase.STARTING
-        if not wanted or not executor.usable(now):
+        if not wanted or not executor.is_usable(now):
             return False
         run.ordered_at = now
-        _begin_validity(run, now)
+        _set_deadline(run, now)
         return True
 
     def _place_step(
-        self, step: WaitingStep, placing: _Round, now: float, now_ms: int
+        self, step: WaitingStep, placement_round: _PlacementRound, now: float, now_ms: int
     ) -> WaitReason | None:
         """Start the tasks of a step until one finds no executor.
 
@@ -107,10 +109,10 @@
         """
         while step.tasks:
             task = step.tasks[0]
-            if not self._work.wants_run(task):
+            if not self._state.needs_run(task):
                 task.waiting = False
-            elif not self._keep_promise(task, now, now_ms):
-                reason = self._place_task(task, placing, now, now_ms)
+            elif not self._place_reserved(task, now, now_ms):
+                reason = self._place_task(task, placement_round, now, now_ms)
                 if reason is not None:
                     return reason
                 task.waiting = False
@@ -118,111 +120,132 @@
         return None
 
     def _place_task(
-        self, task: Task, placing: _Round, now: float, now_ms: int
+        self, task: Task, placement_round: _PlacementRound, now: float, now_ms: int
     ) -> WaitReason | None:
         shape = _shape(task)
-        allowed = self._ticketed(task, placing.usable, now)
-        reason = placing.refused.get(shape) or self._barred(task, placing)
-        if reason is None and not self._start(task, allowed, placing, now, now_ms):
-            reason = _refusal(task, placing.usable)
+        allowed = self._executors_with_tickets(task, placement_round.usable, now)
+        reason = placement_round.wait_reasons.get(shape) or self._skip_reason(task, placement_round)
+        if reason is None and not self._start(task, allowed, placement_round, now, now_ms):
+            reason = _why_not_placed(task, placement_round.usable)
         if reason is not None:
-            placing.refused[shape] = reason
+            placement_round.wait_reasons[shape] = reason
         return reason
 
-    def _keep_promise(self, task: Task, now: float, now_ms: int) -> bool:
+    def _place_reserved(self, task: Task, now: float, now_ms: int) -> bool:
         """Start a task that is being moved on the executor that has resources reserved for it.
 
         Returns False if the task has no reservation, or its destination is not usable any more.
         """
-        destination = self._work.promises.destination(task)
+        destination = self._state.move_reservations.destination(task)
         if destination is None:
             return False
-        if not destination.usable(now):
+        if not destination.is_usable(now):
             # Reservations are checked only now and then, and an executor may vanish at any moment.
-            self._work.promises.drop(task)
+            self._state.move_reservations.drop(task)
             return False
-        if not (self._work.promises.has_room(task) and is_allowed(task, destination)):
+        if not (self._state.move_reservations.has_room(task) and is_allowed(task, destination)):
             # The task that it is exchanged with has not left the destination yet.
-            self._work.waiting.defer(task)
+            self._state.waiting.defer(task)
             return True
-        self._work.promises.drop(task)
+        self._state.move_reservations.drop(task)
         self._begin_run(task, destination, now, now_ms)
         task.waiting = False
         return True
 
-    def _place_copies(self, placing: _Round, now: float, now_ms: int) -> None:
+    def _place_copies(self, placement_round: _PlacementRound, now: float, now_ms: int) -> None:
         """Start second runs of tasks whose first run is slow, if an executor can take them."""
-        wanted, self._work.copies = self._work.copies, []
-        for task in wanted:
-            alone = len(task.runs) == 1 and task.runs[0].works
-            if not alone or task.key not in task.job.tasks or task.job.state.is_final:
+        tasks, self._state.tasks_to_copy = self._state.tasks_to_copy, []
+        for task in tasks:
+            has_single_run = len(task.runs) == 1 and task.runs[0].is_active
+            if not has_single_run or task.key not in task.job.tasks or task.job.state.is_final:
                 continue
-            others = other_executors(task, self._ticketed(task, placing.usable, now))
-            most = placing.most_cost(task, now_ms)
-            executor = choose(task, others, self._work.interference, most)
+            other_usable = other_executors(
+                task, self._executors_with_tickets(task, placement_round.usable, now)
+            )
+            max_cost = placement_round.max_cost(task, now_ms)
+            executor = choose(task, other_usable, self._state.interference, max_cost)
             if executor is not None:
                 self._begin_run(task, executor, now, now_ms)
 
     def _candidates_for(
-        self, task: Task, allowed: list[ExecutorState], placing: _Round, most: float
+        self,
+        task: Task,
+        allowed: list[ExecutorState],
+        placement_round: _PlacementRound,
+        max_cost: float,
     ) -> Candidates:
-        known = placing.candidates.get(task.step_id)
-        if known is None:
+        candidates = placement_round.candidates.get(task.step_id)
+        if candidates is None:
             # All executors are compared for long-running tasks, since they stay where they are
             # placed, and for tasks that use leftover CPU, since the amount by which they slow down
             # services differs between executors.
             compares_all = task.spec.long_running or task.spec.uses_leftover_cpu
-            looked_at = len(allowed) if compares_all else LOOKED_AT
-            prices = self._prices.for_task(task)
-            known = Candidates(task, allowed, prices, most, self._first, looked_at)
-            self._first += LOOKED_AT
-            placing.candidates[task.step_id] = known
-        return known
-
-    def _ticketed(self, task: Task, usable: list[ExecutorState], now: float) -> list[ExecutorState]:
+            batch_size = len(allowed) if compares_all else EXECUTORS_PER_BATCH
+            prices = self._cost_caches.for_task(task)
+            candidates = Candidates(task, allowed, prices, max_cost, self._first_index, batch_size)
+            self._first_index += EXECUTORS_PER_BATCH
+            placement_round.candidates[task.step_id] = candidates
+        return candidates
+
+    def _executors_with_tickets(
+        self, task: Task, usable: list[ExecutorState], now: float
+    ) -> list[ExecutorState]:
         """Return the executors that may run a task; ask the advisor if too few are known."""
         if not task.job.queue.needs_tickets:
             return usable
         step = task.step_id
         allowed = [
-            one
-            for one in usable
-            if self._work.tickets.valid(step, one.executor, one.registration.incarnation, now)
+            executor
+            for executor in usable
+            if self._state.tickets.valid(
+                step, executor.executor, executor.registration.incarnation, now
+            )
         ]
-        if len(allowed) < min(len(members(task)), len(usable)):
+        if len(allowed) < min(len(gang_members(task)), len(usable)):
             free = sorted(
-                usable, key=lambda one: one.used_cpu_millis - one.registration.room.cpu_millis
+                usable,
+                key=lambda executor: executor.used_cpu_millis
+                - executor.registration.room.cpu_millis,
             )
-            known = {one.executor for one in allowed}
-            names = [one.executor for one in free if one.executor not in known]
-            asked = self._work.tickets.to_ask(step, names, now)
+            allowed_names = {executor.executor for executor in allowed}
+            names = [
+                executor.executor for executor in free if executor.executor not in allowed_names
+            ]
+            asked = self._state.tickets.begin_question(step, names, now)
             if asked:
-                self._work.commands.append(AskAdvice(step, asked))
+                self._state.commands.append(AskAdvice(step, asked))
         return allowed
 
     @staticmethod
-    def _barred(task: Task, placing: _Round) -> WaitReason | None:
+    def _skip_reason(task: Task, placement_round: _PlacementRound) -> WaitReason | None:
         """Return why a task is not considered in this round, or None."""
-        if len(placing.refused) >= REFUSED_SHAPES:
+        if len(placement_round.wait_reasons) >= MAX_REFUSED_SHAPES:
             return WaitReason.BEHIND
-        return WaitReason.RESERVED if _would_take_reserve(task, placing) else None
+        return (
+            WaitReason.RESERVED if _would_take_short_task_reserve(task, placement_round) else None
+        )
 
     def _start(
-        self, task: Task, allowed: list[ExecutorState], placing: _Round, now: float, now_ms: int
+        self,
+        task: Task,
+        allowed: list[ExecutorState],
+        placement_round: _PlacementRound,
+        now: float,
+        now_ms: int,
     ) -> bool:
         """Start a task together with its gang, if there are executors for all of them."""
-        most = placing.most_cost(task, now_ms)
+        max_cost = placement_round.max_cost(task, now_ms)
 
-        def choice(one: Task, executors: list[ExecutorState]) -> ExecutorState | None:
-            if one.failed_on or one.spec.gang or one.job.queue.needs_tickets:
-                return choose(one, executors, self._work.interference, most)
-            return self._candidates_for(one, executors, placing, most).best()
+        def choice(member: Task, executors: list[ExecutorState]) -> ExecutorState | None:
+            if member.failed_on or member.spec.gang or member.job.queue.needs_tickets:
+                return choose(member, executors, self._state.interference, max_cost)
+            return self._candidates_for(member, executors, placement_round, max_cost).best()
 
         runs = place_together(task, allowed, choice, next_attempt(task), now)
         for run in runs:
             self._send(run, now, now_ms)
             if task.spec.long_running:
-                placing.lasting += task.spec.reserved_cpu_millis
+                placement_round.long_running_millis += task.spec.reserved_cpu_millis
         return bool(runs)
 
     def _begin_run(self, task: Task, executor: ExecutorState, now: float, now_ms: int) -> None:
@@ -236,57 +259,57 @@
         executor, task = run.executor, run.task
         run.checkpoint = task.checkpoint
         if task.job.queue.needs_tickets:
-            life = executor.registration.incarnation
-            ticket = self._work.tickets.valid(task.step_id, executor.executor, life, now)
+            incarnation = executor.registration.incarnation
+            ticket = self._state.tickets.valid(task.step_id, executor.executor, incarnation, now)
             run.ticket = ticket or ""
-        _begin_validity(run, now)
-        run.in_background = task.spec.uses_leftover_cpu and task.job.beyond_use(now_ms)
+        _set_deadline(run, now)
+        run.in_background = task.spec.uses_leftover_cpu and task.job.is_beyond_use(now_ms)
         task.attempt = run.attempt
         task.runs.append(run)
-        self._work.commands.append(StartRun(run))
-        self._work.notes.append(_sent(run, now, now_ms))
-        task.waits_for = WaitReason.NOTHING
-        self._work.jobs.note_started(task.job)
+        self._state.commands.append(StartRun(run))
+        self._state.notes.append(_task_sent_note(run, now, now_ms))
+        task.wait_reason = WaitReason.NOTHING
+        self._state.jobs.note_started(task.job)
 
 
-def _begin_validity(run: Run, now: float) -> None:
+def _set_deadline(run: Run, now: float) -> None:
     """Set the deadline of a start; it also acts as a lease for everything on the executor."""
-    run.start_deadline_ms = run.executor.clock(now) + START_VALID_MS
+    run.start_deadline_ms = run.executor.min_clock_ms(now) + START_VALID_MS
     run.executor.grant_lease(run.start_deadline_ms)
 
 
-def _would_take_reserve(task: Task, placing: _Round) -> bool:
+def _would_take_short_task_reserve(task: Task, placement_round: _PlacementRound) -> bool:
     """Whether a new long-running task would take resources that are kept for short tasks."""
     if not task.spec.long_running or task.attempt:
         return False
-    wanted = placing.lasting + task.spec.reserved_cpu_millis
-    return wanted > placing.room * (1 - SHORT_TASK_RESERVE)
+    long_running_millis = placement_round.long_running_millis + task.spec.reserved_cpu_millis
+    return long_running_millis > placement_round.total_millis * (1 - RESERVED_SHARE_FOR_SHORT_TASKS)
 
 
 def _shape(task: Task) -> tuple[object, ...]:
     step = task.spec
-    own = step.per_executor_limit or task.job.queue.needs_tickets or step.gang
-    limited = task.step_id if own else None
+    has_own_limits = step.per_executor_limit or task.job.queue.needs_tickets or step.gang
+    limited = task.step_id if has_own_limits else None
     size = (step.reserved_cpu_millis, step.memory_mb, step.accelerators)
     image = step.image if step.uses_leftover_cpu else ""
     # Resources are kept free from long-running tasks that never ran, but not from restarted ones.
-    comes_back = step.long_running and task.attempt > 0
-    return (*size, step.required_label, step.long_running, comes_back, limited, image)
+    is_restarted = step.long_running and task.attempt > 0
+    return (*size, step.required_label, step.long_running, is_restarted, limited, image)
 
 
-def _refusal(task: Task, usable: list[ExecutorState]) -> WaitReason:
+def _why_not_placed(task: Task, usable: list[ExecutorState]) -> WaitReason:
     """Return why none of the executors could run a task."""
     step = task.spec
-    processors = any(step.reserved_cpu_millis <= one.free_cpu_millis for one in usable)
-    memory = any(step.memory_mb <= one.free_memory_mb for one in usable)
-    if not processors:
+    has_cpu = any(step.reserved_cpu_millis <= executor.free_cpu_millis for executor in usable)
+    has_memory = any(step.memory_mb <= executor.free_memory_mb for executor in usable)
+    if not has_cpu:
         return WaitReason.PROCESSORS
-    if not memory:
+    if not has_memory:
         return WaitReason.MEMORY
     return WaitReason.DISTURBS if step.uses_leftover_cpu else WaitReason.OTHER
 
 
-def _sent(run: Run, now: float, now_ms: int) -> TaskSent:
+def _task_sent_note(run: Run, now: float, now_ms: int) -> TaskSent:
     executor = run.executor
     polled_at = executor.polled_at if executor.polled_at is not None else now
     return TaskSent(
@@ -296,7 +319,7 @@
         executor.registration.incarnation,
         now_ms - run.task.job.spec.accepted_ms,
         int((now - polled_at) * 1000),
-        executor.strikes,
-        run.task.waits_for,
-        run.task.last_over,
+        executor.consecutive_failures,
+        run.task.wait_reason,
+        run.task.last_run_over,
     )
--- a/fireflyfork/decisions/jobs/_placing.py
+++ b/fireflyfork/decisions/jobs/_placement_costs.py
@@ -7,95 +7,97 @@
 
 from ._executors import ExecutorState
 from ._interference import InterferenceModel
-from ._pacing import WANTED_HEADROOM
+from ._pacing import HEADROOM_TO_KEEP
 from ._runs import Task
 
-SERVING_LOAD = 0.55
+ASSUMED_SERVING_LOAD = 0.55
 """Share of its reservation that a serving task is assumed to use: the load of such services varies
 around a little less than half of their reservation, and the rest that is given to other tasks must
 remain available when the load rises."""
-STRIKE_COST = 4.0
+RECENT_FAILURE_COST = 4.0
 """Cost of each recent failure, in units of a whole executor's load. An executor that has just
 failed comes after all others, however loaded they are."""
-FAILED_THERE_COST = 8.0
+EARLIER_FAILURE_COST = 8.0
 """Cost of an executor on which the same task has failed before. If the task fails elsewhere too, it
 is itself at fault."""
-DISTURBANCE_COST = 3.0
+MISSING_HEADROOM_COST = 3.0
 """Cost of each unit of headroom below the headroom to keep, in units of a whole executor's load. A
 task that has to be slowed down takes longer than one on a crowded executor."""
 PACKING_GAIN = 1.0
 """Advantage of a full executor over an empty one for a serving task. Of two executors with the same
 images the fuller one gets the task, so large tasks find whole executors free rather than a core on
 each."""
-ADDED_COST = 2.0
+TAKEN_HEADROOM_COST = 2.0
 """Cost of each unit of headroom that the task itself takes, even where enough is left. Loads
 change, and the tasks that run there now may be different ones in two seconds."""
-SPOILING_COST = 2.0
+SECOND_IMAGE_COST = 2.0
 """Cost of adding a second image to an executor that serves only one. Work that disturbs an image
 needs executors without it, and the first task of another image makes one more executor unusable for
 such work, however small its share."""
-STRAY_COST = 1.0
+FURTHER_IMAGE_COST = 1.0
 """Cost of adding another image to an executor that already serves several: it was mixed before."""
-KIN_COST = 0.3
+SHARED_IMAGE_COST = 0.3
 """Cost of joining an executor that serves several images, the task's own among them."""
 UPKEEP_COST = 2.0
 """Cost of a machine that has yet to go down for upkeep, for a long-running task: the task would
 have to be moved once more."""
-MOST_BEST_EFFORT_COST = 2.0
+MAX_BEST_EFFORT_COST = 2.0
 """Highest cost that a task without a reservation accepts at first; above it the task waits. It
 would run at half its speed or less and slow down the tasks next to it, so that all would end late;
 run one after the other, the first ones end in time."""
-CALM_SHARE = 0.6
-CALM_PATIENCE_SECONDS = 8.0
+LOW_RESERVED_SHARE = 0.6
+LOW_RESERVED_PATIENCE_SECONDS = 8.0
 """While less than `LOW_RESERVED_SHARE` of all processors is reserved, tasks of jobs older than this
 many seconds accept increasing costs: executors have free capacity, and callers see a job that could
 run and doesn't."""
-FULL_PATIENCE_SECONDS = 30.0
+HIGH_RESERVED_PATIENCE_SECONDS = 30.0
 """Seconds before tasks accept higher costs on full executors. Jobs of this age are too late to be
 of use, and the work that they would slow down is not. But every accepted job has to end, even if
 every executor serves an image that it disturbs."""
-PATIENCE_COST = 0.5
+ACCEPTED_COST_PER_SECOND = 0.5
 """How much the accepted cost rises for each second beyond that."""
 
 
 def choose(
-    task: Task, executors: Iterable[ExecutorState], model: InterferenceModel, most_cost: float
+    task: Task, executors: Iterable[ExecutorState], model: InterferenceModel, max_cost: float
 ) -> ExecutorState | None:
     """Return the cheapest executor that can run the task, or None if there is none.
 
     A task without a reservation accepts no executor with a cost above `max_cost`.
     """
-    best: ExecutorState | None = None
-    lowest = float("inf")
+    cheapest: ExecutorState | None = None
+    min_cost = float("inf")
     for executor in executors:
-        cost = cost_of(task, executor, model, most_cost)
-        if cost is not None and cost < lowest:
-            best, lowest = executor, cost
-    return best
+        cost = task_cost(task, executor, model, max_cost)
+        if cost is not None and cost < min_cost:
+            cheapest, min_cost = executor, cost
+    return cheapest
 
 
-class Price(NamedTuple):
+class PlacementCost(NamedTuple):
     """The cost of running a task on an executor, in units of a whole executor's load."""
 
     total: float
-    bounded: float
+    best_effort: float
     """The part that is compared with the highest accepted cost of a task without a reservation."""
 
 
-def cost_of(
-    task: Task, executor: ExecutorState, model: InterferenceModel, most_cost: float
+def task_cost(
+    task: Task, executor: ExecutorState, model: InterferenceModel, max_cost: float
 ) -> float | None:
     """Return the cost of running a task on an executor, or None if it can't run there.
 
     The unit is the load of a whole executor.
     """
-    found = price(task, executor, model)
-    if found is None or found.bounded > most_cost:
+    cost = placement_cost(task, executor, model)
+    if cost is None or cost.best_effort > max_cost:
         return None
-    return found.total + (FAILED_THERE_COST if executor.executor in task.failed_on else 0.0)
+    return cost.total + (EARLIER_FAILURE_COST if executor.executor in task.failed_on else 0.0)
 
 
-def price(task: Task, executor: ExecutorState, model: InterferenceModel) -> Price | None:
+def placement_cost(
+    task: Task, executor: ExecutorState, model: InterferenceModel
+) -> PlacementCost | None:
     """Return the cost of any task of the same shape, or None if it can't run on the executor."""
     step = task.spec
     if not executor.fits(step.reserved_cpu_millis, step.memory_mb, step.accelerators):
@@ -104,19 +106,23 @@
         return None
     history = _history_cost(task, executor)
     if not step.uses_leftover_cpu:
-        return Price(_reserving_cost(task, executor, model) + history, 0.0)
+        return PlacementCost(_reserving_cost(task, executor, model) + history, 0.0)
     cost = _best_effort_cost(task, executor, model)
-    return Price(cost + history, cost)
+    return PlacementCost(cost + history, cost)
 
 
-def most_cost(age_seconds: float, reserved_share: float) -> float:
+def max_accepted_cost(age_seconds: float, reserved_share: float) -> float:
     """Return the highest cost that a task without a reservation accepts.
 
     `age_seconds` is the time since its job was accepted, by the clocks of two instances.
     `reserved_share` is the share of all processors that is reserved.
     """
-    patience = CALM_PATIENCE_SECONDS if reserved_share < CALM_SHARE else FULL_PATIENCE_SECONDS
-    return MOST_BEST_EFFORT_COST + PATIENCE_COST * max(0.0, age_seconds - patience)
+    patience = (
+        LOW_RESERVED_PATIENCE_SECONDS
+        if reserved_share < LOW_RESERVED_SHARE
+        else HIGH_RESERVED_PATIENCE_SECONDS
+    )
+    return MAX_BEST_EFFORT_COST + ACCEPTED_COST_PER_SECOND * max(0.0, age_seconds - patience)
 
 
 def is_allowed(task: Task, executor: ExecutorState) -> bool:
@@ -126,17 +132,17 @@
         return False
     if not step.per_executor_limit:
         return True
-    same = sum(
+    runs_of_step = sum(
         run.task.job is task.job
         and run.task.key.step == task.key.step
         and run.task.key.occurrence == task.key.occurrence
         for run in executor.runs.values()
     )
-    return same < step.per_executor_limit
+    return runs_of_step < step.per_executor_limit
 
 
 def _history_cost(task: Task, executor: ExecutorState) -> float:
-    cost = STRIKE_COST * executor.strikes
+    cost = RECENT_FAILURE_COST * executor.consecutive_failures
     if task.spec.data_rack and task.spec.data_rack not in executor.registration.labels:
         cost += 1.0
     if task.spec.long_running and executor.upkeep_due:
@@ -149,57 +155,57 @@
     load = (executor.used_cpu_millis + step.reserved_cpu_millis) / max(1, room.cpu_millis)
     memory = (executor.used_memory_mb + step.memory_mb) / max(1, room.memory_mb)
     if step.tail_target_ms:
-        return _company_cost(task, executor) - PACKING_GAIN * load
+        return _image_mix_cost(task, executor) - PACKING_GAIN * load
     cost = load + 0.25 * memory
-    return cost + _disturbance(task, executor, model)
+    return cost + _disturbance_cost(task, executor, model)
 
 
-def _company_cost(task: Task, executor: ExecutorState) -> float:
+def _image_mix_cost(task: Task, executor: ExecutorState) -> float:
     """Return the cost of mixing the task's image with the other images that the executor serves."""
-    images = executor.serving
+    images = executor.serving_counts
     if not images:
         return 0.0
-    kin = task.spec.image in images
+    is_shared = task.spec.image in images
     if len(images) == 1:
-        return 0.0 if kin else SPOILING_COST
-    return KIN_COST if kin else STRAY_COST
+        return 0.0 if is_shared else SECOND_IMAGE_COST
+    return SHARED_IMAGE_COST if is_shared else FURTHER_IMAGE_COST
 
 
 def _best_effort_cost(task: Task, executor: ExecutorState, model: InterferenceModel) -> float:
     demand = executor.best_effort_cpu_millis + task.spec.cpu_millis
-    return demand / max(1.0, leftover_millis(executor)) + _disturbance(task, executor, model)
+    return demand / max(1.0, leftover_millis(executor)) + _disturbance_cost(task, executor, model)
 
 
 def leftover_millis(executor: ExecutorState) -> float:
     """Return the CPU time that tasks with a reservation leave unused, in thousandths of a core."""
-    unused = (1 - SERVING_LOAD) * executor.serving_cpu_millis
+    unused = (1 - ASSUMED_SERVING_LOAD) * executor.serving_cpu_millis
     return executor.registration.room.cpu_millis - executor.used_cpu_millis + unused
 
 
-def _disturbance(task: Task, executor: ExecutorState, model: InterferenceModel) -> float:
+def _disturbance_cost(task: Task, executor: ExecutorState, model: InterferenceModel) -> float:
     """Return the cost of the headroom that the task would take from the serving tasks."""
-    if not executor.lasting_headroom:
+    if not executor.recent_min_headroom:
         return 0.0
     share = task.spec.cpu_millis / max(1, executor.registration.room.cpu_millis)
-    most_added = most_missing = 0.0
-    for serving, missing in _missing_headroom(executor, model).items():
+    max_added = max_deficit = 0.0
+    for serving, deficit in _headroom_deficit(executor, model).items():
         added = share * model.effect(serving, task.spec.image)
-        most_added = max(most_added, added)
-        most_missing = max(most_missing, missing + added)
-    return ADDED_COST * most_added + DISTURBANCE_COST * most_missing
+        max_added = max(max_added, added)
+        max_deficit = max(max_deficit, deficit + added)
+    return TAKEN_HEADROOM_COST * max_added + MISSING_HEADROOM_COST * max_deficit
 
 
-def _missing_headroom(executor: ExecutorState, model: InterferenceModel) -> dict[str, float]:
+def _headroom_deficit(executor: ExecutorState, model: InterferenceModel) -> dict[str, float]:
     """Return, by serving image, the headroom to keep minus the headroom of its tasks.
 
     The value is negative if they have more. Cached until something on the executor changes, since
     hundreds of executors are compared for each step.
     """
-    known = executor.missing_headroom
-    if known is None:
+    cached = executor.headroom_deficit
+    if cached is None:
         shares = executor.disturbing_shares()
-        known = executor.missing_headroom = {
-            serving: WANTED_HEADROOM + model.lost_headroom(serving, shares) - headroom
-            for serving, headroom in executor.lasting_headroom.items()
+        cached = executor.headroom_deficit = {
+            serving: HEADROOM_TO_KEEP + model.lost_headroom(serving, shares) - headroom
+            for serving, headroom in executor.recent_min_headroom.items()
         }
-    return known
+    return cached
--- a/fireflyfork/decisions/jobs/_queues.py
+++ b/fireflyfork/decisions/jobs/_queues.py
@@ -44,11 +44,11 @@
     def find(self, host: str, path: str) -> QueueTerms | None:
         """Return the queue with the longest prefix of `path`, or None."""
         candidates = self.by_host.get(host.lower(), ())
-        return next((one for one in candidates if path.startswith(one.path_prefix)), None)
+        return next((queue for queue in candidates if path.startswith(queue.path_prefix)), None)
 
     def by_name(self, name: QueueName) -> QueueTerms | None:
         """Return the queue of that name, or None if it is no longer configured."""
-        return next((one for one in self.queues if one.name == name), None)
+        return next((queue for queue in self.queues if queue.name == name), None)
 
 
 def queue_table(
--- a/fireflyfork/decisions/jobs/_report_handling.py
+++ b/fireflyfork/decisions/jobs/_report_handling.py
@@ -7,33 +7,33 @@
 from ..._ids import JobId, QueueName, TaskName
 from ._commands import PaceRun
 from ._executors import ExecutorRegistration, ExecutorState
-from ._gangs import failures, members, save
+from ._gangs import failed_attempt_count, gang_members, save_checkpoint
 from ._job_table import terms_without_queue
 from ._load_shedding import Shed
 from ._notes import RunEnded
-from ._overs import RunOver
 from ._pacing import BACKGROUND_PACE, adjust_pace
 from ._progress import JobState
 from ._reports import CallOutcome, EndedRow, EndReason, OrderAnswer, PollAnswer, RunningRow
+from ._run_end_evidence import RunEndEvidence
 from ._runs import Job, Run, RunPhase, Task
+from ._service_state import ServiceState, job_over_note
 from ._specs import JobSpec, StepSpec, TaskKey
-from ._work import Work, job_over
 
-_OF_THE_EXECUTOR = frozenset({CallOutcome.UNHEALTHY, CallOutcome.NO_ROOM})
+_EXECUTOR_REFUSALS = frozenset({CallOutcome.UNHEALTHY, CallOutcome.NO_ROOM})
 """Refusals that are due to the executor, so that another executor may accept the start."""
-_ELSEWHERE_AT_ONCE = frozenset({CallOutcome.NO_TICKET, CallOutcome.OTHER_INCARNATION})
+_RETRIED_AT_ONCE = frozenset({CallOutcome.NO_TICKET, CallOutcome.OTHER_INCARNATION})
 """Refusals whose reason cannot apply to the next attempt."""
 
 
-class Reports:
+class ReportHandler:
     """Handles answers to orders and polls."""
 
-    def __init__(self, work: Work, longest_lease_ms: int) -> None:
+    def __init__(self, state: ServiceState, longest_lease_ms: int) -> None:
         """Initialize with the service state to change.
 
         No owner grants an executor a lease of more than `longest_lease_ms`.
         """
-        self._work = work
+        self._state = state
         self._longest_lease_ms = longest_lease_ms
 
     def start_answered(self, run: Run, answer: OrderAnswer, now: float) -> None:
@@ -49,36 +49,36 @@
             run.progress_at = now
             if run.in_background:
                 run.pace_percent = run.lowest_pace = BACKGROUND_PACE
-                self._work.commands.append(PaceRun(run, BACKGROUND_PACE))
+                self._state.commands.append(PaceRun(run, BACKGROUND_PACE))
         elif outcome is CallOutcome.UNKNOWN:
             run.phase = RunPhase.UNSURE
-            self._work.stop(run, now)
+            self._state.stop(run, now)
         else:
-            if outcome in _OF_THE_EXECUTOR:
-                self._work.strike(executor, now)
+            if outcome in _EXECUTOR_REFUSALS:
+                self._state.record_failure(executor, now)
             elif outcome is CallOutcome.NO_TICKET:
-                self._work.tickets.rejected(run.task.step_id, executor.executor)
+                self._state.tickets.rejected(run.task.step_id, executor.executor)
             # An attempt that differs in nothing is just as likely to be refused. Sent as soon as
             # the answer arrives, such orders would go out hundreds of times a second.
-            differs = outcome in _OF_THE_EXECUTOR or outcome in _ELSEWHERE_AT_ONCE
-            self._work.gone(run, now, RunOver.REFUSED, at_once=differs)
+            retry_at_once = outcome in _EXECUTOR_REFUSALS or outcome in _RETRIED_AT_ONCE
+            self._state.remove_run(run, now, RunEndEvidence.REFUSED, at_once=retry_at_once)
             if outcome is CallOutcome.OTHER_INCARNATION:
-                self.incarnation_met(executor, answer.incarnation, run.ordered_at, now)
+                self.handle_incarnation(executor, answer.incarnation, run.ordered_at, now)
 
     def stop_answered(self, run: Run, answer: OrderAnswer, now: float) -> None:
         """Handle the answer to a stop order, or its absence."""
         _note_clock(run.executor, answer, now)
         if answer.outcome is CallOutcome.OTHER_INCARNATION:
-            self.incarnation_met(run.executor, answer.incarnation, run.stop_sent_at, now)
-        if answer.outcome is CallOutcome.ACCEPTED and run.barred_at is None:
-            run.barred_at = now
+            self.handle_incarnation(run.executor, answer.incarnation, run.stop_sent_at, now)
+        if answer.outcome is CallOutcome.ACCEPTED and run.stop_acknowledged_at is None:
+            run.stop_acknowledged_at = now
 
     def pace_answered(self, run: Run, answer: OrderAnswer) -> None:
         """Handle the answer to a pace order, or its absence."""
         if answer.outcome is not CallOutcome.ACCEPTED:
             run.pace_confirmed = False
 
-    def incarnation_met(
+    def handle_incarnation(
         self, executor: ExecutorState, incarnation: int | None, sent_at: float, now: float
     ) -> bool:
         """Handle an incarnation reported by a call. Returns whether the executor has restarted.
@@ -87,20 +87,24 @@
         the incarnation reported is lower. In that case the clock was set back before the executor
         restarted.
         """
-        known = executor.registration.incarnation
-        if incarnation is None or incarnation == known or not self._work.is_current(executor):
+        known_incarnation = executor.registration.incarnation
+        if (
+            incarnation is None
+            or incarnation == known_incarnation
+            or not self._state.is_current(executor)
+        ):
             return False
-        if incarnation < known and sent_at <= executor.known_since:
+        if incarnation < known_incarnation and sent_at <= executor.known_since:
             return False
-        self._work.reborn(executor, _reborn_as(executor, incarnation), now)
+        self._state.handle_restart(executor, _with_incarnation(executor, incarnation), now)
         return True
 
     def poll_failed(self, executor: ExecutorState, now: float) -> None:
         """Handle a poll without an answer."""
-        if not self._work.is_current(executor):
+        if not self._state.is_current(executor):
             return
         executor.failed_polls += 1
-        self._work.forget_if_over(executor, now)
+        self._state.drop_if_lease_expired(executor, now)
 
     def poll_answered(
         self,
@@ -116,85 +120,85 @@
         If a later answer was handled first, only the ends are still taken from this one, not the
         list of runs.
         """
-        if not self._work.is_current(executor):
+        if not self._state.is_current(executor):
             return
         same = answer.incarnation in (None, executor.registration.incarnation)
-        if not same and not self.incarnation_met(executor, answer.incarnation, sent_at, now):
+        if not same and not self.handle_incarnation(executor, answer.incarnation, sent_at, now):
             return
         if answer.clock_ms is not None:
-            executor.note_clock(answer.clock_ms, now)
+            executor.update_clock(answer.clock_ms, now)
         if executor.polled_at is None:
             # An earlier owner, or this one before it dropped the executor, may have renewed its
             # lease just before. If the lease were taken for expired, a run that continues there
             # would be started elsewhere as soon as polls fail. No earlier grant reaches further
             # than this one; later grants of earlier owners are refused.
-            executor.grant_lease(executor.clock(now) + self._longest_lease_ms)
+            executor.grant_lease(executor.min_clock_ms(now) + self._longest_lease_ms)
         overtaken = executor.polled_at is not None and sent_at < executor.polled_at
         executor.failed_polls = 0
-        executor.heard_at = now
+        executor.last_answer_at = now
         if not overtaken:
             executor.polled_at = sent_at
             executor.answers_late = not in_time
         # An end handled after a later one would be skipped, and then forgotten together with it.
         for row in sorted(answer.ended, key=lambda row: row.number):
-            if row.number > executor.seen_end:
-                executor.seen_end = row.number
-                self._ended(executor, row, now, now_ms)
-                executor.unstored_ends.append((row.number, self._work.jobs.changes.last))
+            if row.number > executor.processed_end:
+                executor.processed_end = row.number
+                self._handle_end(executor, row, now, now_ms)
+                executor.unstored_ends.append((row.number, self._state.jobs.changes.last))
         if overtaken:
             return
-        self._compare(executor, sent_at, answer, now)
+        self._reconcile(executor, sent_at, answer, now)
         if not answer.ends_may_be_cut:
-            self._work.reached(executor.executor, now)
-        self._work.commands.extend(
+            self._state.mark_reached(executor.executor, now)
+        self._state.commands.extend(
             PaceRun(run, percent)
             for run, percent in adjust_pace(
                 executor,
                 answer.running,
-                self._work.interference,
+                self._state.interference,
                 now,
-                learns=self._work.shed < Shed.LEARNING,
+                learns=self._state.shed < Shed.LEARNING,
             )
         )
 
-    def _ended(self, executor: ExecutorState, row: EndedRow, now: float, now_ms: int) -> None:
+    def _handle_end(self, executor: ExecutorState, row: EndedRow, now: float, now_ms: int) -> None:
         run = executor.runs.get((row.task, row.attempt))
-        task = run.task if run is not None else self._task(row.task)
+        task = run.task if run is not None else self._open_task(row.task)
         if task is None:
             return
         pace = run.lowest_pace if run is not None else 100
-        self._work.notes.append(
+        self._state.notes.append(
             RunEnded(row.task, row.attempt, executor.executor, row.reason, pace)
         )
         if row.checkpoint and task.spec.checkpointing:
-            save(task, row.checkpoint)
+            save_checkpoint(task, row.checkpoint)
         if row.reason is EndReason.DONE and not task.spec.long_running:
             self._task_done(task, executor, now, now_ms)
         elif row.reason is EndReason.FAILED:
             self._task_failed(task, row, executor, now, now_ms)
         if run is not None:
-            self._work.gone(run, now, RunOver.ENDED)
+            self._state.remove_run(run, now, RunEndEvidence.ENDED)
         task.attempt = max(task.attempt, row.attempt)
-        self._work.jobs.note_changed(task.job)
+        self._state.jobs.note_changed(task.job)
 
-    def _task(self, name: TaskName) -> Task | None:
+    def _open_task(self, name: TaskName) -> Task | None:
         """Return the task of that name, or None. Opens its occurrence."""
-        for ready in self._work.jobs.open_begun(name):
-            self._work.enqueue(ready)
-        return self._work.jobs.task(name)
+        for ready in self._state.jobs.open_started(name):
+            self._state.enqueue(ready)
+        return self._state.jobs.task(name)
 
     def _task_done(self, task: Task, executor: ExecutorState, now: float, now_ms: int) -> None:
-        executor.strikes = 0
+        executor.consecutive_failures = 0
         if task.job.state.is_final:
             return
-        for member in members(task):
-            for ready in self._work.jobs.task_done(member, now_ms):
-                self._work.enqueue(ready)
+        for member in gang_members(task):
+            for ready in self._state.jobs.task_done(member, now_ms):
+                self._state.enqueue(ready)
         if task.job.state.is_final:
-            self._work.notes.append(job_over(task.job, now_ms))
-        for other in tuple(task.runs):
-            if other.works and other.executor is not executor:
-                self._work.stop(other, now)
+            self._state.notes.append(job_over_note(task.job, now_ms))
+        for run in tuple(task.runs):
+            if run.is_active and run.executor is not executor:
+                self._state.stop(run, now)
 
     def _task_failed(
         self, task: Task, row: EndedRow, executor: ExecutorState, now: float, now_ms: int
@@ -205,15 +209,15 @@
             # A task that also fails on a second executor is itself at fault. Counting it against
             # each executor that it reaches would make all of them unusable while many jobs arrive
             # that can't succeed.
-            self._work.strike(executor, now)
+            self._state.record_failure(executor, now)
         task.failed_attempts.append(row.attempt)
         task.failed_on.add(executor.executor)
         job = task.job
-        exhausted = failures(task) >= job.queue.attempts
+        exhausted = failed_attempt_count(task) >= job.queue.attempts
         if exhausted and not task.spec.long_running and not job.state.is_final:
-            self._work.finish(job, JobState.FAILED, now, now_ms)
+            self._state.finish(job, JobState.FAILED, now, now_ms)
 
-    def _compare(
+    def _reconcile(
         self,
         executor: ExecutorState,
         sent_at: float,
@@ -224,14 +228,14 @@
         for key, run in tuple(executor.runs.items()):
             row = listed.pop(key, None)
             if row is not None:
-                self._still_there(run, row, now)
+                self._update_run(run, row, now)
             elif not answer.ends_may_be_cut:
                 # Its end, possibly a successful one, may be beyond the end of a truncated list.
-                self._not_listed(run, sent_at, now)
+                self._handle_missing(run, sent_at, now)
         for row in listed.values():
-            self._found(executor, row, now)
+            self._adopt_run(executor, row, now)
 
-    def _still_there(self, run: Run, row: RunningRow, now: float) -> None:
+    def _update_run(self, run: Run, row: RunningRow, now: float) -> None:
         if run.phase is RunPhase.STARTING:
             run.phase = RunPhase.RUNNING
         if run.confirmed_at is None:
@@ -242,62 +246,66 @@
             run.progress_at = now
         if row.checkpoint and run.task.spec.checkpointing:
             run.checkpoint = row.checkpoint
-            save(run.task, row.checkpoint)
+            save_checkpoint(run.task, row.checkpoint)
 
-    def _not_listed(self, run: Run, sent_at: float, now: float) -> None:
+    def _handle_missing(self, run: Run, sent_at: float, now: float) -> None:
         """Handle a run that is missing from the list.
 
         It has ended and was forgotten, never began, or began after the list was made.
         """
-        if run.barred_at is not None and run.barred_at <= sent_at:
-            self._work.gone(run, now, RunOver.NOT_LISTED)
+        if run.stop_acknowledged_at is not None and run.stop_acknowledged_at <= sent_at:
+            self._state.remove_run(run, now, RunEndEvidence.NOT_LISTED)
         elif run.phase is RunPhase.RUNNING and (run.confirmed_at or now) < sent_at:
             # Only a list that arrived out of order explains this. Stopping the run bars its
             # attempt, so it can't start next to its replacement.
             run.phase = RunPhase.UNSURE
-            self._work.stop(run, now)
+            self._state.stop(run, now)
 
-    def _found(self, executor: ExecutorState, row: RunningRow, now: float) -> None:
+    def _adopt_run(self, executor: ExecutorState, row: RunningRow, now: float) -> None:
         """Add a run that was not known here.
 
         It is a run of an earlier owner, or an order that was given up and carried out late.
         """
-        task = self._task(row.task)
+        task = self._open_task(row.task)
         if task is None:
-            self._stop_stranger(executor, row, now)
+            self._stop_unknown_run(executor, row, now)
             return
-        newest = all(row.attempt > other.attempt for other in task.runs)
+        is_newest = all(row.attempt > previous_run.attempt for previous_run in task.runs)
         run = Run(task, row.attempt, executor, RunPhase.RUNNING, now, confirmed_at=now)
         # An earlier owner may have slowed it down; assumed to run at full pace, it would stay slow
         # permanently.
         run.pace_confirmed = False
-        self._still_there(run, row, now)
+        self._update_run(run, row, now)
         executor.add(run)
-        late = row.attempt < task.attempt
+        is_late = row.attempt < task.attempt
         task.attempt = max(task.attempt, row.attempt)
-        others = tuple(task.runs)
+        previous_runs = tuple(task.runs)
         task.runs.append(run)
-        if late or not newest:
-            self._work.stop(run, now)
+        if is_late or not is_newest:
+            self._state.stop(run, now)
             return
-        for other in others:
-            self._work.stop(other, now)
-        self._work.jobs.note_started(task.job)
+        for previous_run in previous_runs:
+            self._state.stop(previous_run, now)
+        self._state.jobs.note_started(task.job)
 
-    def _stop_stranger(self, executor: ExecutorState, row: RunningRow, now: float) -> None:
+    def _stop_unknown_run(self, executor: ExecutorState, row: RunningRow, now: float) -> None:
         """Stop a run of a task that is over or unknown.
 
         It keeps its resources until its end is listed.
         """
-        known = self._work.jobs.step_of(row.task)
+        known_step = self._state.jobs.step_of(row.task)
         service = executor.registration.service
-        spec = known[0] if known else JobSpec(JobId(row.task), QueueName(""), service, "", (), 0)
-        step = known[1] if known else StepSpec(1, 0, 0, 0, 0)
+        spec = (
+            known_step[0]
+            if known_step
+            else JobSpec(JobId(row.task), QueueName(""), service, "", (), 0)
+        )
+        step = known_step[1] if known_step else StepSpec(1, 0, 0, 0, 0)
         job = Job(spec, terms_without_queue(spec), JobState.CANCELLED)
         task = Task(job, TaskKey(0, 0, 0), row.task, step)
         run = Run(task, row.attempt, executor, RunPhase.STOPPING, now, confirmed_at=now)
         executor.add(run)
-        self._work.stop(run, now)
+        self._state.stop(run, now)
 
 
 def _note_clock(executor: ExecutorState, answer: OrderAnswer, now: float) -> None:
@@ -307,8 +315,8 @@
     previous one, no late order would become void and no lease would end.
     """
     if answer.clock_ms is not None and answer.incarnation == executor.registration.incarnation:
-        executor.note_clock(answer.clock_ms, now)
+        executor.update_clock(answer.clock_ms, now)
 
 
-def _reborn_as(executor: ExecutorState, incarnation: int) -> ExecutorRegistration:
+def _with_incarnation(executor: ExecutorState, incarnation: int) -> ExecutorRegistration:
     return replace(executor.registration, incarnation=incarnation)
--- a/fireflyfork/decisions/jobs/_overs.py
+++ b/fireflyfork/decisions/jobs/_run_end_evidence.py
@@ -5,7 +5,7 @@
 from enum import Enum
 
 
-class RunOver(Enum):
+class RunEndEvidence(Enum):
     """Why the next run of a task may begin."""
 
     NO_RUN = ""
--- a/fireflyfork/decisions/jobs/_runs.py
+++ b/fireflyfork/decisions/jobs/_runs.py
@@ -8,9 +8,9 @@
 
 from ..._ids import AttemptNumber, ExecutorId, TaskName
 from ..._waits import WaitReason
-from ._overs import RunOver
 from ._progress import JobState, StoredProgress, StoredTask
 from ._queues import QueueTerms
+from ._run_end_evidence import RunEndEvidence
 from ._specs import JobSpec, StepSpec, TaskKey
 from ._tickets import StepId
 
@@ -51,7 +51,7 @@
     confirmed_at: float | None = None
     """When its presence on the executor was confirmed; None before."""
     stop_sent_at: float = 0.0
-    barred_at: float | None = None
+    stop_acknowledged_at: float | None = None
     """When a stop was acknowledged, after which the attempt can't begin there any more; None
     before."""
     checkpoint: str = ""
@@ -85,7 +85,7 @@
         return self.task.name, self.attempt
 
     @property
-    def works(self) -> bool:
+    def is_active(self) -> bool:
         """Whether the run is expected to end by itself."""
         return self.phase in (RunPhase.STARTING, RunPhase.RUNNING)
 
@@ -104,16 +104,16 @@
     failed_on: set[ExecutorId] = field(default_factory=set)
     checkpoint: str = ""
     runs: list[Run] = field(default_factory=list)
-    moved: bool = False
+    straggler_handled: bool = False
     """Whether a slow run of it was copied or stopped. This is done only once per task, so that a
     task which is itself slow is not moved from executor to executor."""
     moved_at: float = float("-inf")
     """When it was last stopped to be moved to a better executor."""
-    waits_for: WaitReason = WaitReason.NOTHING
+    wait_reason: WaitReason = WaitReason.NOTHING
     """Why no executor could run it at the last attempt to place it."""
     waiting: bool = False
     """Whether it is in the queue of waiting tasks."""
-    last_over: RunOver = RunOver.NO_RUN
+    last_run_over: RunEndEvidence = RunEndEvidence.NO_RUN
     """The evidence that its last run was over."""
 
     @property
@@ -121,7 +121,7 @@
         """The step that the task belongs to."""
         return self.job.spec.job, self.key.occurrence, self.key.step
 
-    def stored(self) -> StoredTask | None:
+    def to_stored(self) -> StoredTask | None:
         """Return the progress to store, or None if there is none."""
         if not self.attempt:
             return None
@@ -146,7 +146,7 @@
     final_ms: int = 0
     tasks: dict[TaskKey, Task] = field(default_factory=dict)
     """The tasks of the due occurrences that have not ended successfully."""
-    left: dict[tuple[int, int], int] = field(default_factory=dict)
+    remaining_tasks: dict[tuple[int, int], int] = field(default_factory=dict)
     """By due occurrence and step: the number of tasks that have not ended successfully."""
     done: set[TaskKey] = field(default_factory=set)
     done_occurrences: int = 0
@@ -159,28 +159,31 @@
         """Return how long the job may take from its acceptance to be of full use."""
         return self.queue.stretch_factor * self.spec.chain_ms() + self.queue.target_latency_ms
 
-    def beyond_use(self, now_ms: int) -> bool:
+    def is_beyond_use(self, now_ms: int) -> bool:
         """Whether the job has taken so long that its end is of no use any more."""
         return now_ms > self.spec.accepted_ms + LATE_FACTOR * self.allowed_ms()
 
     def remaining_ms(self) -> int:
         """Return the longest chain of estimated work that remains."""
-        return self.spec.chain_ms({step for (_, step), left in self.left.items() if left})
+        return self.spec.chain_ms(
+            {step for (_, step), count in self.remaining_tasks.items() if count}
+        )
 
     def remaining_work(self) -> float:
         """Return the remaining estimated work, in milliseconds times thousandths of a core."""
         return sum(
-            left * self.spec.steps[step].estimate_ms * self.spec.steps[step].cpu_millis
-            for (_, step), left in self.left.items()
+            count * self.spec.steps[step].estimate_ms * self.spec.steps[step].cpu_millis
+            for (_, step), count in self.remaining_tasks.items()
         )
 
     def step_ready(self, occurrence: int, step: int) -> bool:
         """Whether all steps that the step depends on have ended successfully."""
         return all(
-            not self.left.get((occurrence, earlier)) for earlier in self.spec.steps[step].after
+            not self.remaining_tasks.get((occurrence, earlier))
+            for earlier in self.spec.steps[step].after
         )
 
-    def stored(self) -> StoredProgress:
+    def to_stored(self) -> StoredProgress:
         """Return the progress to store."""
         tasks = () if self.state.is_final else self.tasks.values()
         return StoredProgress(
@@ -188,5 +191,5 @@
             self.final_ms,
             tuple((key.occurrence, key.step, key.index) for key in sorted(self.done)),
             self.done_occurrences,
-            tuple(stored for task in tasks if (stored := task.stored()) is not None),
+            tuple(stored for task in tasks if (stored := task.to_stored()) is not None),
         )
--- a/fireflyfork/decisions/jobs/_scheduler.py
+++ b/fireflyfork/decisions/jobs/_scheduler.py
@@ -16,26 +16,26 @@
 from ._executors import ExecutorRegistration, ExecutorState
 from ._interference import LearnedFit
 from ._job_table import JobTable
-from ._load_shedding import Shed, shed_at
+from ._load_shedding import Shed, shed_level
 from ._notes import Note
 from ._placement import Placement
 from ._progress import JobState, StoredProgress
 from ._queues import QueueTable
-from ._report_handling import Reports
+from ._report_handling import ReportHandler
 from ._reports import OrderAnswer, PollAnswer
 from ._runs import Run
+from ._service_state import ServiceState
 from ._specs import JobSpec
 from ._stragglers import Stragglers
 from ._tickets import Ticket
 from ._time_checks import TimeChecks
 from ._upkeep import Upkeep, WaveView
 from ._waves import UpkeepMark
-from ._work import Work
 
 LAST_START_MARGIN_SECONDS = 1.5
 """Starts end this long before a successor may start tasks: a start extends the lease of everything
 on its executor by one second of a slow clock, and killing those runs takes 0.2 s."""
-PROOF_SECONDS = 3.0
+MAX_PROOF_AGE_SECONDS = 3.0
 """Age of the last proof of ownership at which the store is asked for a new one. The watch proves
 every two seconds or sooner that the ownership has not changed."""
 
@@ -45,10 +45,10 @@
     """The service of a scheduler, and the time limits of the platform in seconds."""
 
     service: ServiceName
-    unheard_lease: float
+    unreached_lease: float
     """How long an executor that this owner never reached may continue under the lease of an earlier
     one."""
-    longest_lease: float
+    max_lease: float
     """The longest lease that any owner of the service grants an executor."""
 
 
@@ -58,42 +58,42 @@
     def __init__(self, terms: SchedulerTerms) -> None:
         """Initialize without jobs or executors; `recover` restores what an earlier owner left."""
         self._terms = terms
-        self._work = Work()
-        self._reports = Reports(self._work, int(terms.longest_lease * 1000))
-        self._placement = Placement(self._work)
-        self._time_checks = TimeChecks(self._work)
-        self._stragglers = Stragglers(self._work)
-        self._arrangement = Arrangement(self._work)
-        self._upkeep = Upkeep(self._work, terms.service)
+        self._state = ServiceState()
+        self._report_handler = ReportHandler(self._state, int(terms.max_lease * 1000))
+        self._placement = Placement(self._state)
+        self._time_checks = TimeChecks(self._state)
+        self._stragglers = Stragglers(self._state)
+        self._arrangement = Arrangement(self._state)
+        self._upkeep = Upkeep(self._state, terms.service)
 
     @property
     def jobs(self) -> JobTable:
         """The jobs that are not over, and the changes to be stored."""
-        return self._work.jobs
+        return self._state.jobs
 
     @property
     def executors(self) -> dict[ExecutorId, ExecutorState]:
         """The known executors."""
-        return self._work.executors
+        return self._state.executors
 
     @property
     def waiting_tasks(self) -> int:
         """The number of tasks that may start and have no executor."""
-        return len(self._work.waiting)
+        return len(self._state.waiting)
 
     def take_commands(self) -> list[Command]:
         """Return the pending commands and clear them."""
-        commands, self._work.commands = self._work.commands, []
+        commands, self._state.commands = self._state.commands, []
         return commands
 
     def take_new_executors(self) -> list[ExecutorState]:
         """Return the executors that were added since the last call. Each is to be polled."""
-        found, self._work.new_executors = self._work.new_executors, []
-        return found
+        executors, self._state.new_executors = self._state.new_executors, []
+        return executors
 
     def take_notes(self) -> list[Note]:
         """Return the pending notes for the log and clear them."""
-        notes, self._work.notes = self._work.notes, []
+        notes, self._state.notes = self._state.notes, []
         return notes
 
     def configure(self, queues: QueueTable) -> None:
@@ -122,112 +122,112 @@
         for registration in last_known:
             executor = ExecutorState(registration, now, registered=False)
             executor.stored_address = registration.address
-            self._work.add_executor(executor)
+            self._state.add_executor(executor)
         for registration in registrations:
             self.register(registration, now)
-        self._work.unreached = dict.fromkeys(self.executors, now + self._terms.unheard_lease)
+        self._state.unreached = dict.fromkeys(self.executors, now + self._terms.unreached_lease)
         for spec, progress in jobs:
             ready = self.jobs.accept(spec, progress, now_ms)
             job = self.jobs.get(spec.job)
             if job is not None:
                 job.recovered = True
             for task in ready:
-                self._work.enqueue(task)
-        self._work.known_executors_changed = True
+                self._state.enqueue(task)
+        self._state.known_executors_changed = True
 
     def learned(self) -> tuple[LearnedFit, ...]:
         """Return what has been learned about which images disturb which, for a successor."""
-        return self._work.interference.learned()
+        return self._state.interference.learned()
 
     def adopt(self, learned: Iterable[LearnedFit]) -> None:
         """Begin with what an earlier owner has learned."""
-        self._work.interference.adopt(learned)
+        self._state.interference.adopt(learned)
 
     def accept(self, spec: JobSpec, now_ms: int) -> None:
         """Add a job that was accepted while this owner owned the service."""
         for task in self.jobs.accept(spec, None, now_ms):
-            self._work.enqueue(task)
+            self._state.enqueue(task)
 
     def cancel(self, name: JobId, now: float, now_ms: int) -> None:
         """Cancel a job at a caller's request."""
         job = self.jobs.get(name)
         if job is not None and not job.state.is_final:
-            self._work.finish(job, JobState.CANCELLED, now, now_ms)
+            self._state.finish(job, JobState.CANCELLED, now, now_ms)
 
     def register(self, registration: ExecutorRegistration, now: float) -> None:
         """Add or update an executor's registration."""
-        known = self.executors.get(registration.executor)
-        if known is None:
+        state = self.executors.get(registration.executor)
+        if state is None:
             executor = ExecutorState(registration, now)
-            executor.emptied = self._upkeep.is_kept_free(registration.executor)
-            self._work.add_executor(executor)
-            self._work.known_executors_changed = True
+            executor.cordoned = self._upkeep.is_cordoned(registration.executor)
+            self._state.add_executor(executor)
+            self._state.known_executors_changed = True
             return
-        if registration.incarnation < known.registration.incarnation:
+        if registration.incarnation < state.registration.incarnation:
             # Polls report a new incarnation before the store does, and a listing may be followed by
             # changes that are older than the listing. If such an old registration were taken for
             # the present state, the next report of the present incarnation would look like another
             # restart, and its runs would be taken for over.
             return
-        known.registered = True
-        if registration.address != known.registration.address:
-            self._work.known_executors_changed = True
-        if registration.incarnation > known.registration.incarnation:
-            self._work.reborn(known, registration, now)
+        state.registered = True
+        if registration.address != state.registration.address:
+            self._state.known_executors_changed = True
+        if registration.incarnation > state.registration.incarnation:
+            self._state.handle_restart(state, registration, now)
             return
-        known.registration = registration
+        state.registration = registration
 
     def unregister(self, executor: ExecutorId, now: float) -> None:
         """Handle the removal of a registration: the executor left or can't reach the store."""
-        known = self.executors.get(executor)
-        if known is not None:
-            known.registered = False
-            self._work.forget_if_over(known, now)
+        state = self.executors.get(executor)
+        if state is not None:
+            state.registered = False
+            self._state.drop_if_lease_expired(state, now)
 
     def take_changed_executors(self) -> tuple[ExecutorRegistration, ...] | None:
         """Return the executors to store for a successor, or None if they haven't changed."""
-        if not self._work.known_executors_changed:
+        if not self._state.known_executors_changed:
             return None
-        self._work.known_executors_changed = False
-        return tuple(one.registration for one in self.executors.values())
+        self._state.known_executors_changed = False
+        return tuple(executor.registration for executor in self.executors.values())
 
     def executors_stored(self, registrations: Iterable[ExecutorRegistration]) -> None:
         """Mark these executors as stored; they may get runs."""
         for registration in registrations:
-            known = self.executors.get(registration.executor)
-            if known is not None:
-                known.stored_address = registration.address
+            executor = self.executors.get(registration.executor)
+            if executor is not None:
+                executor.stored_address = registration.address
 
     def executors_not_stored(self) -> None:
         """Handle a failed write of the executors, or one whose outcome is unknown."""
-        self._work.known_executors_changed = True
+        self._state.known_executors_changed = True
 
     @property
     def executors_changed(self) -> bool:
         """Whether the executors to store for a successor have changed."""
-        return self._work.known_executors_changed
+        return self._state.known_executors_changed
 
     def start_answered(self, run: Run, answer: OrderAnswer, now: float) -> None:
         """Handle the answer to a start order, or its absence."""
-        self._reports.start_answered(run, answer, now)
+        self._report_handler.start_answered(run, answer, now)
 
     def stop_answered(self, run: Run, answer: OrderAnswer, now: float) -> None:
         """Handle the answer to a stop order, or its absence."""
-        self._reports.stop_answered(run, answer, now)
+        self._report_handler.stop_answered(run, answer, now)
 
     def pace_answered(self, run: Run, answer: OrderAnswer) -> None:
         """Handle the answer to a pace order, or its absence."""
-        self._reports.pace_answered(run, answer)
+        self._report_handler.pace_answered(run, answer)
 
-    def incarnation_met(
+    def handle_incarnation(
         self, executor: ExecutorState, incarnation: int | None, sent_at: float, now: float
     ) -> bool:
         """Handle an incarnation reported by a call. Returns whether the executor has restarted."""
-        return self._reports.incarnation_met(executor, incarnation, sent_at, now)
+        return self._report_handler.handle_incarnation(executor, incarnation, sent_at, now)
 
     def poll_failed(self, executor: ExecutorState, now: float) -> None:
         """Handle a poll without an answer."""
-        self._reports.poll_failed(executor, now)
+        self._report_handler.poll_failed(executor, now)
 
     def poll_answered(
         self,
@@ -239,7 +239,7 @@
         in_time: bool = True,
     ) -> None:
         """Handle the list of an executor's runs and ends."""
-        self._reports.poll_answered(executor, sent_at, answer, now, now_ms, in_time)
+        self._report_handler.poll_answered(executor, sent_at, answer, now, now_ms, in_time)
 
     def note_stored(self) -> None:
         """Let executors forget the ends whose changes have been stored."""
@@ -248,7 +248,7 @@
             while executor.unstored_ends and executor.unstored_ends[0][1] <= stored:
                 executor.forgettable_end = executor.unstored_ends.popleft()[0]
 
-    def advised(
+    def handle_advice(
         self,
         question: AskAdvice,
         tickets: dict[ExecutorId, str] | None,
@@ -258,42 +258,42 @@
     ) -> None:
         """Handle the advisor's answer: tickets valid for `seconds`, or None without an answer."""
         if tickets is None:
-            self._work.tickets.not_answered(question.step, now)
+            self._state.tickets.not_answered(question.step, now)
             return
-        good = {
+        granted = {
             name: Ticket(text, now + seconds, self.executors[name].registration.incarnation)
             for name, text in tickets.items()
             if name in self.executors
         }
-        self._work.tickets.answered(question.step, question.executors, good, now)
-        self._work.waiting.retry(now_ms)
+        self._state.tickets.answered(question.step, question.executors, granted, now)
+        self._state.waiting.retry(now_ms)
 
     @property
     def shed(self) -> Shed:
         """The work that is skipped at the current load."""
-        return self._work.shed
+        return self._state.shed
 
     def note_lag(self, lag: float) -> Shed:
         """Set the level of load shedding for a lag of the event loop in seconds, and return it."""
-        self._work.shed = shed_at(lag, self._work.shed)
-        return self._work.shed
+        self._state.shed = shed_level(lag, self._state.shed)
+        return self._state.shed
 
     def check_time(self, now: float, now_ms: int) -> None:
         """Handle expired leases, stops without an answer, stalled runs and jobs that become due."""
         for executor in tuple(self.executors.values()):
             self._time_checks.check(executor, now)
             self._stragglers.check(executor, now)
-        self._work.give_up_unreached(now)
+        self._state.give_up_unreached(now)
         self._upkeep.evict(now)
-        self._work.promises.expire(now)
-        if self._work.shed < Shed.ARRANGEMENT:
+        self._state.move_reservations.expire(now)
+        if self._state.shed < Shed.ARRANGEMENT:
             self._arrangement.check(now)
-        for job in tuple(self.jobs.waiting_for_time()):
+        for job in tuple(self.jobs.with_future_occurrences()):
             for task in self.jobs.open_due(job, now_ms):
-                self._work.enqueue(task)
-        self._work.waiting.retry(now_ms)
-        for over in self.jobs.drop_over():
-            self._work.tickets.forget_job(over)
+                self._state.enqueue(task)
+        self._state.waiting.retry(now_ms)
+        for finished_job in self.jobs.drop_finished():
+            self._state.tickets.forget_job(finished_job)
 
     def recover_upkeep(self, marks: Iterable[tuple[MachineId, UpkeepMark]], now: float) -> None:
         """Restore which machines an earlier owner has ordered down; called after `recover`."""
@@ -303,26 +303,29 @@
         """Return the wave and machine of each upkeep to order now; cordon those that come next."""
         return self._upkeep.next_orders(views, now)
 
-    def note_ownership(self, at: float) -> None:
+    def record_ownership(self, at: float) -> None:
         """Record that this owner certainly owned the service at the given time."""
-        known = self._work.owned_at
-        self._work.owned_at = at if known == float("inf") else max(known, at)
+        proved_at = self._state.ownership_proved_at
+        self._state.ownership_proved_at = at if proved_at == float("inf") else max(proved_at, at)
 
-    def wants_proof(self, now: float) -> bool:
+    def needs_ownership_proof(self, now: float) -> bool:
         """Whether the store should be asked if this owner still owns the service."""
-        return now - self._work.owned_at > PROOF_SECONDS or self._work.wants_proof(now)
+        return (
+            now - self._state.ownership_proved_at > MAX_PROOF_AGE_SECONDS
+            or self._state.needs_ownership_proof(now)
+        )
 
     def place(self, now: float, now_ms: int) -> None:
         """Send waiting tasks to executors that can run them; the others wait for the next tick."""
         if self._may_start(now):
             self._placement.place(now, now_ms)
 
-    def start_leaves(self, run: Run, now: float) -> bool:
+    def prepare_start(self, run: Run, now: float) -> bool:
         """Prepare a start for sending when its turn has come.
 
         Returns False if it must not be sent any more.
         """
-        return self._may_start(now) and self._placement.leave(run, now)
+        return self._may_start(now) and self._placement.prepare_start(run, now)
 
     def _may_start(self, now: float) -> bool:
         """Whether this owner may start tasks.
@@ -331,5 +334,5 @@
         has started there must be over by then, or the successor would start the same tasks a second
         time.
         """
-        may_start = self._terms.unheard_lease - LAST_START_MARGIN_SECONDS
-        return now - self._work.owned_at <= may_start
+        longest_wait = self._terms.unreached_lease - LAST_START_MARGIN_SECONDS
+        return now - self._state.ownership_proved_at <= longest_wait
--- a/fireflyfork/decisions/jobs/_work.py
+++ b/fireflyfork/decisions/jobs/_service_state.py
@@ -6,29 +6,29 @@
 from ..._waits import WaitReason
 from ._commands import Command, StopRun
 from ._executors import ExecutorRegistration, ExecutorState
-from ._gangs import is_free, members
+from ._gangs import gang_members, has_no_runs
 from ._interference import InterferenceModel
 from ._job_table import JobTable
 from ._load_shedding import Shed
+from ._move_reservations import MoveReservations
 from ._notes import ExecutorGivenUp, JobOver, Note
-from ._overs import RunOver
 from ._progress import JobState
-from ._promises import PromiseBook
+from ._run_end_evidence import RunEndEvidence
 from ._runs import Job, Run, RunPhase, Task
 from ._tickets import TicketBook
 from ._waiting_tasks import WaitingTasks
 
-STRIKES_TO_AVOID = 2
+FAILURES_TO_AVOID = 2
 """Consecutive failures after which an executor is avoided for a while. About one failure in fifty
 is the task's own fault, so two in a row on one executor are both the tasks' fault only once in
 2,500 cases."""
 AVOID_SECONDS = 1.0
-LONGEST_AVOID_SECONDS = 8.0
+MAX_AVOID_SECONDS = 8.0
 """An avoided executor is retried after 1 s, then 2 s, and so on up to this limit. Executors in
 trouble usually recover within seconds, and each retry costs at most one attempt of one task."""
 
 
-class Work:
+class ServiceState:
     """The state of one service and its transitions, each of which keeps the state consistent."""
 
     def __init__(self) -> None:
@@ -41,21 +41,23 @@
         """Whether the list of executors that is stored for a successor has changed."""
         self.interference = InterferenceModel()
         self.tickets = TicketBook()
-        self.promises = PromiseBook()
+        self.move_reservations = MoveReservations()
         self.commands: list[Command] = []
         self.notes: list[Note] = []
-        self.waiting = WaitingTasks(lambda task: self.promises.destination(task) is not None)
+        self.waiting = WaitingTasks(
+            lambda task: self.move_reservations.destination(task) is not None
+        )
         """Tasks that wait for an executor."""
-        self.copies: list[Task] = []
+        self.tasks_to_copy: list[Task] = []
         """Tasks of which a second, speculative run may be started next to the first."""
         self.unreached: dict[ExecutorId, float] = {}
         """Executors that an earlier owner used and that have not answered yet, each with the time
         at which every lease that the earlier owner may have granted it has expired."""
-        self.held: list[Task] = []
+        self.held_tasks: list[Task] = []
         """Tasks that may already be running on one of the unreached executors."""
         self.shed = Shed.NOTHING
         """The work that is skipped at the current load."""
-        self.owned_at = float("inf")
+        self.ownership_proved_at = float("inf")
         """The latest time at which this owner is known to have owned the service; infinite if no
         successor is possible."""
 
@@ -65,9 +67,9 @@
         self.new_executors.append(executor)
 
     @staticmethod
-    def wants_run(task: Task) -> bool:
+    def needs_run(task: Task) -> bool:
         """Whether a task or its gang still has to run and has no run at present."""
-        return not task.job.state.is_final and task.key in task.job.tasks and is_free(task)
+        return not task.job.state.is_final and task.key in task.job.tasks and has_no_runs(task)
 
     def enqueue(self, task: Task, at_once: bool = True) -> None:
         """Queue a task that may start.
@@ -75,13 +77,13 @@
         With `at_once` it can be placed immediately, otherwise at the next tick.
         """
         if task.spec.gang:
-            task = members(task)[0] if task.key in task.job.tasks else task
-        if task.waiting or not self.wants_run(task):
+            task = gang_members(task)[0] if task.key in task.job.tasks else task
+        if task.waiting or not self.needs_run(task):
             return
         task.waiting = True
         if task.job.recovered and self.unreached:
-            task.waits_for = WaitReason.HELD
-            self.held.append(task)
+            task.wait_reason = WaitReason.HELD
+            self.held_tasks.append(task)
         elif at_once:
             self.waiting.push(task, task.job.spec.accepted_ms)
         else:
@@ -94,46 +96,48 @@
         run.stop_sent_at = now
         self.commands.append(StopRun(run))
 
-    def gone(self, run: Run, now: float, why: RunOver, at_once: bool = True) -> None:
+    def remove_run(self, run: Run, now: float, why: RunEndEvidence, at_once: bool = True) -> None:
         """Remove a run that has certainly ended or never began, and queue its task again.
 
         With `at_once` the task can be placed immediately, otherwise at the next tick.
         """
         run.executor.remove(run)
         task = run.task
-        task.last_over = why
+        task.last_run_over = why
         if run in task.runs:
             task.runs.remove(run)
         if task.spec.gang and task.key in task.job.tasks:
             # The other members would hold resources while they wait for a member that does not
             # return.
-            self.break_up(task, now)
+            self.stop_incomplete_gang(task, now)
         self.enqueue(task, at_once)
 
-    def break_up(self, task: Task, now: float) -> None:
+    def stop_incomplete_gang(self, task: Task, now: float) -> None:
         """Stop the running members of a gang unless all of its members run."""
-        gang = members(task)
+        gang = gang_members(task)
         if all(member.runs for member in gang):
             return
-        for run in (one for member in gang for one in member.runs if one.works):
+        for run in (
+            member_run for member in gang for member_run in member.runs if member_run.is_active
+        ):
             self.stop(run, now)
 
     def finish(self, job: Job, state: JobState, now: float, now_ms: int) -> None:
         """Make a job's state final and stop its runs."""
         self.jobs.finish(job, state, now_ms)
-        self.notes.append(job_over(job, now_ms))
+        self.notes.append(job_over_note(job, now_ms))
         for task in job.tasks.values():
             for run in tuple(task.runs):
-                if run.works:
+                if run.is_active:
                     self.stop(run, now)
 
-    def strike(self, executor: ExecutorState, now: float) -> None:
+    def record_failure(self, executor: ExecutorState, now: float) -> None:
         """Record a failure of an executor; after several in a row it is avoided for a while."""
-        executor.strikes += 1
-        executor.struck_at = now
-        if executor.strikes >= STRIKES_TO_AVOID:
-            pause = AVOID_SECONDS * 2 ** (executor.strikes - STRIKES_TO_AVOID)
-            executor.avoided_until = now + min(pause, LONGEST_AVOID_SECONDS)
+        executor.consecutive_failures += 1
+        executor.last_failure_at = now
+        if executor.consecutive_failures >= FAILURES_TO_AVOID:
+            pause = AVOID_SECONDS * 2 ** (executor.consecutive_failures - FAILURES_TO_AVOID)
+            executor.avoided_until = now + min(pause, MAX_AVOID_SECONDS)
 
     def is_current(self, executor: ExecutorState) -> bool:
         """Whether this is the current state of its executor.
@@ -145,7 +149,7 @@
         """
         return self.executors.get(executor.executor) is executor
 
-    def reborn(
+    def handle_restart(
         self, executor: ExecutorState, registration: ExecutorRegistration, now: float
     ) -> None:
         """Handle the restart of an executor: the runs of its previous incarnation are over.
@@ -154,31 +158,35 @@
         incarnation that it is addressed to. Waiting for an answer of the new incarnation instead
         would block tasks forever if it vanished first.
         """
-        self._note_given_up(executor, RunOver.NEW_INCARNATION)
+        self._add_given_up_note(executor, RunEndEvidence.NEW_INCARNATION)
         runs = tuple(executor.runs.values())
-        executor.begin_incarnation(registration, now)
+        executor.reset_for_incarnation(registration, now)
         for run in runs:
-            self.gone(run, now, RunOver.NEW_INCARNATION)
+            self.remove_run(run, now, RunEndEvidence.NEW_INCARNATION)
 
-    def forget_if_over(self, executor: ExecutorState, now: float) -> None:
+    def drop_if_lease_expired(self, executor: ExecutorState, now: float) -> None:
         """Drop the runs of an executor that does not answer, once its lease has expired.
 
         The lease must have expired at a time when this owner certainly owned the service. A
         successor may reach an executor that this owner cannot reach, and renew its lease; a task
         that still runs there would then run twice.
         """
-        reached = executor.polled_at is not None
-        if reached and not executor.answers and executor.lease_has_lapsed(self._sure_until(now)):
+        has_answered = executor.polled_at is not None
+        if (
+            has_answered
+            and not executor.answers
+            and executor.lease_has_lapsed(self._certainly_owned_until(now))
+        ):
             if executor.runs:
-                self._note_given_up(executor, RunOver.LEASE_LAPSED)
+                self._add_given_up_note(executor, RunEndEvidence.LEASE_LAPSED)
             for run in tuple(executor.runs.values()):
-                self.gone(run, now, RunOver.LEASE_LAPSED)
-        over = not executor.runs and executor.executor not in self.unreached
-        if over and not executor.registered and not executor.answers:
+                self.remove_run(run, now, RunEndEvidence.LEASE_LAPSED)
+        is_idle = not executor.runs and executor.executor not in self.unreached
+        if is_idle and not executor.registered and not executor.answers:
             self.executors.pop(executor.executor, None)
             self.known_executors_changed = True
 
-    def reached(self, executor: ExecutorId, now: float) -> None:
+    def mark_reached(self, executor: ExecutorId, now: float) -> None:
         """Note that an executor has listed all of its runs.
 
         If it was the last unreached executor, the held tasks are queued.
@@ -186,19 +194,25 @@
         if self.unreached.pop(executor, None) is not None:
             self.release_held(now)
 
-    def wants_proof(self, now: float) -> bool:
+    def needs_ownership_proof(self, now: float) -> bool:
         """Whether a run could be declared over now, given a proof of ownership."""
-        sure = self._sure_until(now)
-        if any(sure < until <= now for until in self.unreached.values()):
+        owned_until = self._certainly_owned_until(now)
+        if any(owned_until < until <= now for until in self.unreached.values()):
             return True
-        silent = (one for one in self.executors.values() if one.runs and one.polled_at is not None)
+        polled = (
+            executor
+            for executor in self.executors.values()
+            if executor.runs and executor.polled_at is not None
+        )
         return any(
-            not one.answers and one.lease_has_lapsed(now) and not one.lease_has_lapsed(sure)
-            for one in silent
+            not executor.answers
+            and executor.lease_has_lapsed(now)
+            and not executor.lease_has_lapsed(owned_until)
+            for executor in polled
         )
 
-    def _sure_until(self, now: float) -> float:
-        return min(now, self.owned_at)
+    def _certainly_owned_until(self, now: float) -> float:
+        return min(now, self.ownership_proved_at)
 
     def give_up_unreached(self, now: float) -> None:
         """Give up executors that have not answered before the leases of an earlier owner expired.
@@ -207,20 +221,20 @@
         for certain when the leases expired.
         """
         given_up = [
-            one
-            for one, until in self.unreached.items()
-            if until <= self._sure_until(now) and not self._has_ends_to_list(one, now)
+            name
+            for name, until in self.unreached.items()
+            if until <= self._certainly_owned_until(now) and not self._has_unlisted_ends(name, now)
         ]
         for executor in given_up:
             del self.unreached[executor]
-            self._note_given_up(self.executors[executor], RunOver.LEASE_LAPSED)
+            self._add_given_up_note(self.executors[executor], RunEndEvidence.LEASE_LAPSED)
         if given_up:
             # Runs there may have used attempt numbers that this owner has not seen.
-            for task in self.held:
+            for task in self.held_tasks:
                 task.attempt = AttemptNumber(task.attempt + 1)
             self.release_held(now)
 
-    def _has_ends_to_list(self, name: ExecutorId, now: float) -> bool:
+    def _has_unlisted_ends(self, name: ExecutorId, now: float) -> bool:
         """Whether ends are missing from an executor's list and its lease is still renewed by polls.
 
         The rest of the list may hold the successful end of a held task.
@@ -228,9 +242,9 @@
         executor = self.executors.get(name)
         if executor is None or executor.polled_at is None:
             return False
-        return executor.answers or not executor.lease_has_lapsed(self._sure_until(now))
+        return executor.answers or not executor.lease_has_lapsed(self._certainly_owned_until(now))
 
-    def _note_given_up(self, executor: ExecutorState, why: RunOver) -> None:
+    def _add_given_up_note(self, executor: ExecutorState, why: RunEndEvidence) -> None:
         incarnation = executor.registration.incarnation
         self.notes.append(ExecutorGivenUp(executor.executor, incarnation, len(executor.runs), why))
 
@@ -238,15 +252,15 @@
         """Queue the tasks that waited for unreached executors, once all of those are settled."""
         if self.unreached:
             return
-        held, self.held = self.held, []
+        held, self.held_tasks = self.held_tasks, []
         for task in held:
-            if task.spec.gang and not is_free(task):
+            if task.spec.gang and not has_no_runs(task):
                 # The earlier owner was lost while it was starting the gang.
-                self.break_up(task, now)
+                self.stop_incomplete_gang(task, now)
             self.waiting.push(task, task.job.spec.accepted_ms)
 
 
-def job_over(job: Job, now_ms: int) -> JobOver:
+def job_over_note(job: Job, now_ms: int) -> JobOver:
     """Return the note that a job's state has become final."""
     age = now_ms - job.spec.accepted_ms
     return JobOver(job.spec.job, job.state, age, int(job.allowed_ms()))
--- a/fireflyfork/decisions/jobs/_specs.py
+++ b/fireflyfork/decisions/jobs/_specs.py
@@ -79,7 +79,7 @@
         return sum(step.count for step in self.steps)
 
     @property
-    def lasts(self) -> bool:
+    def is_long_running(self) -> bool:
         """Whether the job runs until it is cancelled."""
         return any(step.long_running for step in self.steps)
 
--- a/fireflyfork/decisions/jobs/_stragglers.py
+++ b/fireflyfork/decisions/jobs/_stragglers.py
@@ -6,9 +6,9 @@
 
 from ._executors import ExecutorState
 from ._runs import Run, RunPhase, Task
-from ._work import Work
+from ._service_state import ServiceState
 
-LEAST_SECONDS = 0.35
+MIN_REPORTED_SECONDS = 0.35
 """Minimum run time covered by a report before a run is judged: progress in hundredths and the
 transit time of the order make shorter times meaningless."""
 SLOW_FACTOR = 2.5
@@ -16,7 +16,7 @@
 are about 20% off and tasks of a step differ by half; slow executors take six times as long."""
 SLOW_MARGIN_SECONDS = 0.4
 """Additional seconds for stopping, placing and starting a task again."""
-JOBS_TO_BLAME = 2
+MIN_SLOW_JOBS = 2
 """Number of jobs with slow runs from which an executor counts as slow. Slow runs of one job may be
 that job's own fault; those of two jobs on one executor are not."""
 
@@ -24,9 +24,9 @@
 class Stragglers:
     """Finds stragglers at each tick."""
 
-    def __init__(self, work: Work) -> None:
+    def __init__(self, state: ServiceState) -> None:
         """Initialize with the service state to change."""
-        self._work = work
+        self._state = state
 
     def check(self, executor: ExecutorState, now: float) -> None:
         """Copy or move the straggling runs on one executor.
@@ -35,25 +35,25 @@
         Tasks that stay there take several times as long, and the callers of their jobs wait for the
         slowest task.
         """
-        slow = [run for run in executor.runs.values() if straggles(run, now)]
+        slow = [run for run in executor.runs.values() if is_straggling(run, now)]
         if not slow:
             return
-        executor_is_slow = len({run.task.job.spec.job for run in slow}) >= JOBS_TO_BLAME
+        executor_is_slow = len({run.task.job.spec.job for run in slow}) >= MIN_SLOW_JOBS
         for run in slow:
             task = run.task
-            if task.moved or len(task.runs) > 1:
+            if task.straggler_handled or len(task.runs) > 1:
                 continue
             if task.spec.speculative:
-                task.moved = True
-                self._work.strike(executor, now)
-                self._work.copies.append(task)
+                task.straggler_handled = True
+                self._state.record_failure(executor, now)
+                self._state.tasks_to_copy.append(task)
             elif executor_is_slow:
-                task.moved = True
-                self._work.strike(executor, now)
-                self._work.stop(run, now)
+                task.straggler_handled = True
+                self._state.record_failure(executor, now)
+                self._state.stop(run, now)
 
 
-def straggles(run: Run, now: float) -> bool:
+def is_straggling(run: Run, now: float) -> bool:
     """Whether a run would end much sooner if it were restarted elsewhere.
 
     Only tasks with a reservation are judged: the others share the leftover CPU, and are paced.
@@ -67,15 +67,19 @@
     ):
         return False
     reported_after = run.listed_at - run.ordered_at
-    if reported_after < LEAST_SECONDS or run.progress_percent >= 100:
+    if reported_after < MIN_REPORTED_SECONDS or run.progress_percent >= 100:
         return False
     # Progress is reported in whole hundredths, so 0 may be almost one.
     rate = max(1, run.progress_percent) / 100 / reported_after
-    left = (100 - run.progress_percent) / 100 / rate - (now - run.listed_at)
-    return left > SLOW_FACTOR * step.estimate_ms / 1000 + SLOW_MARGIN_SECONDS
+    remaining_seconds = (100 - run.progress_percent) / 100 / rate - (now - run.listed_at)
+    return remaining_seconds > SLOW_FACTOR * step.estimate_ms / 1000 + SLOW_MARGIN_SECONDS
 
 
 def other_executors(task: Task, executors: Iterable[ExecutorState]) -> list[ExecutorState]:
     """Return the executors without a run of the task and without recent failures."""
     present = {run.executor.executor for run in task.runs}
-    return [one for one in executors if one.executor not in present and not one.strikes]
+    return [
+        executor
+        for executor in executors
+        if executor.executor not in present and not executor.consecutive_failures
+    ]
--- a/fireflyfork/decisions/jobs/_tickets.py
+++ b/fireflyfork/decisions/jobs/_tickets.py
@@ -11,7 +11,7 @@
 
 from ..._ids import ExecutorId, JobId
 
-MOST_ASKED = 30
+MAX_EXECUTORS_ASKED = 30
 """Maximum number of executors in one question. A step rarely needs more, and each costs the advisor
 time."""
 RENEW_MARGIN_SECONDS = 0.3
@@ -54,51 +54,53 @@
 
     def valid(self, step: StepId, executor: ExecutorId, incarnation: int, now: float) -> str | None:
         """Return the ticket to start with, or None if there is no valid one."""
-        known = self._steps.get(step)
-        ticket = known.tickets.get(executor) if known is not None else None
+        tickets = self._steps.get(step)
+        ticket = tickets.tickets.get(executor) if tickets is not None else None
         if ticket is None or ticket.incarnation != incarnation:
             return None
         return ticket.text if ticket.until - RENEW_MARGIN_SECONDS > now else None
 
-    def to_ask(
+    def begin_question(
         self, step: StepId, candidates: list[ExecutorId], now: float
     ) -> tuple[ExecutorId, ...]:
         """Return the executors to ask about now, best first. Empty while an answer is pending."""
-        known = self._steps.setdefault(step, _StepTickets())
-        if known.asked or now < known.ask_after:
+        tickets = self._steps.setdefault(step, _StepTickets())
+        if tickets.asked or now < tickets.ask_after:
             return ()
-        names = tuple(one for one in candidates if one not in known.refused)[:MOST_ASKED]
-        known.asked = bool(names)
+        names = tuple(candidate for candidate in candidates if candidate not in tickets.refused)[
+            :MAX_EXECUTORS_ASKED
+        ]
+        tickets.asked = bool(names)
         return names
 
     def answered(
         self,
         step: StepId,
         asked: tuple[ExecutorId, ...],
-        good: dict[ExecutorId, Ticket],
+        granted: dict[ExecutorId, Ticket],
         now: float,
     ) -> None:
         """Handle the advisor's answer about the executors asked for."""
-        known = self._steps.setdefault(step, _StepTickets())
-        known.asked = False
-        known.tickets.update(good)
-        known.refused.update(one for one in asked if one not in good)
-        if not good:
-            known.ask_after = now + ASK_AGAIN_SECONDS
+        tickets = self._steps.setdefault(step, _StepTickets())
+        tickets.asked = False
+        tickets.tickets.update(granted)
+        tickets.refused.update(executor for executor in asked if executor not in granted)
+        if not granted:
+            tickets.ask_after = now + ASK_AGAIN_SECONDS
 
     def not_answered(self, step: StepId, now: float) -> None:
         """Handle a question without an answer."""
-        known = self._steps.setdefault(step, _StepTickets())
-        known.asked = False
-        known.ask_after = now + ASK_AGAIN_SECONDS
+        tickets = self._steps.setdefault(step, _StepTickets())
+        tickets.asked = False
+        tickets.ask_after = now + ASK_AGAIN_SECONDS
 
     def rejected(self, step: StepId, executor: ExecutorId) -> None:
         """Drop a ticket that its executor rejected."""
-        known = self._steps.get(step)
-        if known is not None:
-            known.tickets.pop(executor, None)
+        tickets = self._steps.get(step)
+        if tickets is not None:
+            tickets.tickets.pop(executor, None)
 
     def forget_job(self, job: JobId) -> None:
         """Forget the tickets of a job that is over."""
-        for step in [one for one in self._steps if one[0] == job]:
+        for step in [step_id for step_id in self._steps if step_id[0] == job]:
             del self._steps[step]
--- a/fireflyfork/decisions/jobs/_upkeep.py
+++ b/fireflyfork/decisions/jobs/_upkeep.py
@@ -7,14 +7,14 @@
 
 from ..._ids import ExecutorId, MachineId, ServiceName
 from ._runs import Run, RunPhase, Task
+from ._service_state import ServiceState
 from ._waves import MachineListing, MachineState, UpkeepMark, UpkeepPhase, UpkeepWave
-from ._work import Work
 
-EMPTIED_AHEAD = 1
+CORDONED_AHEAD = 1
 """Number of machines that are cordoned while others are still down. Waiting for a machine to become
 empty takes as long as its longest task, about two seconds, which is also the duration of an upkeep.
 More machines would be idle."""
-LONGEST_EMPTYING_SECONDS = 8.0
+MAX_CORDON_WAIT_SECONDS = 8.0
 """How long a cordoned machine waits for tasks that neither are long-running nor checkpoint; then
 they are stopped as well. Most end within 5 s, and the wave has to end in time."""
 
@@ -28,17 +28,17 @@
     """The machines that exist."""
     marks: Mapping[MachineId, UpkeepMark]
 
-    def begun(self, machine: MachineId) -> bool:
+    def has_begun(self, machine: MachineId) -> bool:
         """Whether the machine's upkeep has begun, or it has left and needs none."""
         return machine not in self.machines or self._phase(machine) is UpkeepPhase.BEGUN
 
-    def ordered(self, machine: MachineId) -> bool:
+    def is_ordered(self, machine: MachineId) -> bool:
         """Whether an order was sent that may or may not have been carried out."""
         return self._phase(machine) is UpkeepPhase.ORDERED
 
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         """Whether every remaining machine has had its upkeep."""
-        return not self.down() and all(map(self.begun, self.wave.machines))
+        return not self.down() and all(map(self.has_begun, self.wave.machines))
 
     def down(self) -> set[MachineId]:
         """Return the wave's machines that are, or may be, down now.
@@ -50,21 +50,21 @@
             machine
             for machine in self.wave.machines
             if machine in self.machines
-            and (self.machines[machine].state is MachineState.UPKEEP or self.ordered(machine))
+            and (self.machines[machine].state is MachineState.UPKEEP or self.is_ordered(machine))
         }
 
-    def turn_of(self) -> ServiceName | None:
+    def next_service(self) -> ServiceName | None:
         """Return the service whose machines are next, or None.
 
         Services have different owners, each of which counts only its own orders. So the services of
         a wave take turns in the order of their names.
         """
-        left = (
+        services = (
             self.machines[machine].service
             for machine in self.wave.machines
-            if not self.begun(machine)
+            if not self.has_begun(machine)
         )
-        return min(left, default=None)
+        return min(services, default=None)
 
     def _phase(self, machine: MachineId) -> UpkeepPhase | None:
         mark = self.marks.get(machine)
@@ -74,11 +74,11 @@
 class Upkeep:
     """Handles the machines of one service in the waves of upkeep."""
 
-    def __init__(self, work: Work, service: ServiceName) -> None:
+    def __init__(self, state: ServiceState, service: ServiceName) -> None:
         """Initialize without waves."""
-        self._work = work
+        self._state = state
         self._service = service
-        self._emptied: dict[MachineId, tuple[ExecutorId, float]] = {}
+        self._cordoned: dict[MachineId, tuple[ExecutorId, float]] = {}
         """Machines that get no new work, with their executor and the time when they were
         cordoned."""
 
@@ -88,7 +88,7 @@
         Its order may still be on its way, and would end runs that this owner has just started
         there.
         """
-        self._mark(
+        self._set_cordoned(
             {
                 machine: (mark.executor, now)
                 for machine, mark in marks
@@ -97,58 +97,62 @@
             set(),
         )
 
-    def is_kept_free(self, executor: ExecutorId) -> bool:
+    def is_cordoned(self, executor: ExecutorId) -> bool:
         """Whether an executor's machine goes down next, or may have been ordered down."""
-        return any(name == executor for name, _ in self._emptied.values())
+        return any(name == executor for name, _ in self._cordoned.values())
 
     def next_orders(self, views: Iterable[WaveView], now: float) -> list[tuple[int, MachineId]]:
         """Return the wave and machine of each upkeep to order now; cordon those that come next."""
         orders: list[tuple[int, MachineId]] = []
-        wanted: dict[MachineId, tuple[ExecutorId, float]] = {}
-        due: set[ExecutorId] = set()
-        open_views = [view for view in views if not view.over()]
+        to_cordon: dict[MachineId, tuple[ExecutorId, float]] = {}
+        due_executors: set[ExecutorId] = set()
+        open_views = [view for view in views if not view.is_over()]
         # A machine may be in two waves. If it were ordered down for both at once, the second order
         # would be refused now and, sent again, would take the machine down just when it is back in
         # use.
-        in_hand = {machine for view in open_views for machine in view.down()}
+        already_down = {machine for view in open_views for machine in view.down()}
         for view in open_views:
             down = view.down()
-            for machine, executor in self._unsettled(view):
+            for machine, executor in self._unconfirmed(view):
                 if executor is None or self._is_empty(executor):
                     orders.append((view.wave.number, machine))
                 if executor is not None:
-                    wanted[machine] = self._emptied.get(machine, (executor, now))
-            free = max(0, view.wave.most_at_once - len(down))
-            candidates = [one for one in self._candidates(view) if one[0] not in in_hand]
-            due.update(name for _, name in candidates)
-            if view.turn_of() != self._service:
+                    to_cordon[machine] = self._cordoned.get(machine, (executor, now))
+            remaining = max(0, view.wave.max_at_once - len(down))
+            candidates = [
+                candidate
+                for candidate in self._candidates(view)
+                if candidate[0] not in already_down
+            ]
+            due_executors.update(name for _, name in candidates)
+            if view.next_service() != self._service:
                 continue
-            chosen = self._emptiest(candidates)[: free + EMPTIED_AHEAD]
+            chosen = self._in_order(candidates)[: remaining + CORDONED_AHEAD]
             for machine, executor in chosen:
-                wanted[machine] = self._emptied.get(machine, (executor, now))
-                if free and self._is_empty(executor):
+                to_cordon[machine] = self._cordoned.get(machine, (executor, now))
+                if remaining and self._is_empty(executor):
                     orders.append((view.wave.number, machine))
-                    in_hand.add(machine)
-                    free -= 1
-        self._mark(wanted, due)
+                    already_down.add(machine)
+                    remaining -= 1
+        self._set_cordoned(to_cordon, due_executors)
         return orders
 
     def evict(self, now: float) -> None:
         """Stop the runs on cordoned executors that would not end by themselves."""
-        for executor_id, since in self._emptied.values():
-            executor = self._work.executors.get(executor_id)
+        for executor_id, since in self._cordoned.values():
+            executor = self._state.executors.get(executor_id)
             if executor is None:
                 continue
             for run in tuple(executor.working_runs()):
                 step = run.task.spec
-                overdue = now - since > LONGEST_EMPTYING_SECONDS
+                overdue = now - since > MAX_CORDON_WAIT_SECONDS
                 if step.long_running:
-                    if may_be_moved(run):
-                        self._work.stop(run, now)
+                    if may_become_unavailable(run):
+                        self._state.stop(run, now)
                 elif step.checkpointing or overdue:
-                    self._work.stop(run, now)
+                    self._state.stop(run, now)
 
-    def _unsettled(self, view: WaveView) -> Iterator[tuple[MachineId, ExecutorId | None]]:
+    def _unconfirmed(self, view: WaveView) -> Iterator[tuple[MachineId, ExecutorId | None]]:
         """Yield the machines of the service whose order may not have been carried out.
 
         The answer was lost, or the owner that sent the order is gone. Only repeating the order
@@ -157,7 +161,7 @@
         """
         for machine in sorted(view.down()):
             listed = view.machines[machine]
-            if view.ordered(machine) and listed.service == self._service:
+            if view.is_ordered(machine) and listed.service == self._service:
                 yield machine, listed.executor if listed.state is MachineState.UP else None
 
     def _candidates(self, view: WaveView) -> Iterator[tuple[MachineId, ExecutorId]]:
@@ -169,36 +173,36 @@
             if listed.state is MachineState.UP and listed.executor is not None:
                 yield machine, listed.executor
 
-    def _emptiest(
+    def _in_order(
         self, candidates: list[tuple[MachineId, ExecutorId]]
     ) -> list[tuple[MachineId, ExecutorId]]:
         """Sort cordoned machines first, then those with the least long-running work."""
 
         def order(candidate: tuple[MachineId, ExecutorId]) -> tuple[bool, int, str]:
-            executor = self._work.executors.get(candidate[1])
-            used = executor.lasting_cpu_millis if executor is not None else 0
-            return candidate[0] not in self._emptied, used, candidate[0]
+            executor = self._state.executors.get(candidate[1])
+            used = executor.long_running_cpu_millis if executor is not None else 0
+            return candidate[0] not in self._cordoned, used, candidate[0]
 
         return sorted(candidates, key=order)
 
     def _is_empty(self, name: ExecutorId) -> bool:
-        executor = self._work.executors.get(name)
+        executor = self._state.executors.get(name)
         # An executor that this owner has not reached yet may have runs of an earlier owner.
-        if executor is None or name in self._work.unreached:
+        if executor is None or name in self._state.unreached:
             return False
         return not executor.runs
 
-    def _mark(
-        self, wanted: dict[MachineId, tuple[ExecutorId, float]], due: set[ExecutorId]
+    def _set_cordoned(
+        self, to_cordon: dict[MachineId, tuple[ExecutorId, float]], due_executors: set[ExecutorId]
     ) -> None:
-        self._emptied = wanted
-        emptied = {name for name, _ in wanted.values()}
-        for name, executor in self._work.executors.items():
-            executor.emptied = name in emptied
-            executor.upkeep_due = name in due
+        self._cordoned = to_cordon
+        cordoned_executors = {name for name, _ in to_cordon.values()}
+        for name, executor in self._state.executors.items():
+            executor.cordoned = name in cordoned_executors
+            executor.upkeep_due = name in due_executors
 
 
-def may_be_moved(run: Run) -> bool:
+def may_become_unavailable(run: Run) -> bool:
     """Whether the unavailability budget of its step allows a long-running task to be stopped now.
 
     The step promises its users that only this many tasks are unavailable at once. A second task
@@ -208,18 +212,18 @@
     task = run.task
     # The report that a task serves arrives late; other tasks count as available only once they are
     # known to serve.
-    away = sum(not is_at_work(other) for other in _others(task))
-    return away < max(1, task.spec.unavailable_budget)
+    unavailable = sum(not is_serving(sibling) for sibling in _siblings(task))
+    return unavailable < max(1, task.spec.unavailable_budget)
 
 
-def is_at_work(task: Task) -> bool:
+def is_serving(task: Task) -> bool:
     """Whether a long-running task has started up and serves."""
     return any(run.phase is RunPhase.RUNNING and run.progress_percent >= 100 for run in task.runs)
 
 
-def _others(task: Task) -> Iterator[Task]:
+def _siblings(task: Task) -> Iterator[Task]:
     key = task.key
-    for other_key, other in task.job.tasks.items():
+    for other_key, sibling in task.job.tasks.items():
         same = other_key.step == key.step and other_key.occurrence == key.occurrence
-        if same and other is not task:
-            yield other
+        if same and sibling is not task:
+            yield sibling
--- a/fireflyfork/decisions/jobs/_waiting_tasks.py
+++ b/fireflyfork/decisions/jobs/_waiting_tasks.py
@@ -32,12 +32,12 @@
 class WaitingTasks:
     """All waiting tasks, the most urgent step first."""
 
-    def __init__(self, goes_alone: Callable[[Task], bool]) -> None:
+    def __init__(self, is_separate: Callable[[Task], bool]) -> None:
         """Initialize without tasks.
 
         Tasks for which `is_separate` returns True are queued apart from the others of their step.
         """
-        self._goes_alone = goes_alone
+        self._is_separate = is_separate
         self._steps: dict[Hashable, WaitingStep] = {}
         self._order: list[tuple[Urgency, int, WaitingStep]] = []
         self._deferred: list[Task] = []
@@ -45,11 +45,11 @@
 
     def __len__(self) -> int:
         """Return the number of waiting tasks."""
-        return sum(len(one.tasks) for one in self._steps.values()) + len(self._deferred)
+        return sum(len(step.tasks) for step in self._steps.values()) + len(self._deferred)
 
     def __iter__(self) -> Iterator[Task]:
         """Iterate over the waiting tasks in no particular order."""
-        return chain(*(one.tasks for one in self._steps.values()), self._deferred)
+        return chain(*(step.tasks for step in self._steps.values()), self._deferred)
 
     def push(self, task: Task, now_ms: int) -> None:
         """Add a task that may be placed immediately."""
@@ -59,7 +59,7 @@
             step = self._steps[key] = WaitingStep(key)
         step.tasks.append(task)
         if step.parked:
-            self._line_up(step, now_ms)
+            self._schedule(step, now_ms)
 
     def defer(self, task: Task) -> None:
         """Add a task that waits for the next tick."""
@@ -82,7 +82,7 @@
         if step.reason is not reason:
             step.reason = reason
             for task in step.tasks:
-                task.waits_for = reason
+                task.wait_reason = reason
 
     def retry(self, now_ms: int) -> None:
         """Allow all waiting tasks to be placed again."""
@@ -91,15 +91,15 @@
             self.push(task, now_ms)
         for step in self._steps.values():
             if step.parked:
-                self._line_up(step, now_ms)
+                self._schedule(step, now_ms)
 
-    def _line_up(self, step: WaitingStep, now_ms: int) -> None:
+    def _schedule(self, step: WaitingStep, now_ms: int) -> None:
         step.parked = False
         entry = (urgency(step.tasks[0], now_ms), next(self._numbers), step)
         heapq.heappush(self._order, entry)
 
     def _key(self, task: Task) -> Hashable:
-        if self._goes_alone(task):
+        if self._is_separate(task):
             return task.step_id, task.key
         # Resources are kept free from long-running tasks that never ran, but not from restarted
         # ones.
--- a/fireflyfork/decisions/jobs/_waves.py
+++ b/fireflyfork/decisions/jobs/_waves.py
@@ -14,7 +14,7 @@
 
     number: int
     machines: tuple[MachineId, ...]
-    most_at_once: int
+    max_at_once: int
     """Maximum number of them that may be down for upkeep at the same time."""
 
 
--- a/fireflyfork/decisions/jobs/tests/builders_jobs.py
+++ b/fireflyfork/decisions/jobs/tests/builders_jobs.py
@@ -43,7 +43,7 @@
 SERVICE = ServiceName("desk")
 LEASE_MS = 5_000
 """The longest lease that any owner grants, in milliseconds."""
-TERMS = SchedulerTerms(SERVICE, unheard_lease=8.0, longest_lease=LEASE_MS / 1000)
+TERMS = SchedulerTerms(SERVICE, unreached_lease=8.0, max_lease=LEASE_MS / 1000)
 START = 1000.0
 """Time on the owner's clock at the start of a test, in seconds."""
 START_MS = 1_700_000_000_000
@@ -73,7 +73,7 @@
 
 def registration(name: str = "i-0", **changes: object) -> ExecutorRegistration:
     """Return the registration of an executor with sixteen cores."""
-    made = ExecutorRegistration(
+    default = ExecutorRegistration(
         ExecutorId(name),
         SERVICE,
         Address("10.0.0.1", 80),
@@ -84,7 +84,7 @@
         "r1",
         1,
     )
-    return replace(made, **changes)  # type: ignore[arg-type]
+    return replace(default, **changes)  # type: ignore[arg-type]
 
 
 def learned(serving: str, effect: float) -> LearnedFit:
@@ -127,7 +127,11 @@
         """Place the tasks that may start and return their runs; no start is answered."""
         self.store()
         self.scheduler.place(self.now, START_MS + self.clock())
-        return [one.run for one in self.scheduler.take_commands() if isinstance(one, StartRun)]
+        return [
+            command.run
+            for command in self.scheduler.take_commands()
+            if isinstance(command, StartRun)
+        ]
 
     def store(self) -> None:
         """Store the known executors, if the store answers."""
@@ -141,12 +145,20 @@
 
     def stops(self) -> list[Run]:
         """Return the runs that are to be stopped."""
-        return [one.run for one in self.scheduler.take_commands() if isinstance(one, StopRun)]
+        return [
+            command.run
+            for command in self.scheduler.take_commands()
+            if isinstance(command, StopRun)
+        ]
 
     def paces(self) -> list[tuple[TaskName, int]]:
         """Return the tasks with a new pace, in percent."""
         commands = self.scheduler.take_commands()
-        return [(one.run.task.name, one.percent) for one in commands if isinstance(one, PaceRun)]
+        return [
+            (command.run.task.name, command.percent)
+            for command in commands
+            if isinstance(command, PaceRun)
+        ]
 
     def answer_start(self, run: Run, outcome: CallOutcome = CallOutcome.ACCEPTED) -> None:
         """Answer a start order."""
--- a/fireflyfork/decisions/jobs/tests/test_arrangement.py
+++ b/fireflyfork/decisions/jobs/tests/test_arrangement.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from .. import EndReason, Run
-from .._arrangement import MOVES_AT_ONCE, REST_SECONDS, Usefulness
+from .._arrangement import MAX_RESERVED_MOVES, MIN_SECONDS_BETWEEN_MOVES, UsefulLeftover
 from .builders_jobs import START_MS, OwnerUnderTest, job, learned, row, step
 
 HEAVY, LIGHT = 6.0, 0.1
@@ -37,7 +37,7 @@
     for number, image, place in jobs:
         spec = _serving(f"{int(number):016x}", image)
         owner.scheduler.accept(spec, START_MS)  # type: ignore[arg-type]
-        others = [one for one in PLACES if one != PLACES[place]]
+        others = [name for name in PLACES if name != PLACES[place]]
         _keep_away(owner, others, True)
         owner.place()
         _keep_away(owner, others, False)
@@ -46,12 +46,12 @@
 
 def _keep_away(owner: OwnerUnderTest, names: list[str], away: bool) -> None:
     for name in names:
-        owner.executor(name).emptied = away
+        owner.executor(name).cordoned = away
 
 
 def _poll_all(owner: OwnerUnderTest) -> None:
     for name in PLACES:
-        runs = [run for run in owner.executor(name).runs.values() if run.works]
+        runs = [run for run in owner.executor(name).runs.values() if run.is_active]
         owner.poll(name, *(row(run, 100, 20.0) for run in runs))
 
 
@@ -62,7 +62,7 @@
 
 
 def _mix(owner: OwnerUnderTest) -> list[dict[str, int]]:
-    return [dict(owner.executor(name).serving) for name in PLACES]
+    return [dict(owner.executor(name).serving_counts) for name in PLACES]
 
 
 def _settle(owner: OwnerUnderTest, seconds: float) -> list[Run]:
@@ -111,15 +111,17 @@
                 owner.tick(0.1)
                 stopped = owner.stops()
         self.assertTrue(stopped)
-        there = next(name for name in PLACES if owner.executor(name).promised_cpu_millis)
-        vanished = owner.executor(there)
+        destination = next(name for name in PLACES if owner.executor(name).incoming_cpu_millis)
+        vanished = owner.executor(destination)
         owner.scheduler.unregister(vanished.executor, owner.now)
         owner.scheduler.poll_failed(vanished, owner.now)
         for run in stopped:
             name = str(run.executor.executor)
             owner.answer_stop(run)
             owner.end(name, run.task.name, run.attempt, EndReason.STOPPED)
-            owner.poll(name, *(row(one, 100) for one in run.executor.working_runs()))
+            owner.poll(
+                name, *(row(remaining_run, 100) for remaining_run in run.executor.working_runs())
+            )
         moved = {run.task for run in stopped}
         again = [run for run in owner.place() if run.task in moved]
         self.assertEqual({run.task for run in again}, moved)
@@ -172,7 +174,7 @@
             stops = owner.stops()
             self.assertLessEqual(len({run.task.step_id for run in stops}), len(SERVICES))
             self.assertEqual(len(stops), len({run.task.step_id for run in stops}))
-            self.assertLessEqual(len(stops), MOVES_AT_ONCE)
+            self.assertLessEqual(len(stops), MAX_RESERVED_MOVES)
 
     def test_a_moved_task_rests(self) -> None:
         """Guards against tasks that are moved after each change of the learned effects."""
@@ -181,7 +183,7 @@
         _poll_all(owner)
         first = _settle(owner, 4.0)
         owner.scheduler.adopt((learned("web", LIGHT), learned("desk", HEAVY)))
-        again = _settle(owner, REST_SECONDS / 2)
+        again = _settle(owner, MIN_SECONDS_BETWEEN_MOVES / 2)
         self.assertFalse({run.task.name for run in first} & {run.task.name for run in again})
 
     def test_the_room_that_is_kept_goes_to_nobody_else(self) -> None:
@@ -192,10 +194,10 @@
         for _ in range(20):
             owner.tick(0.1)
             if owner.scheduler.executors and any(
-                owner.executor(name).promised_cpu_millis for name in PLACES
+                owner.executor(name).incoming_cpu_millis for name in PLACES
             ):
                 break
-        place = next(name for name in PLACES if owner.executor(name).promised_cpu_millis)
+        place = next(name for name in PLACES if owner.executor(name).incoming_cpu_millis)
         free = owner.executor(place).free_cpu_millis
         self.assertFalse(owner.executor(place).fits(free + 1000, 1000, 0))
         self.assertTrue(owner.executor(place).fits(free, 1000, 0))
@@ -208,9 +210,12 @@
     @settings(max_examples=20)
     def test_more_images_are_never_of_more_use(self, images: set[str]) -> None:
         owner = _owner(("1", "web", 0))
-        worth = Usefulness(owner.scheduler._work.interference, {"noisy": 1.0, "x": 2.0}, 0.5)
+        useful_leftover = UsefulLeftover(
+            owner.scheduler._state.interference, {"noisy": 1.0, "x": 2.0}, 0.5
+        )
         executor = owner.executor("i-0")
         for image in images:
             self.assertGreaterEqual(
-                worth.of(executor, images - {image}) + 1e-9, worth.of(executor, images)
+                useful_leftover.millis(executor, images - {image}) + 1e-9,
+                useful_leftover.millis(executor, images),
             )
--- a/fireflyfork/decisions/jobs/tests/test_arrangement_at_size.py
+++ b/fireflyfork/decisions/jobs/tests/test_arrangement_at_size.py
@@ -10,7 +10,7 @@
 
 from ...._ids import AttemptNumber
 from .. import Run, RunPhase
-from .._arrangement import Usefulness
+from .._arrangement import UsefulLeftover
 from .builders_jobs import START_MS, OwnerUnderTest, job, learned, row, step
 
 IMAGES = ("web", "desk", "mail", "maps")
@@ -44,9 +44,9 @@
     lasting = step(cpu_millis=5000, image=image, tail_target_ms=50, long_running=True)
     spec = job(f"{number:016x}", lasting)
     owner.scheduler.accept(spec, START_MS)
-    known = owner.scheduler.jobs.get(spec.job)
-    assert known is not None
-    (task,) = known.tasks.values()
+    accepted = owner.scheduler.jobs.get(spec.job)
+    assert accepted is not None
+    (task,) = accepted.tasks.values()
     run = Run(task, AttemptNumber(1), owner.executor(name), RunPhase.RUNNING, owner.now)
     task.attempt = run.attempt
     task.runs.append(run)
@@ -56,7 +56,7 @@
 
 def _poll_all(owner: OwnerUnderTest) -> None:
     for name in owner.scheduler.executors:
-        runs = [run for run in owner.scheduler.executors[name].runs.values() if run.works]
+        runs = [run for run in owner.scheduler.executors[name].runs.values() if run.is_active]
         owner.poll(str(name), *(row(run, 100, 20.0) for run in runs))
 
 
@@ -64,14 +64,14 @@
     """Return the maximum number of evaluations of executors in one tick."""
     owner = _fleet(size, range(size))
     _poll_all(owner)
-    plain = Usefulness.of
-    most = 0
+    plain = UsefulLeftover.millis
+    max_calls = 0
     for _ in range(20):
-        with patch.object(Usefulness, "of", autospec=True, side_effect=plain) as asked:
+        with patch.object(UsefulLeftover, "millis", autospec=True, side_effect=plain) as asked:
             owner.tick(0.1)
-        most = max(most, asked.call_count)
+        max_calls = max(max_calls, asked.call_count)
         owner.stops()
-    return most
+    return max_calls
 
 
 class ArrangementAtSizeTest(unittest.TestCase):
--- a/fireflyfork/decisions/jobs/tests/test_backlog.py
+++ b/fireflyfork/decisions/jobs/tests/test_backlog.py
@@ -12,8 +12,8 @@
 
 from .. import EndReason, _waiting_tasks
 from .._placement import Placement
+from .._service_state import ServiceState
 from .._urgency import urgency
-from .._work import Work
 from .builders_jobs import START_MS, OwnerUnderTest, job, row, step
 
 STEPS, TASKS = 60, 39
@@ -33,7 +33,7 @@
         self.assertGreater(waiting, 0.9 * STEPS * TASKS)
         with (
             patch.object(_waiting_tasks, "urgency", wraps=urgency) as sorted_by,
-            patch.object(Work, "wants_run", wraps=Work.wants_run) as looked_at,
+            patch.object(ServiceState, "needs_run", wraps=ServiceState.needs_run) as looked_at,
             patch.object(Placement, "_start", autospec=True, return_value=False) as tried,
         ):
             owner.scheduler.check_time(owner.now, START_MS)
@@ -51,11 +51,11 @@
         for number, (count, estimate_ms) in enumerate(steps):
             spec = step(count=count, cpu_millis=4000, estimate_ms=estimate_ms)
             owner.scheduler.accept(job(f"{number:016x}", spec), START_MS)
-        tasks = sorted(owner.scheduler.jobs.live_tasks(), key=lambda one: urgency(one, START_MS))
+        tasks = sorted(owner.scheduler.jobs.live_tasks(), key=lambda task: urgency(task, START_MS))
         room = 16_000 // 4000
-        least = max(urgency(one, START_MS) for one in tasks[:room])
+        least_urgent = max(urgency(task, START_MS) for task in tasks[:room])
         for run in owner.place():
-            self.assertLessEqual(urgency(run.task, START_MS), least)
+            self.assertLessEqual(urgency(run.task, START_MS), least_urgent)
 
     def test_a_task_that_comes_back_is_tried_before_the_next_tick(self) -> None:
         """Guards against tasks that wait for a tick although resources have become free."""
@@ -63,7 +63,7 @@
         owner.scheduler.accept(job("00000000000000aa", step(count=5, cpu_millis=4000)), START_MS)
         runs = owner.place()
         self.assertEqual(len(runs), 4)
-        owner.scheduler._work.gone(runs[0], owner.now, runs[0].task.last_over)
+        owner.scheduler._state.remove_run(runs[0], owner.now, runs[0].task.last_run_over)
         self.assertEqual(len(owner.place()), 1)
 
     def test_a_lasting_task_comes_back_past_others_that_wait_for_room_kept_free(self) -> None:
@@ -79,9 +79,9 @@
         self.assertEqual(len(runs), 14)
         owner.end("i-0", runs[3].task.name, runs[3].attempt, EndReason.FAILED)
         owner.poll("i-0", *(row(run) for run in runs if run is not runs[3]))
-        owner.executor().promised_cpu_millis = 3000
+        owner.executor().incoming_cpu_millis = 3000
         self.assertEqual(owner.place(), [])
-        owner.executor().promised_cpu_millis = 0
+        owner.executor().incoming_cpu_millis = 0
         owner.scheduler.check_time(owner.now, START_MS)
         again = {run.task.name for run in owner.place()}
         self.assertIn(runs[3].task.name, again)
--- a/fireflyfork/decisions/jobs/tests/test_candidates.py
+++ b/fireflyfork/decisions/jobs/tests/test_candidates.py
@@ -12,12 +12,12 @@
 from hypothesis import strategies as st
 
 from ...._ids import AttemptNumber
-from .. import ExecutorState, Run, RunPhase, Task, _price_lists
-from .._candidates import LOOKED_AT, Candidates
+from .. import ExecutorState, Run, RunPhase, Task, _cost_caches
+from .._candidates import EXECUTORS_PER_BATCH, Candidates
+from .._cost_caches import CostCache
 from .._interference import InterferenceModel
 from .._pacing import adjust_pace
-from .._placing import choose, cost_of, price
-from .._price_lists import PriceList
+from .._placement_costs import choose, placement_cost, task_cost
 from .._specs import StepSpec
 from .builders_jobs import START_MS, OwnerUnderTest, job, learned, step
 
@@ -37,54 +37,54 @@
         )
         executors, tasks = _fleet(loads, spec)
         model = InterferenceModel()
-        candidates = Candidates(tasks[0], executors, PriceList(tasks[0], model), 2.0)
+        candidates = Candidates(tasks[0], executors, CostCache(tasks[0], model), 2.0)
         for task in tasks:
             expected = choose(task, executors, model, 2.0)
-            found = candidates.best()
-            self.assertIs(found, expected)
-            if found is None:
+            chosen = candidates.best()
+            self.assertIs(chosen, expected)
+            if chosen is None:
                 return
-            found.add(Run(task, AttemptNumber(1), found, RunPhase.RUNNING, 0.0))
+            chosen.add(Run(task, AttemptNumber(1), chosen, RunPhase.RUNNING, 0.0))
 
     @given(_LOADS, _SIZES, st.integers(0, 9), st.integers(1, 3))
     def test_a_place_is_found_wherever_there_is_one(
-        self, loads: list[int], cpu_millis: int, first: int, looked_at: int
+        self, loads: list[int], cpu_millis: int, first: int, batch_size: int
     ) -> None:
         """Guards against tasks that wait because the free executors were never considered."""
         executors, tasks = _fleet(loads, step(count=12, cpu_millis=cpu_millis))
         model = InterferenceModel()
         candidates = Candidates(
-            tasks[0], executors, PriceList(tasks[0], model), 2.0, first, looked_at
+            tasks[0], executors, CostCache(tasks[0], model), 2.0, first, batch_size
         )
         for task in tasks:
-            found = candidates.best()
-            self.assertEqual(found is None, choose(task, executors, model, 2.0) is None)
-            if found is None:
+            chosen = candidates.best()
+            self.assertEqual(chosen is None, choose(task, executors, model, 2.0) is None)
+            if chosen is None:
                 return
-            found.add(Run(task, AttemptNumber(1), found, RunPhase.RUNNING, 0.0))
+            chosen.add(Run(task, AttemptNumber(1), chosen, RunPhase.RUNNING, 0.0))
 
     def test_a_start_in_a_large_fleet_costs_no_more_than_in_a_small_one(self) -> None:
         """Guards against an owner that falls behind because each start considers all executors."""
         executors, tasks = _fleet([1] * 400, step(count=12))
-        with patch.object(_price_lists, "price", wraps=price) as priced:
+        with patch.object(_cost_caches, "placement_cost", wraps=placement_cost) as priced:
             candidates = Candidates(
-                tasks[0], executors, PriceList(tasks[0], InterferenceModel()), 2.0, first=390
+                tasks[0], executors, CostCache(tasks[0], InterferenceModel()), 2.0, first=390
             )
             for _ in tasks:
                 self.assertIsNotNone(candidates.best())
-        self.assertLessEqual(priced.call_count, LOOKED_AT + len(tasks))
+        self.assertLessEqual(priced.call_count, EXECUTORS_PER_BATCH + len(tasks))
 
     def test_what_a_step_disturbs_is_not_summed_up_for_each_of_its_tasks(self) -> None:
         """Guards against an owner that falls behind because each start sums up all executors'
         loads."""
         executors, tasks = _fleet([1] * 100, step(count=12, uses_leftover_cpu=True))
-        for one in executors:
-            one.lasting_headroom = {"web": 5.0}
+        for executor in executors:
+            executor.recent_min_headroom = {"web": 5.0}
         model = InterferenceModel()
         with patch.object(model, "lost_headroom", wraps=model.lost_headroom) as summed:
             for _ in range(10):
                 candidates = Candidates(
-                    tasks[0], executors, PriceList(tasks[0], model), 2.0, looked_at=len(executors)
+                    tasks[0], executors, CostCache(tasks[0], model), 2.0, batch_size=len(executors)
                 )
                 for _ in tasks:
                     self.assertIsNotNone(candidates.best())
@@ -92,20 +92,20 @@
 
     def test_what_has_changed_on_an_executor_is_priced_anew(self) -> None:
         """Guards against work sent next to a service by an outdated state of the executor."""
-        (executor,), (task, other, *_) = _fleet([1], step(count=12, uses_leftover_cpu=True))
-        executor.lasting_headroom = {"web": 1.0}
+        (executor,), (task, other_task, *_) = _fleet([1], step(count=12, uses_leftover_cpu=True))
+        executor.recent_min_headroom = {"web": 1.0}
         model = InterferenceModel()
 
         def price() -> float:
-            cost = cost_of(task, executor, model, 100.0)
+            cost = task_cost(task, executor, model, 100.0)
             assert cost is not None
             return cost
 
         alone = price()
-        beside = Run(other, AttemptNumber(1), executor, RunPhase.RUNNING, 0.0)
-        executor.add(beside)
+        added_run = Run(other_task, AttemptNumber(1), executor, RunPhase.RUNNING, 0.0)
+        executor.add(added_run)
         self.assertGreater(price(), alone)
-        executor.remove(beside)
+        executor.remove(added_run)
         self.assertEqual(price(), alone)
         list(adjust_pace(executor, (), model, executor.sampled_at + 1.0))
         self.assertLess(price(), alone)
@@ -117,7 +117,7 @@
         near = executors[3]
         near.registration = replace(near.registration, labels=frozenset({"r9"}))
         candidates = Candidates(
-            tasks[0], executors, PriceList(tasks[0], InterferenceModel()), 2.0, 50, 4
+            tasks[0], executors, CostCache(tasks[0], InterferenceModel()), 2.0, 50, 4
         )
         self.assertIs(candidates.best(), near)
 
@@ -125,25 +125,25 @@
         """Guards against work that goes to executors that fail everything while sound ones are
         free."""
         executors, tasks = _fleet([1] * 100, step(count=1))
-        for one in executors[:LOOKED_AT]:
-            one.strikes = 1
-        found = Candidates(
-            tasks[0], executors, PriceList(tasks[0], InterferenceModel()), 2.0
+        for executor in executors[:EXECUTORS_PER_BATCH]:
+            executor.consecutive_failures = 1
+        chosen = Candidates(
+            tasks[0], executors, CostCache(tasks[0], InterferenceModel()), 2.0
         ).best()
-        assert found is not None
-        self.assertEqual(found.strikes, 0)
+        assert chosen is not None
+        self.assertEqual(chosen.consecutive_failures, 0)
 
     def test_work_that_slows_services_goes_where_it_slows_them_least(self) -> None:
         """Guards against services over their target next to work that has a better executor.
 
         In a large fleet the better executor may be outside of the first batch of candidates.
         """
-        owner = OwnerUnderTest(*(f"i-{number}" for number in range(2 * LOOKED_AT)))
+        owner = OwnerUnderTest(*(f"i-{number}" for number in range(2 * EXECUTORS_PER_BATCH)))
         owner.scheduler.adopt((learned("web", 2.0), learned("desk", 0.1)))
         executors = list(owner.scheduler.executors.values())
-        for one in executors:
-            one.lasting_headroom = {"web": 1.5}
-        executors[-1].lasting_headroom = {"desk": 1.5}
+        for executor in executors:
+            executor.recent_min_headroom = {"web": 1.5}
+        executors[-1].recent_min_headroom = {"desk": 1.5}
         disturbing = step(cpu_millis=4000, image="noisy", uses_leftover_cpu=True)
         owner.scheduler.accept(job("00000000000000aa", disturbing), START_MS)
         (run,) = owner.place()
@@ -156,10 +156,10 @@
     executors = list(owner.scheduler.executors.values())
     for number, load in enumerate(loads):
         owner.scheduler.accept(job(f"{number + 10:016x}", step(cpu_millis=load * 1000)), START_MS)
-        other = next(iter(owner.scheduler.jobs.live_tasks()))
-        one = executors[number]
-        one.add(Run(other, AttemptNumber(1), one, RunPhase.RUNNING, 0.0))
+        load_task = next(iter(owner.scheduler.jobs.live_tasks()))
+        executor = executors[number]
+        executor.add(Run(load_task, AttemptNumber(1), executor, RunPhase.RUNNING, 0.0))
     owner.scheduler.accept(job("00000000000000aa", spec), START_MS)
-    known = owner.scheduler.jobs.get(job("00000000000000aa").job)
-    assert known is not None
-    return executors, list(known.tasks.values())
+    accepted = owner.scheduler.jobs.get(job("00000000000000aa").job)
+    assert accepted is not None
+    return executors, list(accepted.tasks.values())
--- a/fireflyfork/decisions/jobs/tests/test_change_log.py
+++ b/fireflyfork/decisions/jobs/tests/test_change_log.py
@@ -21,13 +21,13 @@
     @rule(job=st.sampled_from([JobId("a"), JobId("b"), JobId("c")]))
     def change(self, job: JobId) -> None:
         """Change a job."""
-        self.changed[self.log.note(job)] = job
+        self.changed[self.log.record(job)] = job
 
     @precondition(lambda self: self.flying is None)
-    @rule(most=st.integers(1, 3))
-    def take(self, most: int) -> None:
+    @rule(max_jobs=st.integers(1, 3))
+    def take(self, max_jobs: int) -> None:
         """Begin a write."""
-        self.flying = (set(self.log.take(most)), self.log.last)
+        self.flying = (set(self.log.take(max_jobs)), self.log.last)
 
     @precondition(lambda self: self.flying is not None)
     @rule(succeeds=st.booleans())
@@ -37,7 +37,7 @@
         jobs, last = self.flying
         if succeeds:
             self.stored |= {n for n, job in self.changed.items() if job in jobs and n <= last}
-            self.log.stored()
+            self.log.mark_stored()
         else:
             self.log.put_back()
         self.flying = None
