--- a/fireflyfork/decisions/jobs/tests/test_ends.py
+++ b/fireflyfork/decisions/jobs/tests/test_ends.py
@@ -99,9 +99,9 @@
         self.owner.poll("i-0")
         self.owner.tick(1.1)
         self.assertEqual(self.owner.place(), [])
-        known = self.owner.scheduler.jobs.get(self.spec.job)
-        assert known is not None
-        self.assertIs(known.state, JobState.COMPLETED)
+        accepted = self.owner.scheduler.jobs.get(self.spec.job)
+        assert accepted is not None
+        self.assertIs(accepted.state, JobState.COMPLETED)
 
     def test_a_task_that_runs_goes_on(self) -> None:
         """Guards against stopping a run of an occurrence that is not due by the successor's clock.
@@ -110,16 +110,16 @@
         due.
         """
         self._take_over()
-        found = RunningRow(self.task, AttemptNumber(1), "", 40, 0.0)
-        self.owner.poll("i-0", found)
+        listed = RunningRow(self.task, AttemptNumber(1), "", 40, 0.0)
+        self.owner.poll("i-0", listed)
         self.assertEqual(self.owner.stops(), [])
         self.owner.tick(1.1)
         self.assertEqual(self.owner.place(), [])
         self.owner.end("i-0", self.task, 1, EndReason.DONE)
         self.owner.poll("i-0")
-        known = self.owner.scheduler.jobs.get(self.spec.job)
-        assert known is not None
-        self.assertIs(known.state, JobState.COMPLETED)
+        accepted = self.owner.scheduler.jobs.get(self.spec.job)
+        assert accepted is not None
+        self.assertIs(accepted.state, JobState.COMPLETED)
 
     def test_attempts_that_were_stored_are_kept(self) -> None:
         """Guards against dropping the stored attempts of an occurrence that is not due yet.
--- a/fireflyfork/decisions/jobs/tests/test_interference.py
+++ b/fireflyfork/decisions/jobs/tests/test_interference.py
@@ -21,8 +21,8 @@
     encode_learned,
 )
 from .._interference import PRIOR_EFFECT, SOLVE_SECONDS, InterferenceModel, Sample
-from .._pacing import BACKGROUND_PACE, LOWEST_PACE, WANTED_HEADROOM, adjust_pace
-from .._placing import choose
+from .._pacing import BACKGROUND_PACE, HEADROOM_TO_KEEP, MIN_PACE, adjust_pace
+from .._placement_costs import choose
 from .builders_jobs import START_MS, OwnerUnderTest, job, row, step
 
 HEAVY, LIGHT = 5.0, 0.5
@@ -122,8 +122,8 @@
         """
         model = _trained()
         owner = OwnerUnderTest("i-0", "i-1")
-        owner.executor("i-0").lasting_headroom = {"web": 1.8}
-        owner.executor("i-1").lasting_headroom = {"desk": 1.8}
+        owner.executor("i-0").recent_min_headroom = {"web": 1.8}
+        owner.executor("i-1").recent_min_headroom = {"desk": 1.8}
         for _ in range(200):
             model.observe("desk", Sample(0.0, 2.0, {"noisy": 0.2}), None)
             model.observe("desk", Sample(0.0, 2.0, {}), None)
@@ -225,9 +225,9 @@
         paces = self._beside(40.0, _trained())
         self.assertEqual(len(paces), 2)
         for _, percent in paces:
-            left = 18 / 40 + HEAVY * 6 / 16 * (1 - percent / 100)
-            self.assertGreaterEqual(left, WANTED_HEADROOM - 0.1)
-            self.assertGreaterEqual(percent, LOWEST_PACE)
+            headroom = 18 / 40 + HEAVY * 6 / 16 * (1 - percent / 100)
+            self.assertGreaterEqual(headroom, HEADROOM_TO_KEEP - 0.1)
+            self.assertGreaterEqual(percent, MIN_PACE)
 
     def test_a_tail_that_stays_over_its_target_stops_the_work_beside_it(self) -> None:
         """Guards against a service that stays slow because the learned effect or the pace is wrong.
@@ -239,20 +239,20 @@
         owner.scheduler.accept(job("00000000000000aa", serving), START_MS)
         (web,) = owner.place()
         owner.scheduler.accept(job("00000000000000bb", step(uses_leftover_cpu=True)), START_MS)
-        (work,) = owner.place()
+        (best_effort,) = owner.place()
         harmless = InterferenceModel()
         for _ in range(200):
             harmless.observe("web", Sample(0.0, 0.9, {"": 0.1}), None)
             harmless.observe("web", Sample(0.0, 0.9, {}), None)
         for _ in range(5):
             owner.now += 0.5
-            rows = (row(web, 100, 20.0), row(work, 20, 1000.0))
+            rows = (row(web, 100, 20.0), row(best_effort, 20, 1000.0))
             list(adjust_pace(owner.executor(), rows, harmless, owner.now))
-        self.assertEqual(work.pace_percent, 0)
+        self.assertEqual(best_effort.pace_percent, 0)
         owner.now += 0.5
-        calm = (row(web, 100, 5.0), row(work, 20, 0.0))
+        calm = (row(web, 100, 5.0), row(best_effort, 20, 0.0))
         list(adjust_pace(owner.executor(), calm, harmless, owner.now))
-        self.assertGreater(work.pace_percent, 0)
+        self.assertGreater(best_effort.pace_percent, 0)
 
     def test_a_calm_tail_leaves_the_work_alone(self) -> None:
         self.assertEqual(self._beside(5.0, InterferenceModel()), [])
@@ -281,7 +281,9 @@
                 owner.now += 1.0
                 owner.poll("i-0", *rows)
                 orders = owner.scheduler.take_commands()
-                self.assertEqual([one.percent for one in orders if isinstance(one, PaceRun)], [100])
+                self.assertEqual(
+                    [command.percent for command in orders if isinstance(command, PaceRun)], [100]
+                )
                 owner.now += 1.0
                 owner.poll("i-0", *rows)
                 self.assertEqual(owner.scheduler.take_commands(), [])
--- a/fireflyfork/decisions/jobs/tests/test_late_listings.py
+++ b/fireflyfork/decisions/jobs/tests/test_late_listings.py
@@ -18,7 +18,7 @@
         for percent in (10, 50):
             owner.poll("i-0", row(run, percent))
             owner.tick(SELDOM_SECONDS)
-            self.assertEqual((owner.stops(), owner.executor().strikes), ([], 0))
+            self.assertEqual((owner.stops(), owner.executor().consecutive_failures), ([], 0))
 
     def test_a_run_that_is_listed_without_progress_stands_still(self) -> None:
         """Guards against a stalled run that is never stopped because it is polled too rarely."""
@@ -28,4 +28,4 @@
         for _ in range(2):
             owner.poll("i-0", row(run, 10))
             owner.tick(SELDOM_SECONDS)
-        self.assertEqual((owner.stops(), owner.executor().strikes), ([run], 1))
+        self.assertEqual((owner.stops(), owner.executor().consecutive_failures), ([run], 1))
--- a/fireflyfork/decisions/jobs/tests/test_load_shedding.py
+++ b/fireflyfork/decisions/jobs/tests/test_load_shedding.py
@@ -16,7 +16,7 @@
     LEARNING_LAG_SECONDS,
     POLLS_LAG_SECONDS,
     Shed,
-    shed_at,
+    shed_level,
 )
 from .builders_jobs import START_MS, OwnerUnderTest, job, row, step
 
@@ -34,20 +34,20 @@
             (1.1 * POLLS_LAG_SECONDS, Shed.POLLS),
         ):
             with self.subTest(lag=lag):
-                self.assertIs(shed_at(lag, Shed.NOTHING), expected)
+                self.assertIs(shed_level(lag, Shed.NOTHING), expected)
 
     def test_it_is_taken_up_again_later_than_it_was_left(self) -> None:
         """Guards against searches that resume at each moment without lag, and cause the next
         lag."""
         lag = 0.8 * ARRANGEMENT_LAG_SECONDS
-        self.assertIs(shed_at(lag, Shed.NOTHING), Shed.NOTHING)
-        self.assertIs(shed_at(lag, Shed.ARRANGEMENT), Shed.ARRANGEMENT)
-        self.assertIs(shed_at(0.0, Shed.LEARNING), Shed.NOTHING)
+        self.assertIs(shed_level(lag, Shed.NOTHING), Shed.NOTHING)
+        self.assertIs(shed_level(lag, Shed.ARRANGEMENT), Shed.ARRANGEMENT)
+        self.assertIs(shed_level(0.0, Shed.LEARNING), Shed.NOTHING)
 
     @given(_LAGS, _LAGS, st.sampled_from(Shed))
     def test_more_lag_never_leaves_less_out(self, one: float, other: float, before: Shed) -> None:
         less, more = sorted((one, other))
-        self.assertLessEqual(shed_at(less, before), shed_at(more, before))
+        self.assertLessEqual(shed_level(less, before), shed_level(more, before))
 
 
 class SheddingTest(unittest.TestCase):
@@ -78,13 +78,13 @@
     def test_places_that_are_kept_are_given_back_while_late(self) -> None:
         """Guards against resources that stay reserved for a task which went elsewhere."""
         executor = self.owner.executor("i-0")
-        work = self.owner.scheduler._work
-        work.promises.make(self.serving.task, executor, self.owner.now + 1.0)
+        state = self.owner.scheduler._state
+        state.move_reservations.add(self.serving.task, executor, self.owner.now + 1.0)
         self.owner.scheduler.note_lag(1.1 * LEARNING_LAG_SECONDS)
         self.owner.tick(0.1)
-        self.assertGreater(executor.promised_cpu_millis, 0)
+        self.assertGreater(executor.incoming_cpu_millis, 0)
         self.owner.tick(1.0)
-        self.assertEqual(executor.promised_cpu_millis, 0)
+        self.assertEqual(executor.incoming_cpu_millis, 0)
 
     def test_services_are_protected_by_what_is_known_while_nothing_is_learned(self) -> None:
         """Guards against services that a late owner leaves over their target."""
--- a/fireflyfork/decisions/jobs/tests/test_ownership_proof.py
+++ b/fireflyfork/decisions/jobs/tests/test_ownership_proof.py
@@ -15,7 +15,7 @@
         self.owner = OwnerUnderTest("i-0")
 
     def _prove(self) -> None:
-        self.owner.scheduler.note_ownership(self.owner.now)
+        self.owner.scheduler.record_ownership(self.owner.now)
 
     def test_a_lease_has_lapsed_only_while_the_owner_certainly_owned(self) -> None:
         """Guards against declaring a run over while a successor renews its executor's lease.
@@ -32,9 +32,9 @@
         owner.scheduler.poll_failed(run.executor, owner.now)
         owner.tick(6.0)
         self.assertEqual(owner.place(), [])
-        self.assertTrue(owner.scheduler.wants_proof(owner.now))
+        self.assertTrue(owner.scheduler.needs_ownership_proof(owner.now))
         self._prove()
-        self.assertFalse(owner.scheduler.wants_proof(owner.now))
+        self.assertFalse(owner.scheduler.needs_ownership_proof(owner.now))
         owner.tick(0.1)
         self.assertEqual([again.attempt for again in owner.place()], [2])
 
@@ -49,12 +49,12 @@
             START_MS,
         )
         owner.now += 5.0
-        owner.scheduler.note_ownership(owner.now)
+        owner.scheduler.record_ownership(owner.now)
         owner.poll("i-0")
         owner.tick(3.1)
         self.assertEqual(owner.place(), [])
-        self.assertTrue(owner.scheduler.wants_proof(owner.now))
-        owner.scheduler.note_ownership(owner.now)
+        self.assertTrue(owner.scheduler.needs_ownership_proof(owner.now))
+        owner.scheduler.record_ownership(owner.now)
         owner.tick(0.1)
         self.assertEqual(len(owner.place()), 1)
 
@@ -74,6 +74,6 @@
 
     def test_an_older_proof_takes_nothing_back(self) -> None:
         self._prove()
-        self.owner.scheduler.note_ownership(self.owner.now - 10.0)
+        self.owner.scheduler.record_ownership(self.owner.now - 10.0)
         self.owner.scheduler.accept(job(A), START_MS)
         self.assertEqual(len(self.owner.place()), 1)
--- a/fireflyfork/decisions/jobs/tests/test_price_lists.py
+++ b/fireflyfork/decisions/jobs/tests/test_price_lists.py
@@ -11,10 +11,10 @@
 from hypothesis import strategies as st
 
 from ...._ids import AttemptNumber
-from .. import ExecutorState, Run, RunPhase, Task, _price_lists
+from .. import ExecutorState, Run, RunPhase, Task, _cost_caches
+from .._cost_caches import CostCache
 from .._pacing import adjust_pace
-from .._placing import price
-from .._price_lists import PriceList
+from .._placement_costs import placement_cost
 from .builders_jobs import START_MS, OwnerUnderTest, job, registration, row, step
 
 EXECUTORS, SHAPES = 60, 8
@@ -34,9 +34,9 @@
     def start(self, spec: object = None) -> None:
         """Add a run."""
         self._started += 1
-        made = spec or step(cpu_millis=700, image="noisy", uses_leftover_cpu=True)
+        start_spec = spec or step(cpu_millis=700, image="noisy", uses_leftover_cpu=True)
         run = Run(
-            _task(self.owner, self._started + 100, made),
+            _task(self.owner, self._started + 100, start_spec),
             AttemptNumber(1),
             self.executor,
             RunPhase.RUNNING,
@@ -54,17 +54,17 @@
         rows = tuple(row(run, 100, 9.0) for run in self.executor.runs.values())
         list(
             adjust_pace(
-                self.executor, rows, self.owner.scheduler._work.interference, self.owner.now
+                self.executor, rows, self.owner.scheduler._state.interference, self.owner.now
             )
         )
 
     def fail(self) -> None:
         """Record a failure."""
-        self.executor.strikes += 1
+        self.executor.consecutive_failures += 1
 
     def promise(self) -> None:
         """Reserve resources for a moved task."""
-        self.executor.promised_cpu_millis += 2000
+        self.executor.incoming_cpu_millis += 2000
 
     def register_anew(self) -> None:
         """Register with other labels and less room."""
@@ -98,11 +98,11 @@
 
 
 def _task(owner: OwnerUnderTest, number: int, spec: object) -> Task:
-    described = job(f"{number:016x}", spec)  # type: ignore[arg-type]
-    owner.scheduler.accept(described, START_MS)
-    known = owner.scheduler.jobs.get(described.job)
-    assert known is not None
-    return next(iter(known.tasks.values()))
+    job_spec = job(f"{number:016x}", spec)  # type: ignore[arg-type]
+    owner.scheduler.accept(job_spec, START_MS)
+    accepted = owner.scheduler.jobs.get(job_spec.job)
+    assert accepted is not None
+    return next(iter(accepted.tasks.values()))
 
 
 class PriceListTest(unittest.TestCase):
@@ -113,15 +113,17 @@
         """Guards against work sent by an outdated state of an executor, which may be full by
         now."""
         place = _Place()
-        model = place.owner.scheduler._work.interference
+        model = place.owner.scheduler._state.interference
         task = _task(place.owner, 1, spec)
-        prices = PriceList(task, model)
+        prices = CostCache(task, model)
         for event in events:
-            prices.price(place.executor)
+            prices.cost(place.executor)
             if event is _Place.end and not place.executor.runs:
                 continue
             event(place)  # type: ignore[operator]
-            self.assertEqual(prices.price(place.executor), price(task, place.executor, model))
+            self.assertEqual(
+                prices.cost(place.executor), placement_cost(task, place.executor, model)
+            )
 
     def test_a_backlog_that_is_tried_again_prices_only_what_has_changed(self) -> None:
         """Guards against an owner that falls behind because of a backlog."""
@@ -136,7 +138,7 @@
         owner.place()
         changed = owner.executor("i-7")
         owner.tick(0.1)
-        changed.strikes += 1
-        with patch.object(_price_lists, "price", wraps=price) as priced:
+        changed.consecutive_failures += 1
+        with patch.object(_cost_caches, "placement_cost", wraps=placement_cost) as priced:
             owner.place()
         self.assertLessEqual(priced.call_count, SHAPES)
--- a/fireflyfork/decisions/jobs/tests/test_relay_choice.py
+++ b/fireflyfork/decisions/jobs/tests/test_relay_choice.py
@@ -7,16 +7,21 @@
 
 from ...._ids import FailureDomainName, NodeName
 from ...._links import Address
-from .._standing import RELAYS_FOR_A_DOMAIN, RELAYS_FROM_EXECUTORS, Standing, choose_relays
+from .._instance_standing import (
+    MIN_EXECUTORS_FOR_RELAYS,
+    RELAYS_PER_DOMAIN,
+    InstanceStanding,
+    choose_relays,
+)
 
 OWN = NodeName("own")
 RELAY = Address("10.0.0.1", 7721)
-LARGE = RELAYS_FROM_EXECUTORS
+LARGE = MIN_EXECUTORS_FOR_RELAYS
 
 
-def _fleet(domains: int, each: int) -> list[Standing]:
+def _fleet(domains: int, each: int) -> list[InstanceStanding]:
     return [
-        Standing(
+        InstanceStanding(
             NodeName(f"n-{domain}-{number}"), 0.1 * number, FailureDomainName(str(domain)), RELAY
         )
         for domain in range(domains)
@@ -29,8 +34,8 @@
 
     def test_each_failure_domain_has_its_strongest(self) -> None:
         chosen = choose_relays(OWN, _fleet(6, 16), LARGE)
-        self.assertEqual(len(chosen), 6 * RELAYS_FOR_A_DOMAIN)
-        self.assertGreaterEqual(min(one.strength for one in chosen), 0.1 * 12 - 1e-9)
+        self.assertEqual(len(chosen), 6 * RELAYS_PER_DOMAIN)
+        self.assertGreaterEqual(min(standing.strength for standing in chosen), 0.1 * 12 - 1e-9)
 
     def test_a_small_fleet_is_called_directly(self) -> None:
         """Guards against an additional hop for each call of an owner that has enough CPU time."""
@@ -38,7 +43,7 @@
 
     def test_the_owner_and_instances_without_a_relay_are_passed_over(self) -> None:
         """Guards against calls sent to an instance of an earlier version, which does not relay."""
-        old = Standing(NodeName("old"), 2.0, FailureDomainName("0"))
-        own = Standing(OWN, 2.0, FailureDomainName("0"), RELAY)
-        other = Standing(NodeName("n"), 0.1, FailureDomainName("0"), RELAY)
+        old = InstanceStanding(NodeName("old"), 2.0, FailureDomainName("0"))
+        own = InstanceStanding(OWN, 2.0, FailureDomainName("0"), RELAY)
+        other = InstanceStanding(NodeName("n"), 0.1, FailureDomainName("0"), RELAY)
         self.assertEqual(choose_relays(OWN, [old, own, other], LARGE), (other,))
--- a/fireflyfork/decisions/jobs/tests/test_scheduler.py
+++ b/fireflyfork/decisions/jobs/tests/test_scheduler.py
@@ -59,9 +59,9 @@
         (run,) = owner.place()
         owner.end("i-0", run.task.name, 1, EndReason.DONE)
         owner.poll("i-0")
-        known = owner.scheduler.jobs.get(job(A).job)
-        assert known is not None
-        self.assertIs(known.state, JobState.COMPLETED)
+        accepted = owner.scheduler.jobs.get(job(A).job)
+        assert accepted is not None
+        self.assertIs(accepted.state, JobState.COMPLETED)
 
     def test_a_job_that_is_listed_again_after_its_end_does_not_run_again(self) -> None:
         """Guards against running a job again that is listed after its end.
@@ -75,7 +75,7 @@
         owner.end("i-0", run.task.name, 1, EndReason.DONE)
         owner.poll("i-0")
         owner.scheduler.jobs.changes.take(10)
-        owner.scheduler.jobs.changes.stored()
+        owner.scheduler.jobs.changes.mark_stored()
         owner.tick(0.1)
         self.assertEqual(len(owner.scheduler.jobs), 0)
         owner.scheduler.accept(job(A), START_MS)
@@ -88,8 +88,8 @@
         old booking would be made again.
         """
         owner = OwnerUnderTest("i-0")
-        over = StoredProgress(JobState.COMPLETED, final_ms=START_MS)
-        owner.scheduler.recover([(job(A), over)], [], [], owner.now, START_MS)
+        completed = StoredProgress(JobState.COMPLETED, final_ms=START_MS)
+        owner.scheduler.recover([(job(A), completed)], [], [], owner.now, START_MS)
         jobs = owner.scheduler.jobs
         self.assertEqual(jobs.expired(START_MS, 10), ())
         self.assertEqual(jobs.expired(START_MS + 1, 10), (job(A).job,))
@@ -127,12 +127,16 @@
         that the job is over; if it ignored them, it would overcommit the executor.
         """
         owner = OwnerUnderTest()
-        over = job(A, step(cpu_millis=16000))
+        cancelled = job(A, step(cpu_millis=16000))
         owner.scheduler.recover(
-            [(over, StoredProgress(JobState.CANCELLED))], [registration("i-0")], [], owner.now, 0
+            [(cancelled, StoredProgress(JobState.CANCELLED))],
+            [registration("i-0")],
+            [],
+            owner.now,
+            0,
         )
-        found = RunningRow(TaskName(f"{A}.0.0.0"), AttemptNumber(1), "", 10, 0.0)
-        owner.poll("i-0", found)
+        listed = RunningRow(TaskName(f"{A}.0.0.0"), AttemptNumber(1), "", 10, 0.0)
+        owner.poll("i-0", listed)
         self.assertEqual(owner.executor().used_cpu_millis, 16000)
         self.assertEqual([run.task.name for run in owner.stops()], [f"{A}.0.0.0"])
 
@@ -241,7 +245,9 @@
         self.assertEqual(owner.place(), [])
         owner.tick(0.3)
         again = owner.place()
-        self.assertEqual([(one.attempt, one.executor is silent) for one in again], [(2, False)])
+        self.assertEqual(
+            [(new_run.attempt, new_run.executor is silent) for new_run in again], [(2, False)]
+        )
 
     def test_an_executor_that_starts_anew_under_its_id_runs_nothing_of_before(self) -> None:
         owner = OwnerUnderTest("i-0")
@@ -261,16 +267,18 @@
         owner.scheduler.accept(job(A), START_MS)
         owner.now += 0.1
         (run,) = owner.send()
-        reborn = run.executor
+        restarted = run.executor
         owner.now += 0.1
-        owner.scheduler.register(registration(reborn.executor, incarnation=2), owner.now)
+        owner.scheduler.register(registration(restarted.executor, incarnation=2), owner.now)
         owner.answer_start(run, CallOutcome.UNKNOWN)
-        owner.scheduler.unregister(reborn.executor, owner.now)
+        owner.scheduler.unregister(restarted.executor, owner.now)
         for _ in range(60):
             owner.tick(1.0)
-            owner.scheduler.poll_failed(reborn, owner.now)
+            owner.scheduler.poll_failed(restarted, owner.now)
         again = owner.place()
-        self.assertEqual([(one.attempt, one.executor is reborn) for one in again], [(2, False)])
+        self.assertEqual(
+            [(new_run.attempt, new_run.executor is restarted) for new_run in again], [(2, False)]
+        )
 
     def test_an_answer_of_an_earlier_life_is_not_mixed_in(self) -> None:
         """Guards against mixing the answer of an earlier incarnation into the state of the present
@@ -310,7 +318,7 @@
         while they still ran.
         """
         owner = OwnerUnderTest("i-0", polled=False)
-        self.assertLess(owner.executor().clock(owner.now + 1.0), 1100)
+        self.assertLess(owner.executor().min_clock_ms(owner.now + 1.0), 1100)
 
     def test_lasting_tasks_leave_an_executor_that_leaves(self) -> None:
         owner = OwnerUnderTest("i-0")
@@ -330,8 +338,8 @@
         leaving = registration("i-0", draining=True)
         spec = job(A, step(long_running=True))
         owner.scheduler.recover([(spec, None)], [leaving], [], owner.now, START_MS)
-        found = RunningRow(TaskName(f"{A}.0.0.0"), AttemptNumber(1), "", 100, 0.0)
-        owner.poll("i-0", found)
+        listed = RunningRow(TaskName(f"{A}.0.0.0"), AttemptNumber(1), "", 100, 0.0)
+        owner.poll("i-0", listed)
         owner.tick(0.1)
         self.assertEqual([run.task.name for run in owner.stops()], [f"{A}.0.0.0"])
 
@@ -358,9 +366,9 @@
             owner.end("i-0", run.task.name, attempt, EndReason.FAILED)
             owner.poll("i-0")
             owner.tick(1.1)
-        known = owner.scheduler.jobs.get(job(A).job)
-        assert known is not None
-        self.assertIs(known.state, JobState.FAILED)
+        accepted = owner.scheduler.jobs.get(job(A).job)
+        assert accepted is not None
+        self.assertIs(accepted.state, JobState.FAILED)
         self.assertEqual(owner.place(), [])
 
     def test_a_failure_that_was_stored_is_not_counted_again_by_the_next_owner(self) -> None:
@@ -427,8 +435,8 @@
         self.assertEqual(len(self.owner.place()), 1)
 
     def test_a_run_that_is_found_is_kept(self) -> None:
-        found = RunningRow(TaskName(f"{A}.0.0.0"), AttemptNumber(1), "", 40, 0.0)
-        self.owner.poll("i-0", found)
+        listed = RunningRow(TaskName(f"{A}.0.0.0"), AttemptNumber(1), "", 40, 0.0)
+        self.owner.poll("i-0", listed)
         self.owner.poll("i-1")
         self.assertEqual(self.owner.place(), [])
         self.assertEqual(self.owner.stops(), [])
@@ -444,8 +452,8 @@
         self.owner.end("i-0", TaskName(f"{A}.0.0.0"), 1, EndReason.DONE)
         self.owner.poll("i-0")
         self.assertEqual(self.owner.place(), [])
-        found = RunningRow(TaskName(f"{A}.0.1.0"), AttemptNumber(1), "", 40, 0.0)
-        self.owner.poll("i-1", found)
+        listed = RunningRow(TaskName(f"{A}.0.1.0"), AttemptNumber(1), "", 40, 0.0)
+        self.owner.poll("i-1", listed)
         self.assertEqual(self.owner.place(), [])
 
     def test_an_executor_that_never_answers_is_waited_for_until_its_lease_is_over(self) -> None:
@@ -486,12 +494,13 @@
         self.owner.poll("i-0")
         self.owner.poll("i-1")
         (run,) = self.owner.place()
-        other = "i-1" if run.executor.executor == "i-0" else "i-0"
+        other_name = "i-1" if run.executor.executor == "i-0" else "i-0"
         run.task.attempt = AttemptNumber(2)
         late = RunningRow(run.task.name, AttemptNumber(1), "", 0, 0.0)
-        self.owner.poll(other, late)
+        self.owner.poll(other_name, late)
         self.assertEqual(
-            [(one.attempt, one.phase) for one in self.owner.stops()], [(1, RunPhase.STOPPING)]
+            [(stopped_run.attempt, stopped_run.phase) for stopped_run in self.owner.stops()],
+            [(1, RunPhase.STOPPING)],
         )
 
     def test_what_the_last_owner_lets_an_executor_run_counts_from_its_first_answer(self) -> None:
@@ -502,8 +511,8 @@
         continues under the earlier lease; started elsewhere immediately, the task would run in two
         places.
         """
-        found = RunningRow(TaskName(f"{A}.0.0.0"), AttemptNumber(1), "", 40, 0.0)
-        self.owner.poll("i-0", found)
+        listed = RunningRow(TaskName(f"{A}.0.0.0"), AttemptNumber(1), "", 40, 0.0)
+        self.owner.poll("i-0", listed)
         self.owner.poll("i-1")
         silent = self.owner.executor("i-0")
         for _ in range(49):
@@ -590,21 +599,21 @@
 
     def test_executors_that_an_earlier_owner_had_stored_are_used_at_once(self) -> None:
         """Guards against a takeover that waits for another write while the store is slow."""
-        known = registration("i-0")
-        self.owner.scheduler.recover([], [known], [known], self.owner.now, START_MS)
+        registered = registration("i-0")
+        self.owner.scheduler.recover([], [registered], [registered], self.owner.now, START_MS)
         self.owner.poll("i-0")
         self.assertTrue(self._is_used())
 
     def test_an_executor_that_was_dropped_is_stored_again(self) -> None:
         """Guards against an executor that is missing from the list, which was written without
         it."""
-        known = registration("i-0")
-        self.owner.scheduler.recover([], [known], [known], self.owner.now, START_MS)
+        registered = registration("i-0")
+        self.owner.scheduler.recover([], [registered], [registered], self.owner.now, START_MS)
         self.owner.poll("i-0")
         self.owner.scheduler.poll_failed(self.owner.executor(), self.owner.now)
         self.owner.scheduler.unregister(ExecutorId("i-0"), self.owner.now)
         self.assertEqual(self.owner.scheduler.executors, {})
-        self.owner.scheduler.register(known, self.owner.now)
+        self.owner.scheduler.register(registered, self.owner.now)
         self.owner.poll("i-0")
         self.assertFalse(self._is_used())
 
@@ -614,8 +623,8 @@
         A successor that doesn't see the new registration would give the executor up after some
         seconds, and its callers would wait for nothing.
         """
-        known = registration("i-0")
-        self.owner.scheduler.recover([], [known], [known], self.owner.now, START_MS)
+        registered = registration("i-0")
+        self.owner.scheduler.recover([], [registered], [registered], self.owner.now, START_MS)
         self.owner.poll("i-0")
         self.owner.scheduler.take_changed_executors()
         moved = registration("i-0", address=Address("10.0.0.2", 80))
@@ -646,7 +655,7 @@
         changes.take(10)
         owner.scheduler.note_stored()
         self.assertEqual(owner.executor().forgettable_end, 0)
-        changes.stored()
+        changes.mark_stored()
         owner.scheduler.note_stored()
         self.assertEqual(owner.executor().forgettable_end, 1)
 
@@ -669,7 +678,8 @@
         self.owner.scheduler.accept(job("00000000000000bb", self.gang), START_MS)
         self.assertEqual(self.owner.place(), [])
         self.assertEqual(
-            sum(one.used_cpu_millis for one in self.owner.scheduler.executors.values()), 20000
+            sum(executor.used_cpu_millis for executor in self.owner.scheduler.executors.values()),
+            20000,
         )
 
     def test_one_end_stands_for_all(self) -> None:
@@ -678,9 +688,9 @@
         name = str(first.executor.executor)
         self.owner.end(name, first.task.name, 1, EndReason.DONE)
         self.owner.poll(name)
-        known = self.owner.scheduler.jobs.get(job(A).job)
-        assert known is not None
-        self.assertIs(known.state, JobState.COMPLETED)
+        accepted = self.owner.scheduler.jobs.get(job(A).job)
+        assert accepted is not None
+        self.assertIs(accepted.state, JobState.COMPLETED)
 
     def test_a_broken_gang_starts_again_together_from_one_checkpoint(self) -> None:
         """Guards against restarting the members of a broken gang one by one.
@@ -714,8 +724,8 @@
             owner.now,
             START_MS,
         )
-        found = RunningRow(TaskName(f"{A}.0.0.2"), AttemptNumber(1), "", 0, 0.0)
-        owner.poll("i-0", found)
+        listed = RunningRow(TaskName(f"{A}.0.0.2"), AttemptNumber(1), "", 0, 0.0)
+        owner.poll("i-0", listed)
         owner.poll("i-1")
         (stopped,) = owner.stops()
         owner.answer_stop(stopped)
@@ -750,7 +760,9 @@
             name = str(run.executor.executor)
             owner.end(name, run.task.name, attempt, EndReason.FAILED)
             owner.poll(name)
-        self.assertEqual(sum(one.strikes for one in owner.scheduler.executors.values()), 1)
+        self.assertEqual(
+            sum(executor.consecutive_failures for executor in owner.scheduler.executors.values()), 1
+        )
 
     def test_an_executor_that_fails_all_it_gets_is_avoided(self) -> None:
         owner = OwnerUnderTest("i-0")
@@ -760,8 +772,8 @@
             owner.end("i-0", run.task.name, 1, EndReason.FAILED)
             owner.poll("i-0")
             owner.scheduler.cancel(run.task.job.spec.job, owner.now, START_MS)
-        self.assertFalse(owner.executor().usable(owner.now))
-        self.assertTrue(owner.executor().usable(owner.now + 1.1))
+        self.assertFalse(owner.executor().is_usable(owner.now))
+        self.assertTrue(owner.executor().is_usable(owner.now + 1.1))
 
 
 class TicketsTest(unittest.TestCase):
@@ -776,12 +788,12 @@
     def _ask(self) -> AskAdvice:
         self.owner.scheduler.place(self.owner.now, START_MS)
         commands = self.owner.scheduler.take_commands()
-        (question,) = (one for one in commands if isinstance(one, AskAdvice))
+        (question,) = (command for command in commands if isinstance(command, AskAdvice))
         self.assertEqual(len(commands), 1)
         return question
 
     def _answer(self, question: AskAdvice, tickets: dict[ExecutorId, str] | None) -> None:
-        self.owner.scheduler.advised(question, tickets, 3.0, self.owner.now, START_MS)
+        self.owner.scheduler.handle_advice(question, tickets, 3.0, self.owner.now, START_MS)
 
     def test_a_start_waits_for_the_ticket_and_carries_it(self) -> None:
         question = self._ask()
--- a/fireflyfork/decisions/jobs/tests/test_stragglers.py
+++ b/fireflyfork/decisions/jobs/tests/test_stragglers.py
@@ -14,11 +14,11 @@
 
     def _start(self, number: int, **changes: object) -> Run:
         """Start a job of one task while only `i-0` is usable."""
-        self.owner.executor("i-1").emptied = True
+        self.owner.executor("i-1").cordoned = True
         name = f"{number:016x}"
         self.owner.scheduler.accept(job(name, step(**changes)), START_MS)
         (run,) = self.owner.place()
-        self.owner.executor("i-1").emptied = False
+        self.owner.executor("i-1").cordoned = False
         return run
 
     def _report(self, seconds: float, *runs: Run, percent: int) -> None:
--- a/fireflyfork/decisions/jobs/tests/test_upkeep.py
+++ b/fireflyfork/decisions/jobs/tests/test_upkeep.py
@@ -32,20 +32,20 @@
 ) -> WaveView:
     """Return a wave of the machines 0 to 2, each with the executor of its number while it is up."""
     machines = {
-        _machine(one): MachineListing(
-            _machine(one),
-            (services or {}).get(one, SERVICE),
+        _machine(machine_number): MachineListing(
+            _machine(machine_number),
+            (services or {}).get(machine_number, SERVICE),
             state,
-            ExecutorId(f"i-{one}") if state is UP else None,
+            ExecutorId(f"i-{machine_number}") if state is UP else None,
         )
-        for one, state in states.items()
+        for machine_number, state in states.items()
     }
-    known = {
-        _machine(one): UpkeepMark(phase, ExecutorId(f"i-{one}"))
-        for one, phase in (marks or {}).items()
+    stored_marks = {
+        _machine(machine_number): UpkeepMark(phase, ExecutorId(f"i-{machine_number}"))
+        for machine_number, phase in (marks or {}).items()
     }
     wave = UpkeepWave(number, tuple(map(_machine, range(3))), most_at_once)
-    return WaveView(wave, machines, known)
+    return WaveView(wave, machines, stored_marks)
 
 
 ALL_UP = {0: UP, 1: UP, 2: UP}
@@ -64,7 +64,7 @@
             ("one has left for good", _view({0: UP, 1: UP}, {0: BEGUN, 1: BEGUN}), True),
         ):
             with self.subTest(name):
-                self.assertEqual(view.over(), over)
+                self.assertEqual(view.is_over(), over)
 
     def test_services_take_turns(self) -> None:
         """Guards against two owners that together take down more machines than the operator allows.
@@ -72,9 +72,9 @@
         A wave spans two services, and neither owner sees the other's orders.
         """
         services = {0: ServiceName("quotes"), 1: SERVICE, 2: SERVICE}
-        self.assertEqual(_view(ALL_UP, services=services).turn_of(), SERVICE)
+        self.assertEqual(_view(ALL_UP, services=services).next_service(), SERVICE)
         marks = {1: BEGUN, 2: BEGUN}
-        self.assertEqual(_view(ALL_UP, marks, services=services).turn_of(), "quotes")
+        self.assertEqual(_view(ALL_UP, marks, services=services).next_service(), "quotes")
 
 
 class UpkeepTest(unittest.TestCase):
@@ -98,9 +98,11 @@
         return runs
 
     def test_empty_machines_go_down_as_far_as_the_wave_allows(self) -> None:
-        for most, expected in ((1, 1), (2, 2), (5, 3)):
-            with self.subTest(most):
-                self.assertEqual(len(self._orders(_view(ALL_UP, most_at_once=most))), expected)
+        for max_at_once, expected in ((1, 1), (2, 2), (5, 3)):
+            with self.subTest(max_at_once):
+                self.assertEqual(
+                    len(self._orders(_view(ALL_UP, most_at_once=max_at_once))), expected
+                )
 
     def test_an_order_without_an_answer_counts_as_down_and_is_repeated(self) -> None:
         """Guards against more machines down than the operator allows.
@@ -110,7 +112,7 @@
         """
         view = _view(ALL_UP, {0: ORDERED})
         self.assertEqual(self._orders(view), [(1, _machine(0))])
-        self.assertFalse(self.owner.executor("i-0").usable(self.owner.now))
+        self.assertFalse(self.owner.executor("i-0").is_usable(self.owner.now))
 
     def test_a_machine_whose_order_may_come_late_gets_no_work_from_the_next_owner(self) -> None:
         """Guards against a successor that starts tasks on a machine which is about to go down.
@@ -120,7 +122,11 @@
         """
         mark = UpkeepMark(ORDERED, ExecutorId("i-1"))
         self.owner.scheduler.recover_upkeep([(_machine(1), mark)], self.owner.now)
-        usable = [one for one in range(3) if self.owner.executor(f"i-{one}").usable(self.owner.now)]
+        usable = [
+            number
+            for number in range(3)
+            if self.owner.executor(f"i-{number}").is_usable(self.owner.now)
+        ]
         self.assertEqual(usable, [0, 2])
 
     def test_an_executor_that_its_owner_hears_of_later_is_kept_free_as_well(self) -> None:
@@ -133,13 +139,13 @@
         self.owner.scheduler.recover_upkeep([(_machine(9), mark)], self.owner.now)
         self.owner.scheduler.register(registration("i-9"), self.owner.now)
         self.owner.poll("i-9")
-        self.assertFalse(self.owner.executor("i-9").usable(self.owner.now))
+        self.assertFalse(self.owner.executor("i-9").is_usable(self.owner.now))
         self.owner.scheduler.poll_failed(self.owner.executor("i-9"), self.owner.now)
         self.owner.scheduler.unregister(ExecutorId("i-9"), self.owner.now)
         self.assertNotIn(ExecutorId("i-9"), self.owner.scheduler.executors)
         self.owner.scheduler.register(registration("i-9"), self.owner.now)
         self.owner.poll("i-9")
-        self.assertFalse(self.owner.executor("i-9").usable(self.owner.now))
+        self.assertFalse(self.owner.executor("i-9").is_usable(self.owner.now))
 
     def test_a_machine_is_not_ordered_down_for_two_waves_at_once(self) -> None:
         """Guards against ordering a machine down for two waves at once.
@@ -160,7 +166,9 @@
         view = _view(ALL_UP)
         self.assertEqual(self._orders(view), [])
         emptied, *_ = [
-            one for one in range(3) if not self.owner.executor(f"i-{one}").usable(self.owner.now)
+            number
+            for number in range(3)
+            if not self.owner.executor(f"i-{number}").is_usable(self.owner.now)
         ]
         name = f"i-{emptied}"
         for run in runs:
@@ -191,9 +199,11 @@
         They were idle until the next change of owner, while jobs waited for resources.
         """
         self._orders(_view(ALL_UP))
-        self.assertTrue(self.owner.executor("i-0").emptied)
+        self.assertTrue(self.owner.executor("i-0").cordoned)
         self._orders()
-        usable = [self.owner.executor(f"i-{one}").usable(self.owner.now) for one in range(3)]
+        usable = [
+            self.owner.executor(f"i-{number}").is_usable(self.owner.now) for number in range(3)
+        ]
         self.assertEqual(usable, [True] * 3)
 
     def test_what_is_moved_does_not_go_where_it_would_be_moved_again(self) -> None:
--- a/fireflyfork/decisions/jobs/tests/test_upstreams.py
+++ b/fireflyfork/decisions/jobs/tests/test_upstreams.py
@@ -12,15 +12,17 @@
 
 from ...._ids import FailureDomainName, NodeName
 from ...._links import Address
-from .._standing import Standing
+from .._instance_standing import InstanceStanding
 from .._upstreams import UPSTREAMS, choose_upstreams
 
 DOMAINS = {"suva": True, "nadi": True, "labasa": False, "taveuni": False}
 """Whether the store is in the region of a failure domain."""
 
 
-def _instance(number: int, domain: str, strength: float, near: bool | None = None) -> Standing:
-    return Standing(
+def _instance(
+    number: int, domain: str, strength: float, near: bool | None = None
+) -> InstanceStanding:
+    return InstanceStanding(
         NodeName(f"n-{number}"),
         strength,
         FailureDomainName(domain),
@@ -35,7 +37,7 @@
 )
 
 
-def _upstream(own: Standing, fleet: list[Standing]) -> Standing | None:
+def _upstream(own: InstanceStanding, fleet: list[InstanceStanding]) -> InstanceStanding | None:
     return next(iter(choose_upstreams(own, fleet)), None)
 
 
@@ -43,28 +45,32 @@
     """Which instances follow which."""
 
     @given(fleets)
-    def test_following_leads_to_the_store(self, fleet: list[Standing]) -> None:
+    def test_following_leads_to_the_store(self, fleet: list[InstanceStanding]) -> None:
         """Guards against instances that follow each other in a cycle and never receive a change."""
         for own in fleet:
             seen = [own]
-            while (found := _upstream(seen[-1], fleet)) is not None:
-                self.assertNotIn(found, seen)
-                seen.append(found)
-            self.assertTrue(seen[-1].near_store or not any(one.near_store for one in fleet))
+            while (upstream := _upstream(seen[-1], fleet)) is not None:
+                self.assertNotIn(upstream, seen)
+                seen.append(upstream)
+            self.assertTrue(
+                seen[-1].near_store or not any(standing.near_store for standing in fleet)
+            )
 
     @given(fleets)
-    def test_each_failure_domain_is_told_once_from_outside(self, fleet: list[Standing]) -> None:
+    def test_each_failure_domain_is_told_once_from_outside(
+        self, fleet: list[InstanceStanding]
+    ) -> None:
         """Guards against sending a large configuration between regions once per instance."""
         from_outside = Counter(
             own.failure_domain
             for own in fleet
-            if (found := _upstream(own, fleet)) is None
-            or found.failure_domain != own.failure_domain
+            if (upstream := _upstream(own, fleet)) is None
+            or upstream.failure_domain != own.failure_domain
         )
-        self.assertEqual(from_outside, Counter({one.failure_domain for one in fleet}))
+        self.assertEqual(from_outside, Counter({standing.failure_domain for standing in fleet}))
 
     @given(fleets)
-    def test_few_are_named(self, fleet: list[Standing]) -> None:
+    def test_few_are_named(self, fleet: list[InstanceStanding]) -> None:
         for own in fleet:
             chosen = choose_upstreams(own, fleet)
             self.assertLessEqual(len(chosen), UPSTREAMS)
@@ -82,6 +88,6 @@
 
     def test_instances_that_tell_nothing_are_not_followed(self) -> None:
         """Some instances have no spare port to serve a replica."""
-        mute = Standing(NodeName("n-1"), 2.0, FailureDomainName("suva"), near_store=True)
+        mute = InstanceStanding(NodeName("n-1"), 2.0, FailureDomainName("suva"), near_store=True)
         own = _instance(2, "suva", 1.0)
         self.assertEqual(choose_upstreams(own, [mute, own]), ())
--- a/fireflyfork/decisions/jobs/tests/test_urgency.py
+++ b/fireflyfork/decisions/jobs/tests/test_urgency.py
@@ -10,9 +10,9 @@
 def _task(owner: OwnerUnderTest, name: str, estimate_ms: int, age_ms: int = 0) -> Task:
     spec = job(name, step(estimate_ms=estimate_ms), accepted_ms=START_MS - age_ms)
     owner.scheduler.accept(spec, START_MS)
-    known = owner.scheduler.jobs.get(spec.job)
-    assert known is not None
-    return next(iter(known.tasks.values()))
+    accepted = owner.scheduler.jobs.get(spec.job)
+    assert accepted is not None
+    return next(iter(accepted.tasks.values()))
 
 
 class UrgencyTest(unittest.TestCase):
@@ -40,7 +40,7 @@
         wide = _task(owner, "00000000000000aa", 1000)
         before = wide.job.remaining_work()
         self.assertEqual(before, 1000 * 1000)
-        wide.job.left[0, 0] = 0
+        wide.job.remaining_tasks[0, 0] = 0
         self.assertEqual(wide.job.remaining_work(), 0)
 
     def test_jobs_of_no_more_use_go_by_age(self) -> None:
--- a/fireflyfork/platform/tests/test_formats.py
+++ b/fireflyfork/platform/tests/test_formats.py
@@ -169,7 +169,7 @@
             _item(b'{"wave":3,"machines":["m-1","m-2"],"finish_by_s":20,"maximum":2}')
         )
         assert wave is not None
-        self.assertEqual((wave.number, wave.machines, wave.most_at_once), (3, ("m-1", "m-2"), 2))
+        self.assertEqual((wave.number, wave.machines, wave.max_at_once), (3, ("m-1", "m-2"), 2))
 
     def test_a_wave_that_can_not_be_read_is_passed_over(self) -> None:
         """An operator's tool writes half a wave. If reading it failed, the configuration under the same
--- a/fireflyfork/programs/_announced_upstreams.py
+++ b/fireflyfork/programs/_announced_upstreams.py
@@ -6,7 +6,7 @@
 
 from .._errors import StoreError
 from ..adapters import ReplicaPlace
-from ..decisions.jobs import Standing, choose_upstreams
+from ..decisions.jobs import InstanceStanding, choose_upstreams
 from ._announcements import Announcements
 from ._replica_follower import Upstreams
 
@@ -17,7 +17,7 @@
     def __init__(self, announcements: Announcements) -> None:
         """Start without known instances; ``choose`` reads the announcements."""
         self._announcements = announcements
-        self._known: list[Standing] = []
+        self._known: list[InstanceStanding] = []
 
     @property
     def worth_waiting_for(self) -> bool:
--- a/fireflyfork/programs/_announcements.py
+++ b/fireflyfork/programs/_announcements.py
@@ -12,7 +12,7 @@
 from .._ids import FailureDomainName, LeaseId, NodeName
 from .._links import Address
 from ..adapters import CoordinationStore, Put
-from ..decisions.jobs import Standing, strength
+from ..decisions.jobs import InstanceStanding, strength
 from ._clocks import Clock
 from ._scheduling_keys import INSTANCE_PREFIX, instance_key
 
@@ -79,15 +79,15 @@
         self._changed = trio.Event()
 
     @property
-    def own(self) -> Standing:
+    def own(self) -> InstanceStanding:
         """This instance with its current strength, reduced after a failure."""
         share = FAILURE_PENALTY_FACTOR if self.penalized else 1.0
         return replace(self.unpenalized, strength=share * self.unpenalized.strength)
 
     @property
-    def unpenalized(self) -> Standing:
+    def unpenalized(self) -> InstanceStanding:
         """This instance with its full strength, regardless of failures."""
-        return Standing(
+        return InstanceStanding(
             self._node,
             strength(self._processors, self._link_mbps, self._near),
             self._failure_domain,
@@ -123,7 +123,7 @@
         self._penalized_until = self._clock.now() + FAILURE_PENALTY_SECONDS
         self._changed.set()
 
-    async def list_instances(self) -> list[Standing]:
+    async def list_instances(self) -> list[InstanceStanding]:
         """Return the announcements of all instances, including this one. Raises StoreError."""
         sent_at = self._clock.now()
         listing = await self._store.list(INSTANCE_PREFIX)
@@ -175,8 +175,8 @@
             self._changed = trio.Event()
 
 
-def _standing(node: NodeName, record: _Record) -> Standing:
-    return Standing(
+def _standing(node: NodeName, record: _Record) -> InstanceStanding:
+    return InstanceStanding(
         node,
         record.strength,
         FailureDomainName(record.failure_domain) if record.failure_domain else None,
--- a/fireflyfork/programs/_executor_polls.py
+++ b/fireflyfork/programs/_executor_polls.py
@@ -191,7 +191,7 @@
 
     def _note_late(self, executor: ExecutorState, poll: _Poll, nursery: trio.Nursery) -> None:
         poll.note_late()
-        if executor.heard_at < poll.sent_at:
+        if executor.last_answer_at < poll.sent_at:
             self._note_failed_poll(executor, CallOutcome.UNKNOWN, "no answer in the expected time")
         nursery.start_soon(self._probe, executor, poll)
 
@@ -260,7 +260,7 @@
         if executor.failed_polls:
             seconds = round(now - poll.sent_at, 3)
             logger.info("executor answers again", executor=executor.executor, seconds=seconds)
-        executor.told_end = max(executor.told_end, forgettable_end)
+        executor.released_end = max(executor.released_end, forgettable_end)
         now_ms = self._clock.unix_ms()
         self._scheduler.poll_answered(executor, poll.sent_at, answer, now, now_ms, poll.in_time)
         if answer.ended:
@@ -284,7 +284,7 @@
     ) -> bool:
         if answer.outcome is not CallOutcome.OTHER_INCARNATION:
             return False
-        return self._scheduler.incarnation_met(executor, answer.incarnation, sent_at, now)
+        return self._scheduler.handle_incarnation(executor, answer.incarnation, sent_at, now)
 
     async def _wait_for_next_poll(self, executor: ExecutorState) -> None:
         if executor.failed_polls:
@@ -305,7 +305,7 @@
         # An executor whose last answer was late gets no work until a timely answer, so polling goes
         # on.
         timely = executor.polled_at is not None and not executor.answers_late
-        has_no_work = not executor.runs and executor.told_end == executor.seen_end
+        has_no_work = not executor.runs and executor.released_end == executor.processed_end
         return timely and has_no_work and executor.registered
 
     def _extend_lease(self, executor: ExecutorState, now: float) -> int | None:
@@ -318,7 +318,7 @@
         unconfirmed = now - self._confirmed_owner_at() > MAX_UNCONFIRMED_SECONDS
         if executor.polled_at is None or executor.failed_polls or unconfirmed:
             return None
-        until_ms = executor.clock(now) + self._lease_ms
+        until_ms = executor.min_clock_ms(now) + self._lease_ms
         executor.grant_lease(until_ms)
         return until_ms
 
--- a/fireflyfork/programs/_run_orders.py
+++ b/fireflyfork/programs/_run_orders.py
@@ -100,7 +100,7 @@
         if not isinstance(command, StartRun):
             return await self._send(command, executor)
         async with self._start_limiter.acquire_slot():
-            if not self._scheduler.start_leaves(command.run, self._clock.now()):
+            if not self._scheduler.prepare_start(command.run, self._clock.now()):
                 return OrderAnswer(CallOutcome.PAST_DEADLINE, None)
             return await self._send(command, executor)
 
--- a/fireflyfork/programs/_service_journal.py
+++ b/fireflyfork/programs/_service_journal.py
@@ -148,7 +148,7 @@
             self._restore_unstored(executors)
             logger.debug("journal not written", service=self._term.service, error=str(error))
             return False
-        changes.stored()
+        changes.mark_stored()
         if pending is not None:
             self._stored_pending = pending
             self._pending_at = trio.current_time()
@@ -231,7 +231,7 @@
         for name in jobs:
             job = self._scheduler.jobs.get(name)
             if job is not None:
-                puts.append(Put(progress_key(name), encode_progress(job.stored())))
+                puts.append(Put(progress_key(name), encode_progress(job.to_stored())))
         if pending is not None:
             puts.append(Put(pending_key(service), msgspec.json.encode(pending)))
         if trio.current_time() - self._learned_at >= LEARNED_INTERVAL_SECONDS:
--- a/fireflyfork/programs/_service_owner.py
+++ b/fireflyfork/programs/_service_owner.py
@@ -207,7 +207,7 @@
                 # listing includes.
                 self._work_intake.require_ownership(work_listing)
                 # The listing shows that there was no other owner when it was requested.
-                self._scheduler.note_ownership(asked_at)
+                self._scheduler.record_ownership(asked_at)
                 nursery.start_soon(self._journal.run)
                 nursery.start_soon(self._work_intake.watch().run, work_listing.as_of)
                 nursery.start_soon(self._registrations.watch().run, registrations_revision)
@@ -270,7 +270,7 @@
             self._shed_load()
             with self._profile.section("checks of time"):
                 self._scheduler.check_time(self._clock.now(), self._clock.unix_ms())
-            if self._scheduler.wants_proof(self._clock.now()) and not self._proving:
+            if self._scheduler.needs_ownership_proof(self._clock.now()) and not self._proving:
                 nursery.start_soon(self._prove_ownership)
             self.request_dispatch()
 
@@ -302,7 +302,7 @@
         else:
             if item is None or item.revision != self._term.owner_revision:
                 raise OwnershipLostError("the owner key was replaced or removed")
-            self._scheduler.note_ownership(asked_at)
+            self._scheduler.record_ownership(asked_at)
         self._proving = False
 
     async def _remove_old_jobs(self) -> None:
@@ -347,10 +347,10 @@
         advice = await self._advisor.advise(step_name(*question.step), question.executors)
         now, now_ms = self._clock.now(), self._clock.unix_ms()
         if advice is None:
-            self._scheduler.advised(question, None, 0.0, now, now_ms)
+            self._scheduler.handle_advice(question, None, 0.0, now, now_ms)
         else:
             seconds = advice.valid_seconds
-            self._scheduler.advised(question, advice.tickets, seconds, now, now_ms)
+            self._scheduler.handle_advice(question, advice.tickets, seconds, now, now_ms)
         self.request_dispatch()
 
 
--- a/fireflyfork/programs/_succession.py
+++ b/fireflyfork/programs/_succession.py
@@ -11,7 +11,7 @@
 from .._errors import StoreError
 from .._ids import NodeName, ServiceName
 from ..adapters import RelayedExecutors, RelayPlace
-from ..decisions.jobs import Standing, can_do_better, choose_relays, should_hand_over
+from ..decisions.jobs import InstanceStanding, choose_relays, has_stronger, should_hand_over
 from ._announcements import Announcements
 
 RECOVERY_CHECK_SECONDS = 4.0
@@ -65,7 +65,7 @@
             # If the ownership were given up to an equal a second time, the service would be passed
             # around among slow instances forever.
             accept_equals = periods >= PERIODS_FOR_EQUALS and not self._announcements.penalized
-            if can_do_better(own, others, accept_equals):
+            if has_stronger(own, others, accept_equals):
                 logger.warning(
                     "ownership given up: recovery takes too long",
                     service=self._service,
@@ -86,7 +86,7 @@
                 return
             self._use_relays(others)
 
-    async def _list_instances(self) -> list[Standing]:
+    async def _list_instances(self) -> list[InstanceStanding]:
         """Return all instances' announcements, or an empty list if the store doesn't answer."""
         try:
             return await self._announcements.list_instances()
@@ -94,7 +94,7 @@
             logger.debug("other instances not listed", error=str(error))
             return []
 
-    def _use_relays(self, others: list[Standing]) -> None:
+    def _use_relays(self, others: list[InstanceStanding]) -> None:
         # The list is empty while the store doesn't answer, but the relays are still available.
         if others:
             chosen = choose_relays(self._node, others, self._executors())
--- a/fireflyfork/programs/_upkeep_duty.py
+++ b/fireflyfork/programs/_upkeep_duty.py
@@ -118,7 +118,7 @@
 
     async def _report(self, view: WaveView) -> None:
         """Write the status of a wave for the operator. The status of a finished wave never changes."""
-        number, over = view.wave.number, view.over()
+        number, over = view.wave.number, view.is_over()
         if not over and number in self._reported:
             return
         key = wave_status_key(number)
--- a/fireflyfork/programs/_work_intake.py
+++ b/fireflyfork/programs/_work_intake.py
@@ -63,7 +63,7 @@
             self._take_change,
             self._note_ownership,
             now=self._clock.now,
-            on_confirmed=self._scheduler.note_ownership,
+            on_confirmed=self._scheduler.record_ownership,
         )
 
     def stored_jobs(
--- a/fireflyfork/programs/tests/test_decision_log.py
+++ b/fireflyfork/programs/tests/test_decision_log.py
@@ -12,7 +12,7 @@
     JobState,
     Note,
     RunEnded,
-    RunOver,
+    RunEndEvidence,
     TaskSent,
     WaitReason,
 )
@@ -50,7 +50,9 @@
     def test_each_kind_is_counted(self) -> None:
         for note, line in (
             (
-                TaskSent(TASK, 1, EXECUTOR, 7, 40, 10, 0, WaitReason.NOTHING, RunOver.NO_RUN),
+                TaskSent(
+                    TASK, 1, EXECUTOR, 7, 40, 10, 0, WaitReason.NOTHING, RunEndEvidence.NO_RUN
+                ),
                 'fireflyfork_tasks_sent_total{again="false"} 1',
             ),
             (
@@ -62,7 +64,7 @@
                 'fireflyfork_jobs_over_total{in_time="true",state="completed"} 1',
             ),
             (
-                ExecutorGivenUp(EXECUTOR, 7, 3, RunOver.LEASE_LAPSED),
+                ExecutorGivenUp(EXECUTOR, 7, 3, RunEndEvidence.LEASE_LAPSED),
                 "fireflyfork_runs_given_up_total 3",
             ),
         ):
--- a/fireflyfork/programs/tests/test_probes.py
+++ b/fireflyfork/programs/tests/test_probes.py
@@ -95,7 +95,7 @@
         await trio.sleep(3 * POLL_SECONDS)
         relay.mute()
         frozen_at = VirtualClock().now()
-        while min(executor.heard_at for executor in executors) <= frozen_at:
+        while min(executor.last_answer_at for executor in executors) <= frozen_at:
             await trio.sleep(0.05)
         silence = VirtualClock().now() - frozen_at
         nursery.cancel_scope.cancel()
--- a/fireflyfork/programs/tests/test_upkeep_duty.py
+++ b/fireflyfork/programs/tests/test_upkeep_duty.py
@@ -71,10 +71,10 @@
                 nursery.start_soon(duty.run)
                 machines.waves.append(UpkeepWave(1, (machine_of(NAME),), 1))
                 await trio.sleep(2.0)
-                self.assertTrue(scheduler.executors[NAME].emptied)
+                self.assertTrue(scheduler.executors[NAME].cordoned)
                 machines.waves.clear()
                 await trio.sleep(2.0)
-                self.assertFalse(scheduler.executors[NAME].emptied)
+                self.assertFalse(scheduler.executors[NAME].cordoned)
                 nursery.cancel_scope.cancel()
 
         trio.run(main, clock=MockClock(autojump_threshold=0))
--- a/fireflyfork_standins/scheduling/_machines.py
+++ b/fireflyfork_standins/scheduling/_machines.py
@@ -107,7 +107,7 @@
             and self._machines[one].down_for == wave
             for one in known.machines
         )
-        if down >= known.most_at_once:
+        if down >= known.max_at_once:
             self._history.broken("upkeep limit", f"{name} goes down beside {down} others")
         if machine.executor.running:
             work = ", ".join(machine.executor.running)
--- a/fireflyfork_standins/scheduling/_world.py
+++ b/fireflyfork_standins/scheduling/_world.py
@@ -253,7 +253,7 @@
             if only_refused:
                 self._refused_only.add(name)
             return
-        if spec.lasts or self._random.random() < self._profile.cancel_share:
+        if spec.is_long_running or self._random.random() < self._profile.cancel_share:
             await trio.sleep(self._random.uniform(0.0, 6.0))
             await self._cancel(name)
 
--- a/fireflyfork_standins/tests/test_scheduling_days.py
+++ b/fireflyfork_standins/tests/test_scheduling_days.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 from unittest.mock import patch
 
-from fireflyfork.decisions.jobs import ExecutorState, Scheduler, Standing, WaveView
+from fireflyfork.decisions.jobs import ExecutorState, InstanceStanding, Scheduler, WaveView
 from fireflyfork.programs._job_requests import JobRequests
 from fireflyfork_standins.scheduling import (
     ALL_TROUBLES,
@@ -190,8 +190,8 @@
     def test_a_successor_that_waits_for_nobody_runs_tasks_twice(self) -> None:
         def recover(self: Scheduler, jobs, registrations, last_known, now, now_ms):  # type: ignore[no-untyped-def]
             real(self, jobs, registrations, last_known, now, now_ms)
-            self._work.unreached.clear()
-            self._work.release_held(now)
+            self._state.unreached.clear()
+            self._state.release_held(now)
 
         real = Scheduler.recover
         with patch.object(Scheduler, "recover", recover):
@@ -209,7 +209,7 @@
         def forget(self: Scheduler) -> None:
             for executor in self.executors.values():
                 executor.unstored_ends.clear()
-                executor.forgettable_end = executor.seen_end
+                executor.forgettable_end = executor.processed_end
 
         def poll(self, *arguments):  # type: ignore[no-untyped-def]
             real(self, *arguments)
@@ -235,18 +235,18 @@
         self.assertIn("not run", broken)
 
     def test_weak_instances_that_ask_first_leave_a_service_without_an_owner(self) -> None:
-        def delay(own: Standing, _: object) -> float:
+        def delay(own: InstanceStanding, _: object) -> float:
             return 0.0 if own.strength < 0.1 else 1.0
 
         with (
             patch("fireflyfork.programs._service_lease.bid_delay", delay),
-            patch("fireflyfork.programs._succession.can_do_better", lambda *_, **__: False),
+            patch("fireflyfork.programs._succession.has_stronger", lambda *_, **__: False),
         ):
             times = [run_world(seed, THIN_DAY).longest_without_owner for seed in range(400, 406)]
         self.assertGreater(max(times), LONGEST_WITHOUT_OWNER)
 
     def test_stopping_all_of_a_service_at_once_breaks_its_budget(self) -> None:
-        with patch("fireflyfork.decisions.jobs._upkeep.may_be_moved", lambda _: True):
+        with patch("fireflyfork.decisions.jobs._upkeep.may_become_unavailable", lambda _: True):
             found = (
                 one.promise
                 for seed in (8, *range(1, 7))
@@ -256,7 +256,7 @@
 
     def test_not_counting_orders_without_an_answer_takes_too_many_machines_down(self) -> None:
         profile = replace(UPKEEP_PROFILE, troubles=("upkeep_lost",), trouble_gap_seconds=0.5)
-        with patch.object(WaveView, "ordered", lambda *_: False):
+        with patch.object(WaveView, "is_ordered", lambda *_: False):
             found = (
                 one.promise
                 for seed in (11, *range(1, 7))
