--- a/fireflyfork/operations/__init__.py
+++ b/fireflyfork/operations/__init__.py
@@ -1,4 +1,8 @@
-"""What operators do, without terminal or sockets: answers, generation, checks, differences."""
+"""The logic behind the operators' commands, without terminal or network I/O.
+
+Decodes and checks questionnaire answers and configurations, generates and compares configurations,
+and analyses logs, metrics and traces.
+"""
 
 from ._answers import (
     Answers,
--- a/fireflyfork/operations/_answers.py
+++ b/fireflyfork/operations/_answers.py
@@ -1,4 +1,7 @@
-"""The questionnaire's answers: what a team says about its services, batch jobs and tolerances."""
+"""The questionnaire's answers: regions, workers, teams, services, batch jobs and tolerances.
+
+Each field carries the question that the interactive questionnaire asks for it.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 
 
 class Measure(Enum):
-    """What placement can favour when it must choose."""
+    """A goal that placement weighs against the others."""
 
     TAIL_LATENCY = "tail_latency"
     EVICTIONS = "evictions"
@@ -21,15 +24,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Question:
-    """How the interactive questionnaire asks for one field."""
+    """The text with which the interactive questionnaire asks for one field."""
 
     prompt: str
     why: str
-    """What the answer changes."""
+    """What the answer changes, shown together with the prompt."""
 
 
 def asked(prompt: str, why: str) -> Mapping[str, Question]:
-    """The metadata of a field that the questionnaire asks for."""
+    """Return the dataclass field metadata that holds a field's question."""
     return {"question": Question(prompt, why)}
 
 
@@ -88,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExecutorAnswer:
-    """Executors of a service in one failure domain, at addresses listed or counted up."""
+    """Executors of a service in one failure domain, with listed addresses or consecutive ports."""
 
     failure_domain: str = field(
         metadata=asked("Failure domain of these executors", "Requests prefer their own region.")
@@ -189,7 +192,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TeamAnswer:
-    """A team."""
+    """A team: its tolerance for interference with its batch tasks and its right to urgent work."""
 
     name: str = field(metadata=asked("Name of the team", "Quotas and jobs refer to it."))
     when_disturbing: Tolerance = field(
@@ -267,7 +270,7 @@
 
 
 def question_of(answer_field: dataclasses.Field[object]) -> Question:
-    """How to ask for one field of an answer."""
+    """Return the question for one field of an answer."""
     question = answer_field.metadata["question"]
     assert isinstance(question, Question)
     return question
--- a/fireflyfork/operations/_changes.py
+++ b/fireflyfork/operations/_changes.py
@@ -1,4 +1,4 @@
-"""Versions of the configuration: their keys in the history, and the ids of changes."""
+"""Keys of earlier configuration versions in the store, and ids of configuration changes."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 HISTORY_PREFIX = "configuration-history/"
 
 RETAINED_VERSIONS = 200
-"""Earlier versions that the store keeps; older ones are deleted as new ones come."""
+"""Number of earlier versions kept in the store; each new version deletes the oldest beyond it."""
 
 _VERSION_DIGITS = 12
 _MILLISECOND_BITS = 48
 
 
 def history_key(version: ConfigurationVersion) -> str:
-    """The key under which an earlier version is kept. Keys sort as versions do."""
+    """Return the store key of an earlier version; keys sort in the order of their versions."""
     return f"{HISTORY_PREFIX}{version:0{_VERSION_DIGITS}d}"
 
 
 def version_of_history_key(key: str) -> ConfigurationVersion:
-    """The version that ``history_key`` was made from."""
+    """Return the version of a key made by ``history_key``."""
     return ConfigurationVersion(int(key.removeprefix(HISTORY_PREFIX)))
 
 
 def mint_change_id(unix_seconds: float, randomness: random.Random) -> ChangeId:
-    """A UUID version 7 (RFC 9562): unique, and it tells when the change was made."""
+    """Return a new UUID version 7 (RFC 9562), which contains the time of the change."""
     milliseconds = int(unix_seconds * 1000) & ((1 << _MILLISECOND_BITS) - 1)
     value = milliseconds << 80 | randomness.getrandbits(80)
     value = value & ~(0xF << 76) | 0x7 << 76
@@ -39,7 +39,7 @@
 
 
 def time_of_change(change_id: ChangeId) -> str:
-    """When the change was made, in UTC, or an empty text for an id of another kind."""
+    """Return the UTC time in a change id, or an empty string if the id is not a UUID version 7."""
     try:
         value = uuid.UUID(change_id)
     except ValueError:
@@ -50,6 +50,6 @@
 
 
 def same_decisions(one: Configuration, other: Configuration) -> bool:
-    """Whether two configurations differ in nothing but version, change id and note."""
+    """Whether two configurations are equal apart from version, change id and note."""
     bare = replace(one, version=other.version, change_id=other.change_id, note=other.note)
     return bare == other
--- a/fireflyfork/operations/_checks.py
+++ b/fireflyfork/operations/_checks.py
@@ -1,4 +1,4 @@
-"""The rules of every configuration, and of a change from one to the next."""
+"""The rules that each configuration and each change of the configuration must satisfy."""
 
 from __future__ import annotations
 
@@ -253,12 +253,15 @@
 
 
 def check(configuration: Configuration) -> tuple[Violation, ...]:
-    """Every violation of every rule, in the order of the rules."""
+    """Return all violations of all rules, in the order of ``RULES``."""
     return tuple(violation for rule in RULES for violation in rule.broken_by(configuration))
 
 
 def check_change(current: Configuration | None, proposed: Configuration) -> tuple[Violation, ...]:
-    """What may not change while entries run."""
+    """Return violations for changed values that must stay the same while entries run.
+
+    ``current`` is None if no configuration is in force yet; then nothing is forbidden.
+    """
     return tuple(_broken_by_change(current, proposed)) if current is not None else ()
 
 
--- a/fireflyfork/operations/_decoding.py
+++ b/fireflyfork/operations/_decoding.py
@@ -1,8 +1,8 @@
-"""Decode plain JSON values into typed objects and report every fault at once.
+"""Decode plain JSON values into typed objects and report all errors at once.
 
-``msgspec`` stops at the first fault and ignores unknown fields. An operator who mends a file one
-message at a time, or whose misspelt field is silently replaced by its default, loses trust; so
-this module walks the objects itself and leaves only the single values to ``msgspec``.
+``msgspec`` stops at the first error and ignores unknown fields: operators would fix a file one
+message at a time, and a misspelt field would silently get its default. This module therefore
+walks objects and lists itself and uses ``msgspec`` only to convert single values.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Decoded(typing.Generic[T]):
-    """The typed object, or else what is wrong."""
+    """The result of decoding: a typed object, or None and the violations that were found."""
 
     value: T | None
     violations: tuple[Violation, ...]
 
 
 def decode(expected: type[T], raw: object) -> Decoded[T]:
-    """Convert what a JSON parser returned into ``expected``, a dataclass."""
+    """Convert a parsed JSON value into the dataclass ``expected``."""
     found: list[Violation] = []
     value = _convert(expected, raw, "", found)
     return Decoded(None if found else value, tuple(found))
@@ -97,23 +97,23 @@
 
 @functools.cache
 def type_hints(expected: Any) -> dict[str, Any]:
-    """The types of a dataclass's fields."""
+    """Return the resolved types of a dataclass's fields by name."""
     return typing.get_type_hints(expected)
 
 
 def is_quantity(expected: Any) -> bool:
-    """Whether a type is a number with a unit."""
+    """Whether a type is a subclass of ``Quantity``, a number with a unit."""
     return isinstance(expected, type) and issubclass(expected, Quantity)
 
 
 def is_optional(expected: Any) -> bool:
-    """Whether a type admits None."""
+    """Whether a type is a union with None."""
     union = typing.get_origin(expected) in (typing.Union, types.UnionType)
     return union and type(None) in typing.get_args(expected)
 
 
 def inner_type(expected: Any) -> Any:
-    """The type that an optional type admits besides None."""
+    """Return the first member of an optional type that is not None."""
     return next(option for option in typing.get_args(expected) if option is not type(None))
 
 
@@ -143,12 +143,12 @@
 
 
 def joined(path: str, name: str) -> str:
-    """The path of a field of the object at ``path``."""
+    """Return the path of a field of the object at ``path``; an empty path is the root."""
     return f"{path}.{name}" if path else name
 
 
 def leaves(value: object, path: str = "") -> Iterator[tuple[str, object]]:
-    """Each single value of a JSON-like object with its path, in order."""
+    """Yield the path and value of each scalar in nested dicts and lists, in their order."""
     if isinstance(value, dict):
         for name, inner in value.items():
             yield from leaves(inner, joined(path, str(name)))
--- a/fireflyfork/operations/_differences.py
+++ b/fireflyfork/operations/_differences.py
@@ -1,4 +1,7 @@
-"""What differs between two configurations, by the names of things and not by their places."""
+"""Differences between two configurations.
+
+Elements of lists are matched by name instead of index, so reordering makes no difference.
+"""
 
 from __future__ import annotations
 
@@ -16,19 +19,19 @@
 _MOST_NAMED = 4
 _LONGEST_VALUE = 120
 _NAMES = ("target_id", "name", "regions", "failure_domain")
-"""The fields that name an element of a list, the first that it has."""
+"""Fields that can name an element of a list; the first that the element has is used."""
 
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """One value that was added, removed or changed."""
+    """One added, removed or changed value; ``before`` or ``after`` is None where it is absent."""
 
     path: str
     before: object | None
     after: object | None
 
     def __str__(self) -> str:
-        """One line, marked as in a diff."""
+        """Format as one line that starts with ``+``, ``-`` or ``~`` (changed)."""
         if self.before is None:
             return f"+ {self.path}: {_shown(self.after)}"
         if self.after is None:
@@ -39,7 +42,7 @@
 def differences(
     before: Configuration | None, after: Configuration | None
 ) -> tuple[Difference, ...]:
-    """What changed from ``before`` to ``after``; version, change id and note don't count."""
+    """Return the changes from ``before`` to ``after``, without version, change id and note."""
     return tuple(_compare("", _plain(before), _plain(after)))
 
 
@@ -47,7 +50,7 @@
     if configuration is None:
         return {}
     plain = msgspec.to_builtins(configuration)
-    # Nothing tells an absent list from an empty one, so neither counts as a difference.
+    # Decoding doesn't distinguish an absent list from an empty one, so both compare as equal.
     return {
         name: value for name, value in plain.items() if name not in _BOOKKEEPING and value != ()
     }
@@ -77,7 +80,7 @@
 
 
 def _by_name(items: object) -> dict[str, object]:
-    """Objects by their names; a repeated name gets a number, so that nothing is dropped."""
+    """Map names to objects; a repeated name gets a numbered suffix so that no object is dropped."""
     assert isinstance(items, tuple)
     counts: Counter[str] = Counter()
     named: dict[str, object] = {}
@@ -89,7 +92,11 @@
 
 
 def _shown(value: object) -> str:
-    """What was added or removed: few things by their names, of many only how many."""
+    """Format an added or removed value.
+
+    A list of objects is shown by the names of its elements, or by their number if there are more
+    than ``_MAX_LISTED_NAMES``.
+    """
     if not isinstance(value, tuple) or not _is_list_of_objects(value):
         return shown(value, _LONGEST_VALUE)
     names = tuple(_by_name(value))
--- a/fireflyfork/operations/_documents.py
+++ b/fireflyfork/operations/_documents.py
@@ -1,4 +1,4 @@
-"""Files of answers and configurations: JSON with comments."""
+"""Parsing and rendering of answer and configuration files, which are JSON with comments."""
 
 from __future__ import annotations
 
@@ -27,11 +27,14 @@
 
 
 class _DuplicateNameError(ValueError):
-    """An object names a field twice, so a reader can't tell which value is meant."""
+    """Raised when an object contains a field twice, which leaves its value ambiguous."""
 
 
 def parse_document(text: str) -> object:
-    """Parse JSON with comments. Raises SettingsError with the place of the fault."""
+    """Parse JSON with comments.
+
+    Raises SettingsError with the line and column of a syntax error or the name of a repeated field.
+    """
     try:
         return jsonc.loads(text, object_pairs_hook=_object_of_unique_names)
     except json.JSONDecodeError as error:
@@ -42,7 +45,7 @@
 
 
 def decode_document(expected: type[T], text: str) -> Decoded[T]:
-    """Parse and decode a file into a dataclass; every fault is reported."""
+    """Parse a file and decode it into a dataclass; all violations found are returned."""
     try:
         raw = parse_document(text)
     except SettingsError as error:
@@ -52,25 +55,25 @@
 
 
 def render_generated(generated: Generated, title: str) -> str:
-    """The file of a generated configuration; comments say which answer each value came from."""
+    """Render a generated configuration with comments that name the answer behind each value."""
     return _render(msgspec.to_builtins(generated.configuration), generated.sources, title)
 
 
 def render_configuration(configuration: Configuration, title: str) -> str:
-    """The file of a configuration that came from the store."""
+    """Render a configuration read from the store, without comments on its values."""
     return _render(msgspec.to_builtins(configuration), {}, title)
 
 
 def render_answers(answers: Answers, title: str) -> str:
-    """The file of answers, as its author wrote the quantities."""
+    """Render answers; quantities keep the text that their author wrote."""
     return _render(_plain_answers(answers), {}, title)
 
 
 def with_version(text: str, version: ConfigurationVersion) -> str:
-    """The text of a configuration file with another version; all else stays as its author has it.
+    """Replace the version in the text of a configuration file and change nothing else.
 
-    The version stands on a line of its own in the files that this package writes. A file without
-    such a line is returned as it is.
+    The files that this package renders have the version on a line of its own. A text without such
+    a line is returned unchanged.
     """
     return _VERSION_LINE.sub(lambda match: f"{match.group(1)}{version}", text, count=1)
 
@@ -84,7 +87,7 @@
 
 
 def _put_comment(tree: dict[str | int, Any], path: str, comment: str) -> None:
-    """Add a comment at a path; each node is a pair of its own comment and its inner ones."""
+    """Add a comment at a path of the tree; a node is a pair of its comment and its child nodes."""
     keys = [name or int(index) for name, index in _PATH_PART.findall(path)]
     node = tree
     for key in keys[:-1]:
--- a/fireflyfork/operations/_exposition.py
+++ b/fireflyfork/operations/_exposition.py
@@ -1,4 +1,4 @@
-"""Reads metrics in the Prometheus text format, as entries write them."""
+"""Parser for the Prometheus text format in which entries expose their metrics."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """One value of one metric."""
+    """One value of a metric for one set of labels."""
 
     name: str
     labels: dict[str, str]
@@ -21,7 +21,7 @@
 
 
 def read_samples(text: str) -> Iterator[Sample]:
-    """The samples of a page of metrics; comments and unreadable lines are passed over."""
+    """Yield the samples of a metrics page; comments and malformed lines are skipped."""
     for line in text.splitlines():
         match = _SAMPLE.fullmatch(line.strip())
         if match is None or line.startswith("#"):
--- a/fireflyfork/operations/_generator.py
+++ b/fireflyfork/operations/_generator.py
@@ -1,8 +1,8 @@
-"""Generate the configuration from the answers, and remember which answer each value came from.
+"""Generates a configuration from answers and records the answer behind each value.
 
-The order of everything follows the order of the answers, and names of targets depend only on
-their service, failure domain and place in it: regenerating gives the same text, and a changed
-answer changes only the lines that it decides.
+Generated lists follow the order of the answers, and the name of a target depends only on its
+service, its failure domain and its index there. Generating again from the same answers gives the
+same text, and a changed answer changes only the lines that depend on it.
 """
 
 from __future__ import annotations
@@ -44,19 +44,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Generated:
-    """The configuration, and for each generated value where it came from."""
+    """A generated configuration and the answers behind its values."""
 
     configuration: Configuration
     sources: Mapping[str, str]
-    """From the path of a value or a whole record to the answer behind it."""
+    """Maps the path of a value or record to a description of its answer."""
 
 
 def generate(answers: Answers, version: ConfigurationVersion = UNAPPLIED) -> Generated:
-    """Generate the configuration. ``version`` is the one in the store that it will replace.
+    """Generate the configuration; ``version`` is the version in the store that it will replace.
 
-    Raises SettingsError when executors' addresses can't be worked out; ``unusable_addresses``
-    says in which answers. Everything else that is wrong is left to the checks, which name the
-    values of the generated file.
+    Raises SettingsError if the answers don't give an address for each executor;
+    ``unusable_addresses`` lists these answers. All other errors are left to the checks of the
+    generated configuration.
     """
     configuration = Configuration(
         version=version,
@@ -74,7 +74,7 @@
 
 
 def unusable_addresses(answers: Answers) -> Iterator[Violation]:
-    """The executors whose addresses can't be worked out."""
+    """Yield a violation for each group of executors whose addresses are missing or invalid."""
     for number, service in enumerate(answers.services):
         for place, executors in enumerate(service.executors):
             try:
@@ -87,7 +87,11 @@
 
 
 def addresses_of(executors: ExecutorAnswer) -> tuple[str, ...]:
-    """The addresses of a group of executors. Raises SettingsError."""
+    """Return the address of each executor of a group.
+
+    Executors without listed addresses have consecutive ports from ``first_address`` on. Raises
+    SettingsError if addresses are missing, invalid or don't match the count.
+    """
     if executors.addresses:
         if len(executors.addresses) != executors.count or executors.first_address is not None:
             raise SettingsError("the number of addresses must be the count, without first_address")
@@ -166,7 +170,7 @@
 
 
 def _region_of(answers: Answers, domain: str) -> RegionName:
-    """The region of a failure domain; the checks report an empty name as unknown."""
+    """Return a failure domain's region, or an empty name, which the checks report as unknown."""
     names = (region.name for region in answers.regions if domain in region.failure_domains)
     return RegionName(next(names, ""))
 
@@ -179,7 +183,7 @@
 
 
 def _running(job: JobAnswer) -> Resources:
-    """What the tasks of a job that run at once reserve together."""
+    """Return the total reservation of the tasks of a job that may run at once."""
     return Resources(
         job.cores.millicores * job.tasks_at_once,
         job.memory.whole * job.tasks_at_once,
@@ -188,7 +192,7 @@
 
 
 def _weights(answers: Answers) -> Weights:
-    """Each measure counts twice as much as the one after it; one that is not named counts 1."""
+    """Give each ranked measure twice the weight of the next; an unranked measure has weight 1."""
     ranked = answers.matters_most
     weight = {measure: 2.0 ** (len(ranked) - place) for place, measure in enumerate(ranked)}
     return Weights(
--- a/fireflyfork/operations/_interview.py
+++ b/fireflyfork/operations/_interview.py
@@ -1,7 +1,7 @@
-"""The interactive questionnaire, without a terminal: it asks for texts and returns answers.
+"""The interactive questionnaire without its terminal: yields prompts and parses replies.
 
-The questions stand beside the fields of the answers, so this module knows none of them; it walks
-the fields and reads each text by its field's type.
+The questions are metadata of the answers' fields. This module walks the fields and parses each
+reply according to the type of its field.
 """
 
 from __future__ import annotations
@@ -22,25 +22,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Prompt:
-    """One question to put to a person."""
+    """One question to show to a person."""
 
     path: str
-    """The answer that it is for, such as ``services[0].timeout``."""
+    """Path of the answer that the reply sets, such as ``services[0].timeout``."""
     text: str
     why: str
-    """What the answer changes."""
+    """What the answer changes, shown together with the text."""
     default: str | None
-    """What an empty reply means; None when a reply is required."""
+    """The value of an empty reply, or None if a reply is required."""
     complaint: str = ""
-    """Why the reply before this one was not understood."""
+    """Why the previous reply to this question was rejected; empty for the first try."""
 
 
 Interview = Generator[Prompt, str, Any]
-"""Yields prompts, is sent replies, and returns what they say."""
+"""A generator that yields prompts, receives replies and returns the parsed value."""
 
 
 def interview() -> Generator[Prompt, str, Answers]:
-    """Ask for everything. Each prompt yielded expects the reply to be sent."""
+    """Ask for all answers; the caller sends one reply for each prompt yielded."""
     answers = yield from _ask_object(Answers, "")
     assert isinstance(answers, Answers)
     return answers
@@ -73,7 +73,7 @@
 
 
 def _ask_list(element: Any, path: str, text: str, why: str) -> Interview:
-    """Ask for one object after the other until there are no more."""
+    """Ask for objects until the reply to "add another?" is no."""
     items: list[Any] = []
     while True:
         prompt = f"{text}: add {'another' if items else 'one'}? yes or no"
@@ -93,13 +93,16 @@
 
 
 def _such_as(kind: Any) -> str:
-    """An example of a number with a unit, for its prompt."""
+    """Return an example to append to the prompt of a quantity; empty for other types."""
     wanted = inner_type(kind) if is_optional(kind) else kind
     return f", such as {wanted.example()}" if is_quantity(wanted) else ""
 
 
 def _read(kind: Any, reply: str) -> Any:
-    """Read a reply as a value of ``kind``. Raises ValueError with what was expected."""
+    """Parse a reply as a value of type ``kind``.
+
+    Raises ValueError whose message states the expected format.
+    """
     if is_optional(kind):
         return _read(inner_type(kind), reply) if reply else None
     if typing.get_origin(kind) is tuple:
@@ -145,7 +148,7 @@
 
 
 def _element(kind: Any) -> Any:
-    """The type of the elements of a list of any length, or None."""
+    """Return the element type of a variable-length tuple, or None for any other type."""
     arguments = typing.get_args(kind)
     is_list = typing.get_origin(kind) is tuple and arguments[-1] is Ellipsis
     return arguments[0] if is_list else None
@@ -158,7 +161,7 @@
 
 
 def _written(default: Any) -> str | None:
-    """How a default is shown in a prompt."""
+    """Format a default for its prompt, or return None if a reply is required."""
     if default is dataclasses.MISSING:
         return None
     if default is None:
--- a/fireflyfork/operations/_job_account.py
+++ b/fireflyfork/operations/_job_account.py
@@ -1,7 +1,7 @@
-"""Where the time of late jobs went, from the log lines that the scheduler's processes wrote.
+"""Attributes the time of late jobs to causes, from the logs of the scheduler's processes.
 
-A job is as late as the slowest task of each of its steps. So each step's time is laid to the task that
-ended last: what it waited for, runs of it that had to be repeated, and how its last run went.
+The task of a step that ends last determines when the step ends. The time of each step is therefore
+split by the history of that task: its waits for placement, its repeated runs and its last run.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from ._log_lines import decoded_lines
 
 PHASE_SECONDS = 5.0
-"""Jobs are summed by when they were accepted, in phases of this length."""
+"""Length of the phases into which late jobs are grouped by acceptance time."""
 
 
 class Cause(Enum):
-    """What a job's time was spent on."""
+    """A reason for which time passed between a job's acceptance and its end."""
 
     NO_OWNER = "no owner"
-    """Nobody placed tasks: the owner had gone, and its successor was not done reading."""
+    """No owner placed tasks: the old one was lost and the new one was still reading the state."""
     HELD = WaitReason.HELD.value
     PROCESSORS = WaitReason.PROCESSORS.value
     MEMORY = WaitReason.MEMORY.value
@@ -35,7 +35,7 @@
     BEHIND = WaitReason.BEHIND.value
     OTHER_WAIT = WaitReason.OTHER.value
     WAITED = "waited a moment"
-    """Found a place at once: what passed is the way of the order."""
+    """The task had a place at once; the time is the latency of the order to the executor."""
     NEVER_PLACED = "never placed"
     REPEATED = "runs repeated"
     PACED = "ran at a lower pace"
@@ -50,48 +50,48 @@
     job: str
     queue: str
     accepted_at: float
-    """Seconds since the first line."""
+    """Seconds since the first log line."""
     state: str
-    """The last that is known of it."""
+    """The final state, or ``not over`` if the log has no end of the job."""
     age_seconds: float
     allowed_seconds: float | None
-    """None for a job that never ended."""
+    """Time that the objective allows, or None for a job that never ended."""
     seconds: dict[Cause, float]
 
     @property
     def late(self) -> bool:
-        """Whether it took longer than its objective allows, or never ended."""
+        """Whether the job took longer than its objective allows, or never ended."""
         return self.allowed_seconds is None or self.age_seconds > self.allowed_seconds
 
     @property
     def main_cause(self) -> Cause:
-        """What took most of its time, apart from running as it should."""
+        """The cause of most of the job's time, apart from normal running."""
         others = {cause: time for cause, time in self.seconds.items() if cause is not Cause.RAN}
         return max(others, key=lambda cause: others[cause]) if others else Cause.RAN
 
 
 @dataclass(frozen=True, slots=True)
 class JobAccounts:
-    """The accounts of jobs, and of which share of all jobs these are."""
+    """The accounts of the logged jobs and the share of all jobs that they are."""
 
     jobs: tuple[JobAccount, ...]
     share: float
-    """1 unless an owner was too busy to log the decisions on all jobs."""
+    """From 0 to 1; below 1 if an owner was too busy to log its decisions on all jobs."""
 
 
 @dataclass(frozen=True, slots=True)
 class CauseRow:
-    """Jobs of one queue that were late for one main cause."""
+    """Sum over the late jobs of one queue that share a main cause."""
 
     queue: str
     cause: Cause
     jobs: int
     seconds: float
-    """Their time by that cause."""
+    """Total time that the jobs spent on that cause."""
 
 
 class _Line(msgspec.Struct):
-    """What is used of a log line; each kind has some of these."""
+    """The fields of log lines that the account uses; each message has only some of them."""
 
     time: str
     message: str
@@ -126,15 +126,15 @@
     state: str = "not over"
     allowed_seconds: float | None = None
     runs: dict[str, dict[int, _Run]] = field(default_factory=lambda: defaultdict(dict))
-    """By task and attempt."""
+    """Runs by task and attempt."""
 
 
 def account_jobs(lines: Iterable[str]) -> JobAccounts:
-    """The account of every job that was accepted, from the lines of all processes in any order.
+    """Return the accounts of all accepted jobs, from the lines of all processes in any order.
 
-    Jobs that last are left out: they have no end to be late for. So are jobs of which a busy owner did not
-    log everything. What stands before the first brace of a
-    line is passed over, and so are lines that are no log lines.
+    Long-running jobs are left out because they have no end that could be late. Jobs whose decisions
+    a busy owner logged only in part are left out too. Text before the first brace of a line is
+    skipped, and so are lines that are not log lines.
     """
     known = sorted(_decoded(lines), key=lambda pair: pair[0])
     if not known:
@@ -159,7 +159,7 @@
 
 
 def summarize(accounts: Iterable[JobAccount]) -> tuple[CauseRow, ...]:
-    """Late jobs by queue and main cause, the most first."""
+    """Sum late jobs by queue and main cause, in descending order of the number of jobs."""
     rows: dict[tuple[str, Cause], list[float]] = defaultdict(list)
     for account in accounts:
         if account.late:
@@ -170,7 +170,7 @@
 
 
 def by_phase(accounts: Iterable[JobAccount]) -> dict[float, dict[Cause, int]]:
-    """For each phase, by its first second, the late jobs that were accepted in it, by main cause."""
+    """Count late jobs by main cause, for each phase of acceptance, keyed by its first second."""
     phases: dict[float, dict[Cause, int]] = defaultdict(lambda: defaultdict(int))
     for account in accounts:
         if account.late:
@@ -184,7 +184,7 @@
         try:
             yield datetime.fromisoformat(line.time), line
         except ValueError:
-            # Another program's line, which says nothing of jobs.
+            # A line of another program, which has no information on jobs.
             continue
 
 
@@ -210,9 +210,10 @@
 
 
 def _gaps(records: Iterable[tuple[float, _Line]]) -> list[tuple[float, float]]:
-    """When nobody owned a service, or its owner was still reading.
+    """Return the intervals in which a service had no owner that made decisions.
 
-    From the last line of a decision before a take-over until the owner said that it is done.
+    An interval lasts from the last logged decision before a takeover until the new owner logs that
+    it has read the state and taken ownership.
     """
     gaps: list[tuple[float, float]] = []
     decided_at = 0.0
@@ -225,7 +226,7 @@
 
 
 def _lasts(job: _Job) -> bool:
-    """Whether its tasks run until it is cancelled: none of them ever ends by being done."""
+    """Whether the job's tasks run until it is cancelled, so that none ends with reason ``done``."""
     runs = [run for by_attempt in job.runs.values() for run in by_attempt.values()]
     cancelled = job.state == "cancelled"
     unended = job.over_at is None and bool(runs)
@@ -249,7 +250,7 @@
 
 
 def _segments(job: _Job, until: float) -> Iterator[tuple[float, float, Cause]]:
-    """The job's time from its acceptance, each part with its cause."""
+    """Yield the begin, end and cause of each interval from the job's acceptance to ``until``."""
     cursor = job.accepted_at
     for runs in _critical_tasks(job):
         for run in runs:
@@ -264,7 +265,7 @@
 
 
 def _critical_tasks(job: _Job) -> Iterator[list[_Run]]:
-    """For each step, in the order in which they ended, the runs of the task that ended last."""
+    """Yield the runs of the task that ended last in each step, in the order of the steps' ends."""
     steps: dict[str, list[list[_Run]]] = defaultdict(list)
     for task, by_attempt in job.runs.items():
         runs = [by_attempt[attempt] for attempt in sorted(by_attempt)]
@@ -292,7 +293,7 @@
 
 
 def spread(accounts: Iterable[JobAccount]) -> dict[str, dict[Cause, float]]:
-    """For each queue, the seconds of its late jobs by cause."""
+    """Sum the seconds of late jobs by queue and cause."""
     sums: dict[str, dict[Cause, float]] = defaultdict(lambda: defaultdict(float))
     for account in accounts:
         if account.late:
--- a/fireflyfork/operations/_log_lines.py
+++ b/fireflyfork/operations/_log_lines.py
@@ -1,4 +1,4 @@
-"""Reads log lines of this project's programs out of files that hold other lines too."""
+"""Decodes JSON log lines of fireflyfork's programs from files that contain other lines too."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def decoded_lines(lines: Iterable[str], shape: type[_Line]) -> Iterator[_Line]:
-    """The lines of this shape. What stands before the first brace of a line is passed over."""
+    """Yield the lines that decode as ``line_type``; text before a line's first brace is skipped."""
     for text in lines:
         brace = text.find("{")
         if brace < 0:
@@ -19,5 +19,5 @@
         try:
             yield msgspec.json.decode(text[brace:], type=shape)
         except (msgspec.DecodeError, UnicodeEncodeError):
-            # Logs of several programs lie in one file; what is none of ours is passed over.
+            # A file may combine the logs of several programs; lines of other programs are skipped.
             continue
--- a/fireflyfork/operations/_loop_account.py
+++ b/fireflyfork/operations/_loop_account.py
@@ -1,4 +1,4 @@
-"""What the instances' processor time, calls to the store and bytes went to, from their log lines."""
+"""Sums of processor time, store calls and transferred bytes by instance, from log lines."""
 
 from __future__ import annotations
 
@@ -13,33 +13,33 @@
 
 @dataclass(slots=True)
 class LoopAccount:
-    """What one instance did, over all of its lines."""
+    """Totals of one instance over all its "loop time" log lines."""
 
     spent_ms: Counter[str] = field(default_factory=Counter)
-    """Processor time by activity."""
+    """Processor time by activity, in milliseconds."""
     looked_ms: int = 0
-    """In which it was spent."""
+    """Time over which ``spent_ms`` was measured."""
     store_calls: Counter[str] = field(default_factory=Counter)
-    """By purpose."""
+    """Number of calls to the store by purpose."""
     store_received: Counter[str] = field(default_factory=Counter)
-    """Bytes of the store's answers, by purpose."""
+    """Bytes received from the store by purpose of the call."""
     store_sent: Counter[str] = field(default_factory=Counter)
-    """Bytes of calls to the store, by purpose."""
+    """Bytes sent to the store by purpose of the call."""
     relay_received: Counter[str] = field(default_factory=Counter)
-    """Bytes that its owners got from relays, by failure domain."""
+    """Bytes that the instance's owners received from relays by failure domain."""
     relay_sent: Counter[str] = field(default_factory=Counter)
-    """Bytes that its owners sent to relays, by failure domain."""
+    """Bytes that the instance's owners sent to relays by failure domain."""
     worst_lag_ms: int = 0
-    """How late its loop was at most."""
+    """Maximum delay of the event loop."""
 
     @property
     def shares(self) -> dict[str, float]:
-        """By activity, the share of one processor that it took."""
+        """Share of one processor by activity."""
         return {name: spent / max(1, self.looked_ms) for name, spent in self.spent_ms.items()}
 
     @property
     def share(self) -> float:
-        """Of one processor, for all activities."""
+        """Share of one processor that all activities took together."""
         return sum(self.shares.values())
 
 
@@ -60,7 +60,7 @@
 
 
 def account_loops(lines: Iterable[str]) -> dict[str, LoopAccount]:
-    """By instance, the busiest first; lines that tell nothing of this are passed over."""
+    """Return the accounts by instance, busiest first; lines other than "loop time" are skipped."""
     accounts: dict[str, LoopAccount] = defaultdict(LoopAccount)
     for line in _loop_lines(lines):
         account = accounts[line.node]
--- a/fireflyfork/operations/_quantities.py
+++ b/fireflyfork/operations/_quantities.py
@@ -1,4 +1,4 @@
-"""Numbers with units, as people write them: ``20ms``, ``60GB``, ``15Mbit/s``, ``20%``."""
+"""Numbers with units, such as ``20ms``, ``60GB``, ``15Mbit/s`` and ``20%``."""
 
 from __future__ import annotations
 
@@ -14,25 +14,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Quantity(ABC):
-    """A number with its unit. ``text`` is kept, so that a file keeps what its author wrote."""
+    """A number with a unit; ``text`` keeps the author's spelling for files written later."""
 
     text: str
     amount: float
-    """In the unit that the subclass names."""
+    """The number in the base unit that the subclass documents."""
 
     @classmethod
     @abstractmethod
     def units(cls) -> Mapping[str, float]:
-        """Each accepted unit and its size."""
+        """Return the accepted units and their sizes in the base unit."""
 
     @classmethod
     @abstractmethod
     def example(cls) -> str:
-        """A well-formed value, for messages."""
+        """Return a valid value to show in messages."""
 
     @classmethod
     def parse(cls, text: object) -> Self:
-        """Read a number with a unit. Raises ValueError, whose message names the accepted units."""
+        """Parse a number with a unit.
+
+        Raises ValueError if it is malformed, with the accepted units in the message, or too large.
+        """
         match = _NUMBER_AND_UNIT.fullmatch(text) if isinstance(text, str) else None
         size = cls.units().get(match.group(2)) if match else None
         if match is None or size is None:
@@ -49,33 +52,33 @@
         return round(self.amount)
 
     def __str__(self) -> str:
-        """What the author wrote."""
+        """Return the text as its author wrote it."""
         return self.text
 
 
 class Duration(Quantity):
-    """A time; ``amount`` is in seconds."""
+    """A duration; ``amount`` is in seconds."""
 
     __slots__ = ()
 
     @classmethod
     def units(cls) -> Mapping[str, float]:
-        """Milliseconds to hours."""
+        """Return the units from milliseconds to hours."""
         return {"ms": 0.001, "s": 1.0, "min": 60.0, "h": 3600.0}
 
     @classmethod
     def example(cls) -> str:
-        """A short time."""
+        """Return the example ``20ms``."""
         return "20ms"
 
     @property
     def seconds(self) -> float:
-        """In seconds, without the noise of binary fractions."""
+        """The duration in seconds, rounded to remove floating-point noise."""
         return round(self.amount, 9)
 
     @property
     def milliseconds(self) -> float:
-        """In milliseconds, without the noise of binary fractions."""
+        """The duration in milliseconds, rounded to remove floating-point noise."""
         return round(self.amount * 1000, 6)
 
 
@@ -86,70 +89,70 @@
 
     @classmethod
     def units(cls) -> Mapping[str, float]:
-        """Decimal units, and binary ones with an ``i``."""
+        """Return decimal units such as ``MB`` and binary units such as ``MiB``."""
         decimal = {"B": 1.0, "kB": 1e3, "KB": 1e3, "MB": 1e6, "GB": 1e9, "TB": 1e12}
         return decimal | {"KiB": 2.0**10, "MiB": 2.0**20, "GiB": 2.0**30, "TiB": 2.0**40}
 
     @classmethod
     def example(cls) -> str:
-        """The memory of a worker."""
+        """Return the example ``60GB``."""
         return "60GB"
 
 
 class ByteRate(Quantity):
-    """A link's capacity; ``amount`` is in bytes a second."""
+    """The capacity of a link; ``amount`` is in bytes per second."""
 
     __slots__ = ()
 
     @classmethod
     def units(cls) -> Mapping[str, float]:
-        """Bits a second, as links are sold, and bytes a second."""
+        """Return units in bits per second, in which links are sold, and in bytes per second."""
         bits = {"kbit/s": 125.0, "Mbit/s": 125e3, "Gbit/s": 125e6}
         return bits | {"B/s": 1.0, "kB/s": 1e3, "MB/s": 1e6, "GB/s": 1e9}
 
     @classmethod
     def example(cls) -> str:
-        """A narrow link."""
+        """Return the example ``15Mbit/s``."""
         return "15Mbit/s"
 
 
 class Share(Quantity):
-    """A part of a whole; ``amount`` is from 0 to 1 when sensible."""
+    """A share of a whole; ``amount`` is a fraction, 1 for 100%, and is not checked here."""
 
     __slots__ = ()
 
     @classmethod
     def units(cls) -> Mapping[str, float]:
-        """Per cent only: a bare 20 could mean either."""
+        """Return per cent only: a number without a unit could be a fraction or a percentage."""
         return {"%": 0.01}
 
     @classmethod
     def example(cls) -> str:
-        """A fifth."""
+        """Return the example ``20%``."""
         return "20%"
 
     @property
     def fraction(self) -> float:
-        """From 0 to 1, without the noise of binary fractions."""
+        """The share as a fraction of 1, rounded to remove floating-point noise."""
         return round(self.amount, 9)
 
 
 class Cores(Quantity):
-    """Processor time; ``amount`` is in cores."""
+    """A number of processor cores; ``amount`` is in cores."""
 
     __slots__ = ()
 
     @classmethod
     def units(cls) -> Mapping[str, float]:
-        """Cores, also bare, or thousandths of one."""
+        """Return cores, also without a unit, and ``m`` for thousandths of a core."""
         return {"": 1.0, "cores": 1.0, "core": 1.0, "m": 0.001}
 
     @classmethod
     def example(cls) -> str:
-        """Half a core."""
+        """Return the example ``0.5cores``."""
         return "0.5cores"
 
     @property
     def millicores(self) -> int:
-        """In thousandths of a core."""
+        """The amount in thousandths of a core."""
         return round(self.amount * 1000)
--- a/fireflyfork/operations/_reference.py
+++ b/fireflyfork/operations/_reference.py
@@ -1,4 +1,4 @@
-"""The reference of configurations and answers, made from the types, their docstrings and the rules."""
+"""Generates the reference page of configurations and answers from types, docstrings and rules."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def configuration_reference() -> str:
-    """The whole page, in Markdown."""
+    """Return the reference page in Markdown."""
     return "\n".join([_HEAD, *_configuration_lines(), *_rule_lines(), *_answer_lines()]) + "\n"
 
 
@@ -78,7 +78,7 @@
 
 
 def _records(kind: Any) -> tuple[Any, ...]:
-    """A dataclass and those that its fields hold, each once, outermost first."""
+    """Return a dataclass and all dataclasses nested in its fields, each once, outermost first."""
     found = [kind]
     for record in found:
         for hint in type_hints(record).values():
@@ -101,7 +101,7 @@
 
 
 def _field_docstrings(kind: Any) -> dict[str, str]:
-    """The docstrings below the fields of a class."""
+    """Return the docstrings below the fields of a class by field name."""
     (definition,) = ast.parse(textwrap.dedent(inspect.getsource(kind))).body
     assert isinstance(definition, ast.ClassDef)
     told: dict[str, str] = {}
--- a/fireflyfork/operations/_relations.py
+++ b/fireflyfork/operations/_relations.py
@@ -1,4 +1,4 @@
-"""Relations between values of a configuration; each generator finds what breaks one of them."""
+"""Rules on several values of a configuration; each generator yields the values that break one."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 from ._rules import Located
 
 LONGEST_STORED_BYTES = 990_000
-"""The store holds values up to a megabyte; the rest is for the versions' bookkeeping."""
+"""Maximum encoded size of a configuration.
+
+The store accepts values up to a megabyte; the remainder is left for the metadata of versions.
+"""
 
 _MILLICORES = 1000
 _LEAST_BYTES_PER_CORE = 1 << 20
@@ -25,14 +28,14 @@
 
 
 def unusable_addresses(configuration: Configuration) -> Found:
-    """Targets whose address no entry can connect to."""
+    """Targets whose address is malformed, unspecified or multicast, so no entry can connect."""
     for index, target in enumerate(configuration.targets):
         if not _is_usable(target.address):
             yield Located(f"targets[{index}].address", target.address)
 
 
 def misplaced_targets(configuration: Configuration) -> Found:
-    """Targets whose failure domain is not one of their region."""
+    """Targets whose failure domain does not belong to their region."""
     domains = {region.name: region.failure_domains for region in configuration.regions}
     for index, target in enumerate(configuration.targets):
         if target.failure_domain not in domains.get(target.region, ()):
@@ -41,14 +44,14 @@
 
 
 def too_few_connections(configuration: Configuration) -> Found:
-    """Targets with fewer connections than slots, where slots could never be filled."""
+    """Targets with fewer connections than slots, which can never use all their slots."""
     for index, target in enumerate(configuration.targets):
         if target.connections < target.slots:
             yield Located(f"targets[{index}].connections", target.connections)
 
 
 def services_without_targets(configuration: Configuration) -> Found:
-    """Services that can answer nothing: neither targets nor placed replicas."""
+    """Services that can't answer requests: they have neither targets nor placed replicas."""
     served = {target.service for target in configuration.targets}
     for index, service in enumerate(configuration.services):
         if service.name not in served and not service.replicas:
@@ -56,7 +59,10 @@
 
 
 def services_in_one_domain(configuration: Configuration) -> Found:
-    """Services that one failing failure domain takes away, though there are others."""
+    """Services with several targets, all in one failure domain although others exist.
+
+    The failure of that domain would make the service unavailable.
+    """
     if sum(len(region.failure_domains) for region in configuration.regions) < 2:
         return
     for index, service in enumerate(configuration.services):
@@ -67,7 +73,7 @@
 
 
 def default_above_longest(configuration: Configuration) -> Found:
-    """Services whose default timeout is above the longest permitted."""
+    """Services whose default timeout exceeds the longest permitted timeout."""
     for index, service in enumerate(configuration.services):
         default = service.default_timeout_seconds
         if default is not None and default > service.longest_timeout_seconds:
@@ -75,7 +81,7 @@
 
 
 def objective_above_timeout(configuration: Configuration) -> Found:
-    """Services that may miss their objective because callers give up earlier."""
+    """Services whose latency objective exceeds the timeout after which callers give up."""
     for index, service in enumerate(configuration.services):
         if service.latency_objective_milliseconds > _shortest_wait(service) * 1000:
             path = f"services[{index}].latency_objective_milliseconds"
@@ -83,17 +89,17 @@
 
 
 def run_above_longest_timeout(configuration: Configuration) -> Found:
-    """Services whose executors may run on after every caller must have given up."""
+    """Services whose executors may still run a request after the longest permitted timeout."""
     for index, service in enumerate(configuration.services):
         if service.longest_run_seconds > service.longest_timeout_seconds:
             yield Located(f"services[{index}].longest_run_seconds", service.longest_run_seconds)
 
 
 def run_below_objective(configuration: Configuration) -> Found:
-    """Services whose slots count as free before the objective says the answer is due.
+    """Services whose slots count as free before the latency objective has passed.
 
-    The slot of a request that is merely slow would be given away while its executor is still
-    busy, and the executor would be given more work than it can hold.
+    The slot of a slow request would be reused while its executor is still busy, and the executor
+    would get more requests than it has slots.
     """
     for index, service in enumerate(configuration.services):
         if service.longest_run_seconds * 1000 < service.latency_objective_milliseconds:
@@ -101,7 +107,7 @@
 
 
 def timeout_within_round_trip(configuration: Configuration) -> Found:
-    """Services whose default timeout passes before an answer can cross the slowest link."""
+    """Services whose default timeout is below the slowest link's round trip plus the objective."""
     round_trip = max((2 * link.one_way_milliseconds for link in configuration.links), default=0.0)
     for index, service in enumerate(configuration.services):
         needed = round_trip + service.latency_objective_milliseconds
@@ -111,7 +117,7 @@
 
 
 def objective_within_round_trip(configuration: Configuration) -> Found:
-    """Services that a region can reach only over a link slower than their objective."""
+    """Services whose objective is not above the round trip from some region without targets."""
     for index, service in enumerate(configuration.services):
         nearest = _farthest_region_round_trip(configuration, service)
         if nearest >= service.latency_objective_milliseconds:
@@ -120,14 +126,14 @@
 
 
 def links_of_one_region(configuration: Configuration) -> Found:
-    """Links that join a region with itself."""
+    """Links whose two regions are the same."""
     for index, link in enumerate(configuration.links):
         if link.regions[0] == link.regions[1]:
             yield Located(f"links[{index}].regions", link.regions)
 
 
 def repeated_links(configuration: Configuration) -> Found:
-    """Links that join two regions a second time."""
+    """Links between two regions that an earlier link already joins."""
     seen: set[frozenset[RegionName]] = set()
     for index, link in enumerate(configuration.links):
         ends = frozenset(link.regions)
@@ -137,7 +143,7 @@
 
 
 def unlinked_regions(configuration: Configuration) -> Found:
-    """Regions that no link joins to any other."""
+    """Regions without a link, if there are several regions."""
     linked = {name for link in configuration.links for name in link.regions}
     for index, region in enumerate(configuration.regions):
         if len(configuration.regions) > 1 and region.name not in linked:
@@ -145,7 +151,7 @@
 
 
 def sizeless_replicas(configuration: Configuration) -> Found:
-    """Services that the planner places though they declare no processors or no memory."""
+    """Services that the planner places although they declare no processors or no memory."""
     for index, service in enumerate(configuration.services):
         size = service.resources
         if service.replicas and not (size.millicores and size.memory):
@@ -153,14 +159,14 @@
 
 
 def replicas_that_fit_nowhere(configuration: Configuration) -> Found:
-    """Services of which not even one replica fits in any worker."""
+    """Services whose replica fits in no worker."""
     for index, service in enumerate(configuration.services):
         if service.replicas and configuration.workers and not _domains_for(configuration, service):
             yield Located(f"services[{index}].resources", service.resources)
 
 
 def replicas_without_spread(configuration: Configuration) -> Found:
-    """Services with several replicas whose workers are all in one failure domain of several."""
+    """Services with several replicas that fit in only one of the workers' failure domains."""
     all_domains = {group.failure_domain for group in configuration.workers}
     for index, service in enumerate(configuration.services):
         domains = _domains_for(configuration, service)
@@ -169,7 +175,7 @@
 
 
 def replicas_beyond_a_lost_domain(configuration: Configuration) -> Found:
-    """All placed services together, when they don't fit once the largest domain has failed."""
+    """The total of all replicas, if it doesn't fit when the largest failure domain has failed."""
     capacities = _capacity_by_domain(configuration)
     if len(capacities) < 2:
         return
@@ -180,7 +186,7 @@
 
 
 def quotas_beyond_workers(configuration: Configuration) -> Found:
-    """Quotas and placed services that together exceed what the workers hold."""
+    """The total of all quotas, if quotas and replicas together exceed the workers' capacity."""
     if not configuration.workers:
         return
     total = sum(_capacity_by_domain(configuration).values(), start=Resources())
@@ -190,45 +196,46 @@
 
 
 def lopsided_quotas(configuration: Configuration) -> Found:
-    """Quotas with processors but no memory, or the reverse, under which nothing can run."""
+    """Quotas with processors but no memory or the reverse, under which no task can run."""
     for index, team in enumerate(configuration.teams):
         if bool(team.quota.millicores) != bool(team.quota.memory):
             yield Located(f"teams[{index}].quota", team.quota)
 
 
 def memory_in_another_unit(configuration: Configuration) -> Found:
-    """Sizes with so little memory for their cores that it was surely given in another unit."""
+    """Sizes with memory below 1 MiB for each core, which was surely given in another unit."""
     for path, size in _sizes(configuration):
         if size.memory and size.memory * _MILLICORES < size.millicores * _LEAST_BYTES_PER_CORE:
             yield Located(path, size)
 
 
 def racks_beyond_the_group(configuration: Configuration) -> Found:
-    """Groups of workers that are said to share a rack with more workers than there are."""
+    """Groups of workers with more workers per rack than the group contains."""
     for index, group in enumerate(configuration.workers):
         if group.workers_per_rack > group.count:
             yield Located(f"workers[{index}].workers_per_rack", group.workers_per_rack)
 
 
 def weights_all_zero(configuration: Configuration) -> Found:
-    """Weights under which no placement is better than another."""
+    """Weights that are all zero, under which all placements are rated equal."""
     weights = configuration.weights
     if not (weights.tail_latency or weights.evictions or weights.throughput):
         yield Located("weights", weights)
 
 
 def more_than_a_stored_value(configuration: Configuration) -> Found:
-    """A configuration that the store can't hold."""
+    """A configuration whose encoded size exceeds ``MAX_STORED_BYTES``."""
     size = len(encode_contracts(configuration))
     if size > LONGEST_STORED_BYTES:
         yield Located("file", f"{size} bytes")
 
 
 def queue_beyond_timeout(configuration: Configuration) -> Found:
-    """Queues whose last request would wait longer than any caller does.
+    """Queues whose last request would wait longer than the longest permitted timeout.
 
-    Were each request to take as long as the objective, the queue at one entry of a region that
-    has all slots of that region would drain in objective times length over slots.
+    The rule assumes that each request takes as long as the latency objective and that one entry has
+    all slots of its region: its queue drains in objective * queue length / slots. The region with
+    the fewest slots decides.
     """
     for index, service in enumerate(configuration.services):
         slots = _fewest_slots_of_a_region(configuration, service)
@@ -238,7 +245,7 @@
 
 
 def _sizes(configuration: Configuration) -> Iterator[tuple[str, Resources]]:
-    """Every amount of resources and its path."""
+    """Yield the path and value of all amounts of resources."""
     for index, service in enumerate(configuration.services):
         yield f"services[{index}].resources", service.resources
     for index, team in enumerate(configuration.teams):
@@ -256,14 +263,17 @@
 
 
 def _shortest_wait(service: ServiceContract) -> float:
-    """How long a caller that names no timeout waits, or else the longest permitted; seconds."""
+    """Return the timeout, in seconds, of a request that names none.
+
+    Without a default timeout, requests must name one; then the longest permitted timeout counts.
+    """
     if service.default_timeout_seconds is None:
         return service.longest_timeout_seconds
     return min(service.default_timeout_seconds, service.longest_timeout_seconds)
 
 
 def _farthest_region_round_trip(configuration: Configuration, service: ServiceContract) -> float:
-    """The longest round trip, in milliseconds, that a region needs to reach the service."""
+    """Return the longest round trip, in milliseconds, from a region without targets of the service."""
     homes = {each.region for each in configuration.targets if each.service == service.name}
     if not homes:
         return 0.0
@@ -278,7 +288,7 @@
 
 
 def _round_trip(configuration: Configuration, region: RegionName, homes: set[RegionName]) -> float:
-    """The shortest round trip over one link from a region to any of ``homes``."""
+    """Return the shortest round trip over one link from a region to any of ``target_regions``."""
     return min(
         (
             2 * link.one_way_milliseconds
@@ -290,7 +300,7 @@
 
 
 def _domains_for(configuration: Configuration, service: ServiceContract) -> set[FailureDomainName]:
-    """The failure domains with a worker that can hold a replica."""
+    """Return the failure domains with a worker large enough for one replica."""
     return {
         group.failure_domain
         for group in configuration.workers
--- a/fireflyfork/operations/_rules.py
+++ b/fireflyfork/operations/_rules.py
@@ -1,8 +1,8 @@
-"""Kinds of rules: a rule is stated once over a domain and finds every value that breaks it.
+"""Kinds of validation rules; a rule is stated over a domain and finds the values that break it.
 
-A domain is a path with wildcards, such as ``services[*].name``, as in Huang et al., "ConfValley: A
-Systematic Configuration Validation Framework for Cloud Services" (EuroSys 2015), whose language
-separates what must hold from the search for the values it must hold for.
+A domain is a path with wildcards, such as ``services[*].name``. The separation of the constraint
+from the selection of the constrained values follows Huang et al., "ConfValley: A Systematic
+Configuration Validation Framework for Cloud Services" (EuroSys 2015).
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Located(Generic[T]):
-    """A value and where it stands."""
+    """A value and its path in the configuration."""
 
     path: str
     value: T
 
 
 def located(configuration: Configuration, domain: str) -> Iterator[Located[Any]]:
-    """The values of a domain. ``[*]`` stands for each element; a value of None is left out."""
+    """Return the values of a domain; ``[*]`` matches each element, and None is left out."""
     found = [Located("", configuration)]
     for step in domain.split("."):
         found = [inner for outer in found for inner in _step(outer, step)]
@@ -50,25 +50,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule(ABC):
-    """Something that must hold of every configuration."""
+    """A constraint on the values of a configuration."""
 
     text: str
-    """What must hold, as the end of a sentence about the value."""
+    """The constraint, as the end of a sentence whose subject is the value."""
     fix: str
-    """The likely fix."""
+    """The likely fix, as an instruction to the operator."""
 
     @abstractmethod
     def broken_by(self, configuration: Configuration) -> Iterator[Violation]:
-        """Every value that breaks this rule."""
+        """Yield a violation for each value that breaks this rule."""
 
     def violation(self, path: str, value: object, fix: str = "") -> Violation:
-        """One violation of this rule, with a ``fix`` of its own where there is one."""
+        """Return a violation of this rule; a non-empty ``fix`` replaces the rule's fix."""
         return Violation(path, shown(value), self.text, fix or self.fix)
 
 
 @dataclass(frozen=True, slots=True)
 class PatternRule(Rule):
-    """Each text of a domain matches a pattern as a whole."""
+    """Each string of a domain must match a regular expression in full."""
 
     domain: str
     pattern: str
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RangeRule(Rule):
-    """Each number of a domain lies between two bounds, which belong to the range."""
+    """Each number of a domain must lie between two inclusive bounds."""
 
     domain: str
     least: float
@@ -91,14 +91,14 @@
     def broken_by(self, configuration: Configuration) -> Iterator[Violation]:
         """See Rule."""
         for number in located(configuration, self.domain):
-            # A comparison with NaN is false, so the range is asked for, not its outside.
+            # Comparisons with NaN are false, so testing for values outside the range would accept NaN.
             if not self.least <= number.value <= self.most:
                 yield self.violation(number.path, number.value)
 
 
 @dataclass(frozen=True, slots=True)
 class UniqueRule(Rule):
-    """No value of a domain occurs twice."""
+    """The values of a domain must be unique."""
 
     domain: str
 
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReferenceRule(Rule):
-    """Each value of a domain is among those of another."""
+    """Each value of a domain must occur in another domain."""
 
     domain: str
     among: str
@@ -129,10 +129,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RelationRule(Rule):
-    """Whatever needs more than one value: a generator finds what breaks the rule."""
+    """A rule on several values, with a generator that yields the values that break it."""
 
     domain: str
-    """The values that are wrong when it is broken; for the reference only."""
+    """The values that the rule reports, for the reference page only."""
     find: Callable[[Configuration], Iterator[Located[Any]]]
 
     def broken_by(self, configuration: Configuration) -> Iterator[Violation]:
--- a/fireflyfork/operations/_sources.py
+++ b/fireflyfork/operations/_sources.py
@@ -1,7 +1,7 @@
-"""Which answer each generated value came from.
+"""Descriptions of the answer behind each generated value.
 
-Answers are called by their names, never by their place in a list, so that adding one doesn't
-change the comments on the others.
+Answers are referred to by name, never by index in a list, so that adding an answer doesn't change
+the comments on the others.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
     "replicas": "replicas",
     "tolerance": "when_disturbed",
 }
-"""From the field of a service's contract to the answer behind it."""
+"""Maps a field of a service's contract to the answer that determines it."""
 
 
 def sources_of(answers: Answers) -> Iterator[tuple[str, str]]:
-    """Pairs of the path of a generated value or record and the answer that it came from."""
+    """Yield pairs of the path of a generated value or record and a description of its answer."""
     yield "version", "The version in the store that this file was made to replace; 0 for none."
     yield "partitions_per_region", f"partitions: {answers.partitions}"
     yield "weights", f"matters_most: {', '.join(each.value for each in answers.matters_most)}"
@@ -67,7 +67,7 @@
 
 
 def _told(service: ServiceAnswer, answer: str) -> str:
-    """The answer as written, and whether it is what stands for no answer."""
+    """Format an answer as written; an answer equal to its default is marked as not answered."""
     value = getattr(service, answer)
     text = str(value.value if isinstance(value, Enum) else value)
     return f"{text} (not answered)" if value == _default(answer) else text
--- a/fireflyfork/operations/_span_tree.py
+++ b/fireflyfork/operations/_span_tree.py
@@ -1,4 +1,4 @@
-"""The hops of one request as a tree, from the span lines that all processes wrote."""
+"""Trees of the spans of a trace, read from the log lines of all processes."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SpanNode:
-    """A span and the spans below it, in the order in which they began."""
+    """A span and its child spans in the order of their start times."""
 
     span: Span
     children: tuple[SpanNode, ...]
 
 
 def read_spans(lines: Iterable[str]) -> Iterator[Span]:
-    """The spans among lines; whatever else a log holds is passed over."""
+    """Yield the spans among log lines; other lines are skipped."""
     for line in lines:
         try:
             yield msgspec.json.decode(line, type=Span)
@@ -30,9 +30,10 @@
 
 
 def find_trace(spans: Iterable[Span], wanted: str) -> tuple[Span, ...]:
-    """The spans of the trace that ``wanted`` names: a trace id, or an attribute's whole value.
+    """Return the spans of all traces with the trace id or span attribute value ``identifier``.
 
-    A caller knows the id of the request or the idempotency key, which spans carry as attributes.
+    Attributes include the request id and the idempotency key, which callers know. An attribute
+    must be equal to ``identifier``, not only contain it.
     """
     known = tuple(spans)
     traces = {span.trace_id for span in known if _is_named(span, wanted)}
@@ -40,9 +41,9 @@
 
 
 def span_trees(spans: Iterable[Span]) -> tuple[SpanNode, ...]:
-    """The trees that the spans form. A span whose parent was not written is a root.
+    """Build trees of spans; a span whose parent is missing is a root.
 
-    A line may be there twice when log files overlap; it counts once.
+    Overlapping log files may contain a span twice; it is used once.
     """
     by_id = {span.span_id: span for span in spans}
     children: dict[str, list[Span]] = {}
@@ -56,9 +57,10 @@
 
 
 def draw(trees: Iterable[SpanNode]) -> Iterator[str]:
-    """Lines that show the trees; times are in milliseconds since the first span began.
+    """Yield the lines of a drawing of the trees; offsets are from the start of the earliest root.
 
-    Each process dates its spans by its own clock, so a child may seem to begin before its parent.
+    Each process timestamps its spans with its own clock, so a child may seem to start before its
+    parent.
     """
     roots = tuple(trees)
     begun = min((root.span.start for root in roots), default=0.0)
--- a/fireflyfork/operations/_unusual.py
+++ b/fireflyfork/operations/_unusual.py
@@ -1,4 +1,4 @@
-"""What is allowed but unlike the configuration in force, and so perhaps a slip."""
+"""Detects allowed values so unlike the configuration in force that they may be mistakes."""
 
 from __future__ import annotations
 
@@ -10,14 +10,20 @@
 from ._violations import Violation, shown
 
 LARGE_STEP = 8.0
-"""Bits for bytes are a factor of 8; the other usual slips of units are larger."""
+"""Smallest factor between two values that is reported.
+
+Confusing bits and bytes is a factor of 8; other common errors of units are larger.
+"""
 
 _STEP_RULE = "changes by a factor of {factor:.0f} against the version in force"
 _ODD_RULE = "differs from all other targets of the service, which had one value so far"
 
 
 def unusual(current: Configuration | None, proposed: Configuration) -> tuple[Violation, ...]:
-    """Values that no rule forbids, but that a slip of a unit or a digit would produce."""
+    """Return allowed values that a wrong unit or digit could have produced.
+
+    ``current`` is None if no configuration is in force yet; then nothing is reported.
+    """
     if current is None:
         return ()
     return (*_large_steps(current, proposed), *_odd_targets(current, proposed))
@@ -33,7 +39,7 @@
 
 
 def _factor(before: object, after: object) -> float:
-    """By how much a positive number grew or shrank; 1 for anything else."""
+    """Return the factor, at least 1, between two positive numbers; 1 for any other values."""
     if isinstance(before, bool) or isinstance(after, bool):
         return 1.0
     if not isinstance(before, int | float) or not isinstance(after, int | float):
@@ -54,7 +60,10 @@
 def _odd_ones(
     name: str, before: tuple[TargetContract, ...], after: tuple[TargetContract, ...]
 ) -> Iterator[Violation]:
-    """The one target whose value differs, when all had the same value before."""
+    """Yield the only target with a new value, if all targets of the service had one value before.
+
+    With fewer than three targets, no value counts as usual, so none is reported.
+    """
     common = {getattr(target, name) for target in before}
     odd = [target for target in after if getattr(target, name) not in common]
     if len(common) == 1 and len(odd) == 1 and len(after) > 2:
--- a/fireflyfork/operations/_violations.py
+++ b/fireflyfork/operations/_violations.py
@@ -1,4 +1,4 @@
-"""What is wrong with a file, said so that the operator can mend it."""
+"""Violations of rules in a file, with the information that an operator needs to fix them."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
     """One value that breaks one rule."""
 
     path: str
-    """Where in the file, such as ``services[0].longest_queue``."""
+    """Path of the value in the file, such as ``services[0].longest_queue``."""
     value: str
-    """The value found there, shortened."""
+    """Shortened representation of the value."""
     rule: str
-    """The rule that it breaks, as a sentence without a full stop."""
+    """The rule that the value breaks, as the end of a sentence without a full stop."""
     fix: str
-    """The likely fix."""
+    """The likely fix, as an instruction to the operator."""
 
     def __str__(self) -> str:
-        """One line for a terminal."""
+        """Format as one line of text."""
         return f"{self.path}: {self.value}: {self.rule}. Fix: {self.fix}."
 
 
 def shown(value: object, longest: int = 60) -> str:
-    """A value as a message shows it."""
+    """Return the ``repr`` of a value, cut to ``max_length`` characters for messages."""
     text = repr(value)
     return text if len(text) <= longest else f"{text[: longest - 3]}..."
