--- a/fireflyfork/operations/_relations.py
+++ b/fireflyfork/operations/_relations.py
@@ -175,7 +175,7 @@
 
 
 def replicas_beyond_a_lost_domain(configuration: Configuration) -> Found:
-    """The total of all replicas, if it doesn't fit when the largest failure domain has failed."""
+    """The total of all replicas, if it doesn't fit without the workers of some failure domain."""
     capacities = _capacity_by_domain(configuration)
     if len(capacities) < 2:
         return
@@ -273,7 +273,7 @@
 
 
 def _farthest_region_round_trip(configuration: Configuration, service: ServiceContract) -> float:
-    """Return the longest round trip, in milliseconds, from a region without targets of the service."""
+    """Return the longest round trip, in milliseconds, from a region without targets to a target."""
     homes = {each.region for each in configuration.targets if each.service == service.name}
     if not homes:
         return 0.0
--- a/fireflyfork/operations/_rules.py
+++ b/fireflyfork/operations/_rules.py
@@ -91,7 +91,7 @@
     def broken_by(self, configuration: Configuration) -> Iterator[Violation]:
         """See Rule."""
         for number in located(configuration, self.domain):
-            # Comparisons with NaN are false, so testing for values outside the range would accept NaN.
+            # Comparisons with NaN are false, so a test for values outside the range would miss NaN.
             if not self.least <= number.value <= self.most:
                 yield self.violation(number.path, number.value)
 
--- a/fireflyfork/operations/tests/builders_answers.py
+++ b/fireflyfork/operations/tests/builders_answers.py
@@ -1,4 +1,4 @@
-"""Answers and configurations to test with: the shipped examples, and generated valid ones."""
+"""Answers and configurations for tests: the shipped examples and a strategy of valid answers."""
 
 from __future__ import annotations
 
@@ -32,24 +32,24 @@
 
 
 def example_text(name: str) -> str:
-    """The text of an example's answers."""
+    """Return the text of an example's file of answers."""
     return (EXAMPLES / name / "answers.jsonc").read_text("utf-8")
 
 
 def example_answers(name: str) -> Answers:
-    """The answers of an example."""
+    """Return the decoded answers of an example."""
     decoded = decode_document(Answers, example_text(name))
     assert decoded.value is not None, decoded.violations
     return decoded.value
 
 
 def example_configuration(name: str = "naidu") -> Configuration:
-    """The configuration generated for an example."""
+    """Return the configuration generated from an example's answers."""
     return generate(example_answers(name)).configuration
 
 
 def placed_configuration() -> Configuration:
-    """The Naidu configuration with a service whose replicas the planner places."""
+    """Return the Naidu configuration with six replicas of its service for the planner to place."""
     answers = example_answers("naidu")
     service = replace(
         answers.services[0],
@@ -62,7 +62,7 @@
 
 @strategies.composite
 def valid_answers(draw: strategies.DrawFn) -> Answers:
-    """Answers that a careful team could give: everything that is promised fits."""
+    """Draw answers that break no rule: quotas and replicas always fit in the workers."""
     domain_counts = draw(strategies.lists(strategies.integers(1, 3), min_size=1, max_size=4))
     regions = tuple(
         RegionAnswer(f"r{number}", tuple(f"r{number}-{letter}" for letter in "abc"[:count]))
--- a/fireflyfork/operations/tests/builders_replies.py
+++ b/fireflyfork/operations/tests/builders_replies.py
@@ -1,4 +1,4 @@
-"""What a person would type to give certain answers."""
+"""Replies that a person would type in the questionnaire to give certain answers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def replies_for(answer: Any) -> Iterator[str]:
-    """The replies to all prompts for an object, field by field."""
+    """Yield the replies to all prompts for the fields of an object, in their order."""
     for field in dataclasses.fields(answer):
         value = getattr(answer, field.name)
         if _holds_objects(answer, field, value):
--- a/fireflyfork/operations/tests/test_checks.py
+++ b/fireflyfork/operations/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""The rules, one broken at a time."""
+"""Tests of the rules, each with a configuration that breaks one of them."""
 
 import random
 import unittest
@@ -29,7 +29,7 @@
 
 
 def in_service(**fields: Any) -> Change:
-    """Change the first service."""
+    """Return a change of fields of the first service."""
 
     def change(base: Configuration) -> Configuration:
         first: ServiceContract = replace(base.services[0], **fields)
@@ -39,7 +39,7 @@
 
 
 def in_target(**fields: Any) -> Change:
-    """Change the second target."""
+    """Return a change of fields of the second target."""
 
     def change(base: Configuration) -> Configuration:
         second: TargetContract = replace(base.targets[1], **fields)
@@ -49,7 +49,7 @@
 
 
 def in_link(**fields: Any) -> Change:
-    """Change the first link."""
+    """Return a change of fields of the first link."""
 
     def change(base: Configuration) -> Configuration:
         first: RegionLink = replace(base.links[0], **fields)
@@ -59,7 +59,7 @@
 
 
 def in_workers(**fields: Any) -> Change:
-    """Change the first group of workers."""
+    """Return a change of fields of the first group of workers."""
 
     def change(base: Configuration) -> Configuration:
         first: WorkerGroup = replace(base.workers[0], **fields)
@@ -69,7 +69,7 @@
 
 
 def in_team(**fields: Any) -> Change:
-    """Change the second team."""
+    """Return a change of fields of the second team."""
 
     def change(base: Configuration) -> Configuration:
         second: TeamContract = replace(base.teams[1], **fields)
@@ -79,7 +79,7 @@
 
 
 def only_targets_in(*domains: str) -> Change:
-    """Drop the targets of all other failure domains."""
+    """Return a change that drops the targets outside the given failure domains."""
 
     def change(base: Configuration) -> Configuration:
         kept = tuple(each for each in base.targets if each.failure_domain in domains)
@@ -89,7 +89,7 @@
 
 
 def only_workers_in(*domains: str) -> Change:
-    """Let only the workers of some failure domains be large enough for a replica."""
+    """Return a change that makes workers outside the given domains too small for a replica."""
 
     def change(base: Configuration) -> Configuration:
         small = Resources(100, 1000)
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """A change, and where and what the checks must then say."""
+    """A change that breaks a rule, and the expected path and part of the text of the rule."""
 
     change: Change
     path: str
@@ -112,7 +112,7 @@
 
 
 def region(name: str, *domains: str) -> Region:
-    """A region."""
+    """Return a region with the given failure domains."""
     return Region(RegionName(name), tuple(FailureDomainName(domain) for domain in domains))
 
 
@@ -217,10 +217,13 @@
 
 
 class ChecksTest(unittest.TestCase):
-    """A configuration with one fault."""
+    """The checks of single configurations and of changes between them."""
 
     def test_each_fault_is_found_where_it_is(self) -> None:
-        """An operator's slip is named by path and rule, with a fix, before it is in force."""
+        """Guards against an operator's mistake that takes effect without being reported.
+
+        Each mistake must be reported with its path, the broken rule and a fix.
+        """
         base = placed_configuration()
         self.assertEqual(check(base), ())
         for case in CASES:
@@ -235,23 +238,23 @@
                 self.assertTrue(all(violation.fix for violation in found))
 
     def test_every_relation_has_a_case(self) -> None:
-        """A rule that never fires in a test may never fire at all."""
+        """Guards against a rule that never reports anything because no case breaks it."""
         base = placed_configuration()
         fired = {violation.rule for case in CASES for violation in check(case.change(base))}
         texts = {rule.text for rule in RULES if not rule.text.startswith("must be between")}
         self.assertEqual({text for text in texts - fired if "bytes when stored" not in text}, set())
 
     def test_more_than_the_store_holds(self) -> None:
-        """A configuration beyond a megabyte even when compressed.
+        """Guards against a configuration over a megabyte, even compressed, that passes the checks.
 
-        The store would refuse it only after the operator had seen the difference and agreed.
+        The store would reject it only after the operator had confirmed the change.
         """
         noise = random.Random(1).randbytes(1_200_000).hex()
         (violation,) = check(replace(example_configuration(), note=noise))
         self.assertIn("bytes when stored", violation.rule)
 
     def test_all_violations_at_once(self) -> None:
-        """Three faults are three messages."""
+        """Guards against checks that stop at the first violation."""
         base = example_configuration()
         base = in_target(slots=0)(in_service(longest_queue=-1)(in_link(spill_share=2.0)(base)))
         paths = {violation.path for violation in check(base)}
@@ -259,9 +262,10 @@
         self.assertEqual(paths, expected)
 
     def test_partitions_stay(self) -> None:
-        """Entries with another number of partitions would disagree on who owns a target.
+        """Guards against a change of the number of partitions while entries run.
 
-        Two of them could then send an executor more than its slots hold.
+        Entries with different numbers would disagree on the owner of a target, and two owners could
+        together send an executor more requests than it has slots.
         """
         base = example_configuration()
         changed = replace(base, partitions_per_region=64)
@@ -271,7 +275,7 @@
         self.assertEqual(violation.path, "partitions_per_region")
 
     def test_one_region_needs_no_link(self) -> None:
-        """A small team with one region and one failure domain is not asked to spread."""
+        """Guards against rules on links and spreading that reject a single failure domain."""
         base = example_configuration()
         one = region("viti", "suva")
         targets = tuple(each for each in base.targets if each.failure_domain == "suva")
@@ -280,12 +284,12 @@
         self.assertEqual(check(small), ())
 
     def test_a_violation_in_one_line(self) -> None:
-        """What a log or a message shows."""
+        """A violation is formatted as one line with path, value, rule and fix."""
         violation = Violation("a.b", "3", "must be less", "lower it")
         self.assertEqual(str(violation), "a.b: 3: must be less. Fix: lower it.")
 
     def test_names_in_other_services(self) -> None:
-        """The second service's faults carry its own place."""
+        """Guards against violations of the second service that have the path of the first."""
         base = example_configuration()
         second = replace(base.services[0], name=ServiceName("other"), team=TeamName("nobody"))
         paths = {
--- a/fireflyfork/operations/tests/test_decoding.py
+++ b/fireflyfork/operations/tests/test_decoding.py
@@ -1,4 +1,4 @@
-"""Files with mistakes in them."""
+"""Tests of decoding files that contain errors."""
 
 import unittest
 
@@ -8,10 +8,10 @@
 
 
 class DecodingTest(unittest.TestCase):
-    """Every fault of a file is reported at once, with its place and a fix."""
+    """All errors of a file are reported at once, each with its path and a fix."""
 
     def test_faults_are_named(self) -> None:
-        """An operator mistypes a file; the message must say where, what, and how to mend it."""
+        """Guards against typing errors that are reported without their path or the broken rule."""
         cases = [
             ('"timeout": "10s"', '"timeout": 10', "services[0].timeout", "one of the units"),
             ('"timeout": "10s"', '"timout": "10s"', "services[0].timout", "not a known field"),
@@ -35,7 +35,7 @@
                 self.assertIn(rule, found[path])
 
     def test_all_faults_at_once(self) -> None:
-        """Three mistakes are three messages, not three attempts; objects are read field by field."""
+        """Guards against decoding that stops at the first error; fields are read in their order."""
         text = example_text("naidu")
         text = text.replace('"10s"', "10").replace('"slots": 8', '"slots": []')
         text = text.replace('"one_way": "20ms"', '"one_way": "20"')
@@ -44,13 +44,13 @@
         self.assertEqual(paths, ["services[0].slots", "services[0].timeout", "links[0].one_way"])
 
     def test_misspelt_field_suggests_the_known_one(self) -> None:
-        """A misspelt optional field would otherwise be replaced by its default, silently."""
+        """Guards against a misspelt optional field that silently gets its default."""
         text = example_text("naidu").replace('"timeout": "10s"', '"timout": "10s"')
         (violation,) = decode_document(Answers, text).violations
         self.assertIn("did you mean timeout", violation.fix)
 
     def test_not_an_object(self) -> None:
-        """A list, a number or nothing at all in place of a configuration."""
+        """Guards against a list, number, null or empty file that is accepted as a configuration."""
         for text in ("[]", "3", "", "null"):
             with self.subTest(text=text):
                 self.assertEqual(len(decode_document(Configuration, text).violations), 1)
--- a/fireflyfork/operations/tests/test_differences.py
+++ b/fireflyfork/operations/tests/test_differences.py
@@ -1,4 +1,4 @@
-"""What differs between two configurations."""
+"""Tests of the differences between two configurations."""
 
 import unittest
 from dataclasses import replace
@@ -11,10 +11,10 @@
 
 
 class DifferencesTest(unittest.TestCase):
-    """Things are compared by their names."""
+    """Elements of lists are compared by their names."""
 
     def test_lines(self) -> None:
-        """An operator reads a change as one line for each value."""
+        """Each added, removed or changed value is one line, and a new order makes no difference."""
         service = replace(BASE.services[0], longest_queue=8)
         removed = BASE.targets[3]
         added = replace(removed, target_id=TargetId("booking-desk-suva-99"))
@@ -40,13 +40,13 @@
                     self.assertTrue(line.startswith(start), line)
 
     def test_from_nothing(self) -> None:
-        """The first configuration: few things by name, many by their number."""
+        """The first configuration lists a few new elements by name and more of them by number."""
         lines = [str(each) for each in differences(None, BASE)]
         self.assertIn("+ regions: viti, vanua", lines)
         self.assertIn("+ targets: 24 entries", lines)
 
     def test_two_things_of_one_name(self) -> None:
-        """A file that breaks the rule of unique names still shows each of its entries."""
+        """Guards against elements with a repeated name that are missing from the differences."""
         twice = replace(BASE, services=BASE.services * 2)
         (difference,) = differences(BASE, twice)
         self.assertEqual(difference.path, "services[booking-desk#2]")
--- a/fireflyfork/operations/tests/test_exposition.py
+++ b/fireflyfork/operations/tests/test_exposition.py
@@ -1,4 +1,4 @@
-"""Reading a page of metrics."""
+"""Tests of the parser for pages of metrics."""
 
 import unittest
 
@@ -7,10 +7,10 @@
 
 
 class ExpositionTest(unittest.TestCase):
-    """What entries write can be read."""
+    """The parser reads the pages that entries write."""
 
     def test_a_page_of_an_entry(self) -> None:
-        """Counters, gauges and summaries, with awkward label values."""
+        """Counters, gauges and summaries are read, also with label values that need escaping."""
         metrics = Metrics()
         awkward = 'a "quoted"\\path\nnext'
         metrics.count("calls_total", 3, service=awkward)
@@ -26,6 +26,6 @@
         self.assertAlmostEqual(found["seconds_sum", (("service", "desk"),)], 0.25)
 
     def test_unreadable_lines_are_passed_over(self) -> None:
-        """A page that was cut off still shows what came."""
+        """Guards against a truncated page of which no sample can be read."""
         page = '# TYPE a counter\na 1\nb{x="1" 2\nc nothing\n\nd{x="y"} 4\n'
         self.assertEqual([sample.name for sample in read_samples(page)], ["a", "d"])
--- a/fireflyfork/operations/tests/test_generator.py
+++ b/fireflyfork/operations/tests/test_generator.py
@@ -1,4 +1,4 @@
-"""From answers to a configuration."""
+"""Tests of generating a configuration from answers."""
 
 import difflib
 import unittest
@@ -23,10 +23,10 @@
 
 
 class ExamplesTest(unittest.TestCase):
-    """The shipped examples."""
+    """The configurations generated from the shipped examples."""
 
     def test_sizes(self) -> None:
-        """Executors, workers and links of both users."""
+        """Executors, workers and links have the numbers and sizes of the answers."""
         cases = [("naidu", 24, 24, 16_000), ("kastings", 33, 33, 64_000)]
         for name, targets, workers, millicores in cases:
             with self.subTest(name):
@@ -39,13 +39,13 @@
                 self.assertEqual({each.slots for each in configuration.targets}, {8})
 
     def test_all_rules_hold(self) -> None:
-        """The examples pass every check."""
+        """The generated configurations pass all checks."""
         for name in EXAMPLE_NAMES:
             with self.subTest(name):
                 self.assertEqual(check(generate(example_answers(name)).configuration), ())
 
     def test_weights_follow_what_matters_most(self) -> None:
-        """Naidu defends the booking desk's latency, Kastings its quote batches."""
+        """Naidu ranks tail latency first; Kastings ranks evictions and throughput above it."""
         naidu = generate(example_answers("naidu")).configuration.weights
         kastings = generate(example_answers("kastings")).configuration.weights
         self.assertGreater(naidu.tail_latency, max(naidu.evictions, naidu.throughput))
@@ -53,19 +53,19 @@
         self.assertGreater(kastings.throughput, kastings.tail_latency)
 
     def test_quota_is_the_sum_of_a_teams_jobs(self) -> None:
-        """48 letters of 2 cores and 4 GB may run at once."""
+        """The quota of 48 concurrent tasks of 2 cores and 4 GB is 96 cores and 192 GB."""
         teams = generate(example_answers("naidu")).configuration.teams
         self.assertEqual([team.quota.millicores for team in teams], [0, 96_000])
         self.assertEqual(teams[1].quota, Resources(96_000, 192_000_000_000, 0))
 
 
 class GeneratorTest(unittest.TestCase):
-    """Generation, its file and its stored form."""
+    """Generated configurations, their files and their stored form."""
 
     @settings(max_examples=60)
     @given(valid_answers())
     def test_any_valid_answers_pass_every_check(self, answers: Answers) -> None:
-        """Whatever a careful team answers, the generated configuration is applicable."""
+        """Guards against valid answers whose configuration can't be applied, rendered or stored."""
         generated = generate(answers)
         self.assertEqual(check(generated.configuration), ())
         decoded = decode_document(Configuration, render_generated(generated, "title"))
@@ -77,16 +77,16 @@
     @settings(max_examples=30)
     @given(valid_answers())
     def test_answers_survive_their_file(self, answers: Answers) -> None:
-        """Answers given at the terminal are saved; generating from the file gives the same."""
+        """Guards against answers that change when they are saved to a file and read again."""
         decoded = decode_document(Answers, render_answers(answers, "title"))
         self.assertEqual(decoded.violations, ())
         self.assertEqual(decoded.value, answers)
 
     def test_a_changed_answer_gives_a_small_difference(self) -> None:
-        """An operator changes one tolerance and reviews the new file against the old one.
+        """Guards against a small change of the answers that changes most lines of the file.
 
-        Were names or comments to follow places in lists, the whole file would seem changed and
-        nobody would notice the line that matters.
+        Operators review a new file against the old one. If names or comments depended on list
+        indexes, most lines would differ and hide the line that matters.
         """
         answers = example_answers("naidu")
         service = answers.services[0]
@@ -110,7 +110,7 @@
                 self.assertGreater(len(lines), 0)
 
     def test_every_record_names_its_answer(self) -> None:
-        """The comment above each value says which answer decided it."""
+        """The comment above each value names the answer that determined it."""
         text = render_generated(generate(example_answers("naidu")), "title")
         for comment in (
             "// timeout: 10s",
@@ -122,7 +122,7 @@
             self.assertIn(comment, text)
 
     def test_addresses(self) -> None:
-        """Addresses are counted up or listed; what can't be worked out is named."""
+        """Guards against missing or invalid addresses that aren't reported with their answer."""
         cases: list[tuple[int, str | None, tuple[str, ...], str]] = [
             (2, "127.0.0.1:65535", (), "port"),
             (2, None, ("10.0.0.1:1",), "number of addresses"),
@@ -146,7 +146,7 @@
                     generate(changed)
 
     def test_listed_addresses(self) -> None:
-        """Addresses that don't count up are listed, also IPv6."""
+        """Listed addresses, also IPv6, are used unchanged."""
         answers = example_answers("naidu")
         listed = ("10.0.0.9:80", "[fd00::1]:81")
         executors = replace(
@@ -157,7 +157,7 @@
         self.assertEqual(tuple(target.address for target in targets), listed)
 
     def test_with_version_changes_nothing_else(self) -> None:
-        """After an accepted change the file records the version; its comments stay."""
+        """Guards against changed values or comments when a file gets the accepted version."""
         text = render_generated(generate(example_answers("naidu")), "title")
         changed = with_version(text, ConfigurationVersion(12))
         self.assertEqual(changed.replace('"version": 12', '"version": 0'), text)
--- a/fireflyfork/operations/tests/test_interview.py
+++ b/fireflyfork/operations/tests/test_interview.py
@@ -1,4 +1,4 @@
-"""The interactive questionnaire."""
+"""Tests of the interactive questionnaire."""
 
 import unittest
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
 
 
 def hold(replies: Iterable[str]) -> tuple[Answers, list[Prompt]]:
-    """Answer an interview with ``replies``; returns what it made of them, and its prompts."""
+    """Send ``replies`` to an interview and return its answers and all its prompts."""
     conversation = interview()
     prompts = [next(conversation)]
     for reply in replies:
@@ -25,26 +25,26 @@
 
 
 class InterviewTest(unittest.TestCase):
-    """Prompts and replies."""
+    """Prompts of the interview and the parsing of replies."""
 
     @settings(max_examples=30)
     @given(valid_answers())
     def test_replies_become_the_answers(self, answers: Answers) -> None:
-        """What a team types is what the generator gets, whatever they typed."""
-        # A reply is one line without surrounding blanks, and an empty one is asked again.
+        """Guards against replies that are parsed as other answers than the team typed."""
+        # Replies are stripped, and an empty reply without a default is asked for again.
         if answers.organisation.strip() != answers.organisation or not answers.organisation:
             return
         given_back, _ = hold(replies_for(answers))
         self.assertEqual(given_back, answers)
 
     def test_every_question_says_why(self) -> None:
-        """A team that doesn't know the system can still answer."""
+        """Guards against a prompt without an explanation for teams that don't know the system."""
         _, prompts = hold(replies_for(example_answers("naidu")))
         for prompt in prompts:
             self.assertTrue(prompt.text and prompt.why, prompt)
 
     def test_misunderstood_replies_are_asked_again(self) -> None:
-        """A typing error costs one more reply, not the whole interview."""
+        """Guards against a typing error that ends the interview; the question is asked again."""
         replies = list(replies_for(example_answers("naidu")))
         cases = [
             ("20ms", "20", "with one of the units"),
@@ -63,7 +63,7 @@
                 self.assertIn(complaint, asked_again.complaint)
 
     def test_empty_replies_take_the_default(self) -> None:
-        """Whoever has no opinion gets the value that the prompt shows."""
+        """An empty reply selects the default that the prompt shows."""
         replies = list(replies_for(example_answers("naidu")))
         place = replies.index("tail_latency evictions throughput")
         answers, _ = hold([*replies[:place], "", *replies[place + 1 :]])
--- a/fireflyfork/operations/tests/test_job_account.py
+++ b/fireflyfork/operations/tests/test_job_account.py
@@ -1,4 +1,4 @@
-"""Where the time of late jobs went."""
+"""Tests of the accounts of late jobs."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 
 
 class AccountTest(unittest.TestCase):
-    """The split of one job's time."""
+    """The split of a job's time by cause."""
 
     def test_each_cause(self) -> None:
         for name, lines, expected in (
@@ -62,7 +62,7 @@
                 self.assertAlmostEqual(sum(split.values()), account.age_seconds)
 
     def test_time_without_an_owner(self) -> None:
-        """Guards against time without an owner that is laid to what tasks waited for at the end."""
+        """Guards against time without an owner that is attributed to the last reason to wait."""
         lines = (
             OWNED,
             accepted(0.5, job="b2"),
@@ -93,10 +93,10 @@
 
 
 class SampleTest(unittest.TestCase):
-    """Logs of an owner that was too busy to log everything."""
+    """Logs of an owner that was too busy to log all its decisions."""
 
     def test_only_jobs_that_were_logged_whole_are_accounted_for(self) -> None:
-        """Guards against jobs said to be never placed since the lines of their tasks were left out."""
+        """Guards against jobs reported as never placed because lines of their tasks are missing."""
         jobs = [f"a{number}" for number in range(64)]
         busy = (line(0.5, "decisions not logged", lines=900, share=share) for share in (0.5, 0.25))
         accounts = account_jobs((OWNED, *(accepted(1.0, job) for job in jobs), *busy))
@@ -106,7 +106,7 @@
 
 
 class SummaryTest(unittest.TestCase):
-    """Sums over jobs."""
+    """Sums over late jobs."""
 
     def test_late_jobs_by_queue_and_cause_and_by_phase(self) -> None:
         lines = [OWNED]
--- a/fireflyfork/operations/tests/test_loop_account.py
+++ b/fireflyfork/operations/tests/test_loop_account.py
@@ -1,4 +1,4 @@
-"""What processor time and calls to the store went to."""
+"""Tests of the sums of processor time, store calls and bytes by instance."""
 
 import unittest
 
@@ -37,7 +37,7 @@
 
 
 class LoopAccountTest(unittest.TestCase):
-    """The sums of the lines."""
+    """The sums over the log lines of each instance."""
 
     def setUp(self) -> None:
         self.accounts = account_loops(LINES)
@@ -52,7 +52,7 @@
         self.assertEqual(owner.worst_lag_ms, 40)
 
     def test_bytes_of_an_instance_are_added_up(self) -> None:
-        """Guards against a link that is full of reads nobody can name."""
+        """Guards against bytes on a saturated link that can't be attributed to a purpose."""
         large, small = {"watch op": 600_000}, {"watch op": 40, "list work": 7}
         lines = (
             _report(ENTRY, {}, {}, received=large, sent_bytes={"commit work": 9}),
@@ -63,12 +63,12 @@
         self.assertEqual(account.store_sent, {"commit work": 9})
 
     def test_lines_of_a_version_that_counted_no_bytes(self) -> None:
-        """Guards against logs of an instance not yet updated that can't be read any more."""
+        """Guards against lines of an older version, which lack the byte counts, being rejected."""
         old = line(10.0, "loop time", node=ENTRY, looked_ms=1_000, store_calls={"watch op": 2})
         (account,) = account_loops((old,)).values()
         self.assertEqual((account.store_calls, account.store_received), ({"watch op": 2}, {}))
 
     def test_what_no_scheduler_wrote_is_passed_over(self) -> None:
-        """Guards against a file that can't be read for a line cut short or of another program."""
+        """Guards against truncated lines or lines of other programs that fail the whole file."""
         others = ("loop time", '{"message": "loop time", "spent_ms": 3}', '{"loop time', sent(1.0))
         self.assertEqual(account_loops((*others, *LINES)), self.accounts)
--- a/fireflyfork/operations/tests/test_proof_page.py
+++ b/fireflyfork/operations/tests/test_proof_page.py
@@ -1,4 +1,4 @@
-"""The page on what is proved names tests that exist."""
+"""Checks that the tests named on the proof page exist."""
 
 import re
 import unittest
@@ -16,7 +16,7 @@
 
 
 class ProofPageTest(unittest.TestCase):
-    """A row that names a test which was renamed proves nothing to whoever looks it up."""
+    """Guards against rows that name renamed tests, which readers can't find."""
 
     def setUp(self) -> None:
         self.page = PAGE.read_text("utf-8")
@@ -35,5 +35,5 @@
         self.assertEqual((classes | functions) - known, set())
 
     def test_no_name_is_cut_short(self) -> None:
-        """A name that ends in dots finds several tests or, once they are renamed, none."""
+        """Guards against abbreviated names, which match several tests or, after a rename, none."""
         self.assertEqual(re.findall(r"\w+`? ?(?:\.{2,}|…)", self.page), [])
--- a/fireflyfork/operations/tests/test_quantities.py
+++ b/fireflyfork/operations/tests/test_quantities.py
@@ -1,4 +1,4 @@
-"""Numbers with units."""
+"""Tests of numbers with units."""
 
 import unittest
 
@@ -6,10 +6,10 @@
 
 
 class QuantityTest(unittest.TestCase):
-    """What people write, and what it means."""
+    """Parsing of the usual spellings."""
 
     def test_accepted(self) -> None:
-        """Usual units, with or without a space."""
+        """Usual units are accepted, with or without a space."""
         cases: list[tuple[type[Quantity], str, float]] = [
             (Duration, "20ms", 0.02),
             (Duration, "1.5 s", 1.5),
@@ -30,7 +30,7 @@
                 self.assertEqual(kind.parse(parsed.text), parsed)
 
     def test_rejected(self) -> None:
-        """A number without its unit could be seconds or milliseconds: it is not guessed."""
+        """Guards against a guessed unit: a bare number could be seconds or milliseconds."""
         cases: list[tuple[type[Quantity], object]] = [
             (Duration, "20"),
             (Duration, 20),
@@ -49,7 +49,7 @@
                 kind.parse(text)
 
     def test_examples_are_accepted(self) -> None:
-        """The value that a message suggests can be copied."""
+        """Guards against messages that suggest values which are rejected."""
         for kind in (Duration, ByteCount, ByteRate, Share, Cores):
             with self.subTest(kind.__name__):
                 kind.parse(kind.example())
--- a/fireflyfork/operations/tests/test_reference.py
+++ b/fireflyfork/operations/tests/test_reference.py
@@ -1,4 +1,4 @@
-"""The generated reference page."""
+"""Tests of the generated reference page."""
 
 import unittest
 from pathlib import Path
@@ -9,14 +9,14 @@
 
 
 class ReferenceTest(unittest.TestCase):
-    """What operators read is what the code says."""
+    """The reference page agrees with the code."""
 
     def test_is_current(self) -> None:
-        """A field or rule was changed and the page was not: run scripts/configuration_reference.py."""
+        """Guards against an outdated page; scripts/configuration_reference.py updates it."""
         self.assertEqual(PAGE.read_text("utf-8"), configuration_reference())
 
     def test_names_every_field_with_its_default(self) -> None:
-        """Fields, docstrings, defaults, units and rules reach the page."""
+        """The page contains fields, docstrings, defaults, units and rules."""
         page = configuration_reference()
         for part in (
             "| `longest_queue` | whole number | `64` | Requests that may wait",
--- a/fireflyfork/operations/tests/test_span_tree.py
+++ b/fireflyfork/operations/tests/test_span_tree.py
@@ -1,4 +1,4 @@
-"""The hops of a request, drawn from span lines."""
+"""Tests of reading, finding and drawing the spans of a request."""
 
 import unittest
 
@@ -13,7 +13,7 @@
 
 
 def span(name: str, span_id: str, parent_id: str, start: float, **attributes: str) -> Span:
-    """A span of 10 ms."""
+    """Return a span of 10 ms in the trace ``TRACE``."""
     return Span(name, TRACE, span_id, parent_id, f"p-{name}", start, 0.01, dict(attributes))
 
 
@@ -27,10 +27,10 @@
 
 
 class SpanTreeTest(unittest.TestCase):
-    """Reading, finding and drawing."""
+    """Trees of spans, from log lines to the drawing."""
 
     def test_drawing(self) -> None:
-        """Five hops over three processes, with a retry at the end."""
+        """A request with five spans, whose last one is a retry."""
         self.assertEqual(
             list(draw(span_trees(reversed(HOPS)))),
             [
@@ -43,7 +43,7 @@
         )
 
     def test_found_by_what_a_caller_knows(self) -> None:
-        """The trace id, or the request id that the caller was given."""
+        """A trace is found by its id or by the whole value of an attribute, as the request id."""
         other = Span("x", "f" * 32, "z", "", "p", 1.0, 1.0)
         for wanted in (TRACE, "r1", "desk-2"):
             with self.subTest(wanted=wanted):
@@ -51,15 +51,18 @@
         self.assertEqual(find_trace(HOPS, "r"), ())
 
     def test_other_lines_are_passed_over(self) -> None:
-        """Logs and spans share a file, a line was cut off when the process was killed."""
+        """Guards against a file that fails to read because of log lines or a truncated line.
+
+        A line is truncated if its process is killed while writing it.
+        """
         line = msgspec.json.encode(HOPS[0]).decode()
         lines = ["", "not json", '{"message": "serving"}', line, line[:40], "[1]"]
         self.assertEqual(list(read_spans(lines)), [HOPS[0]])
 
     def test_a_hop_is_missing(self) -> None:
-        """The process of the second hop was killed before it wrote its span.
+        """Guards against spans that aren't drawn because their parent is missing.
 
-        The operator still sees what lies below it, as a tree of its own.
+        A process killed before it writes its span leaves the spans below it as a separate tree.
         """
         trees = span_trees(each for each in HOPS if each.name != "forward")
         self.assertEqual([tree.span.name for tree in trees], ["request", "peer"])
@@ -68,7 +71,7 @@
     @settings(max_examples=80)
     @given(st.lists(st.tuples(st.integers(0, 5), st.integers(0, 5)), max_size=8))
     def test_any_parents(self, pairs: list[tuple[int, int]]) -> None:
-        """Damaged lines may form loops; drawing ends and shows no span twice."""
+        """Guards against endless drawing or repeated spans when damaged lines form cycles."""
         spans = [span("s", str(own), str(parent), float(own)) for own, parent in pairs]
         lines = list(draw(span_trees(spans)))
         self.assertLessEqual(len(lines), len({each.span_id for each in spans}))
--- a/fireflyfork/operations/tests/test_unusual.py
+++ b/fireflyfork/operations/tests/test_unusual.py
@@ -1,4 +1,4 @@
-"""Allowed values that a slip would produce."""
+"""Tests of the detection of unusual values."""
 
 import unittest
 from dataclasses import replace
@@ -11,7 +11,7 @@
 
 
 def with_slots(*slots: int) -> Configuration:
-    """The Naidu configuration whose first targets have these slots."""
+    """Return the Naidu configuration with the given slots for its first targets."""
     changed = (
         replace(target, slots=number) for target, number in zip(BASE.targets, slots, strict=False)
     )
@@ -19,10 +19,10 @@
 
 
 class UnusualTest(unittest.TestCase):
-    """Against the version in force."""
+    """A proposed configuration is compared with the one in force."""
 
     def test_large_steps(self) -> None:
-        """A factor of eight or more in one number; smaller steps and new things are ordinary."""
+        """Only changes of existing numbers by a factor of eight or more are reported."""
         service = BASE.services[0]
         link = BASE.links[0]
         cases = [
@@ -40,12 +40,12 @@
                 self.assertEqual(unusual(None, proposed), ())
 
     def test_odd_targets(self) -> None:
-        """One target that differs from all others; several or all at once are meant."""
+        """A single differing target is reported; several differing targets are intended."""
         cases = [((9,), 1), ((9, 9), 0), ((16,) * 24, 0), ((8, 8), 0)]
         for slots, count in cases:
             with self.subTest(slots=slots):
                 self.assertEqual(len(unusual(BASE, with_slots(*slots))), count)
 
     def test_mixed_already(self) -> None:
-        """Where targets differ in force, one more that differs is ordinary."""
+        """Guards against reports on a service whose targets already differ in force."""
         self.assertEqual(unusual(with_slots(16), with_slots(16, 9)), ())
