--- a/fireflyfork/operations/_job_account.py
+++ b/fireflyfork/operations/_job_account.py
@@ -35,7 +35,7 @@
     BEHIND = WaitReason.BEHIND.value
     OTHER_WAIT = WaitReason.OTHER.value
     WAITED = "waited a moment"
-    """The task had a place at once; the time is the latency of the order to the executor."""
+    """The task had a place at once; the time is the latency of its order."""
     NEVER_PLACED = "never placed"
     REPEATED = "runs repeated"
     PACED = "ran at a lower pace"
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobAccounts:
-    """The accounts of the logged jobs and the share of all jobs that they are."""
+    """The accounts of the fully logged jobs and their share of all jobs."""
 
     jobs: tuple[JobAccount, ...]
     share: float
--- a/fireflyfork/operations/_loop_account.py
+++ b/fireflyfork/operations/_loop_account.py
@@ -18,7 +18,7 @@
     spent_ms: Counter[str] = field(default_factory=Counter)
     """Processor time by activity, in milliseconds."""
     looked_ms: int = 0
-    """Time over which ``spent_ms`` was measured."""
+    """Time over which ``spent_ms`` was measured, in milliseconds."""
     store_calls: Counter[str] = field(default_factory=Counter)
     """Number of calls to the store by purpose."""
     store_received: Counter[str] = field(default_factory=Counter)
@@ -30,7 +30,7 @@
     relay_sent: Counter[str] = field(default_factory=Counter)
     """Bytes that the instance's owners sent to relays by failure domain."""
     worst_lag_ms: int = 0
-    """Maximum delay of the event loop."""
+    """Maximum delay of the event loop, in milliseconds."""
 
     @property
     def shares(self) -> dict[str, float]:
--- a/fireflyfork/operations/_rules.py
+++ b/fireflyfork/operations/_rules.py
@@ -74,7 +74,7 @@
     pattern: str
 
     def broken_by(self, configuration: Configuration) -> Iterator[Violation]:
-        """See Rule."""
+        """Yield a violation for each string that doesn't match the pattern."""
         for text in located(configuration, self.domain):
             if not re.fullmatch(self.pattern, text.value):
                 yield self.violation(text.path, text.value)
@@ -89,7 +89,7 @@
     most: float
 
     def broken_by(self, configuration: Configuration) -> Iterator[Violation]:
-        """See Rule."""
+        """Yield a violation for each number outside the range, and for NaN."""
         for number in located(configuration, self.domain):
             # Comparisons with NaN are false, so a test for values outside the range would miss NaN.
             if not self.least <= number.value <= self.most:
@@ -103,7 +103,7 @@
     domain: str
 
     def broken_by(self, configuration: Configuration) -> Iterator[Violation]:
-        """See Rule."""
+        """Yield a violation for each repeated value; the fix names its first path."""
         first: dict[Any, str] = {}
         for item in located(configuration, self.domain):
             earlier = first.setdefault(item.value, item.path)
@@ -119,7 +119,7 @@
     among: str
 
     def broken_by(self, configuration: Configuration) -> Iterator[Violation]:
-        """See Rule."""
+        """Yield a violation for each value not in the other domain; the fix lists known values."""
         known = {item.value for item in located(configuration, self.among)}
         for item in located(configuration, self.domain):
             if item.value not in known:
@@ -136,6 +136,6 @@
     find: Callable[[Configuration], Iterator[Located[Any]]]
 
     def broken_by(self, configuration: Configuration) -> Iterator[Violation]:
-        """See Rule."""
+        """Yield a violation for each value that the generator finds."""
         for item in self.find(configuration):
             yield self.violation(item.path, item.value)
--- a/fireflyfork/operations/_span_tree.py
+++ b/fireflyfork/operations/_span_tree.py
@@ -57,8 +57,9 @@
 
 
 def draw(trees: Iterable[SpanNode]) -> Iterator[str]:
-    """Yield the lines of a drawing of the trees; offsets are from the start of the earliest root.
+    """Yield the lines of a drawing of the trees.
 
+    Times are in milliseconds: the offset from the start of the earliest root, and the duration.
     Each process timestamps its spans with its own clock, so a child may seem to start before its
     parent.
     """
