--- a/bench/_inferred_rules.py
+++ b/bench/_inferred_rules.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from itertools import combinations
 
-from fireflyfork.operations import leaves
+from fireflyfork.operations import iter_leaves
 
 Plain = dict[str, object]
 Values = Mapping[str, tuple[object, ...]]
@@ -31,7 +31,7 @@
 def values_of(configuration: Plain) -> Values:
     """Group the values of a configuration by parameter."""
     grouped: dict[str, list[object]] = {}
-    for path, value in leaves(configuration):
+    for path, value in iter_leaves(configuration):
         name = _INDEX.sub("[*]", path)
         if name not in _BOOKKEEPING:
             grouped.setdefault(name, []).append(value)
--- a/bench/configuration_checks.py
+++ b/bench/configuration_checks.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from fireflyfork import Configuration
-from fireflyfork.operations import Answers, check, decode, decode_document, generate, unusual
+from fireflyfork.operations import Answers, check, decode, decode_document, generate, unusual_values
 
 from ._configuration_changes import MISTAKES, ORDINARY
 from ._inferred_rules import InferredRule, Plain, infer, values_of
@@ -169,7 +169,7 @@
 
 def _is_unusual(before: Plain, after: Plain) -> bool:
     current, proposed = (decode(Configuration, plain).value for plain in (before, after))
-    return proposed is not None and bool(unusual(current, proposed))
+    return proposed is not None and bool(unusual_values(current, proposed))
 
 
 if __name__ == "__main__":
--- a/fireflyfork/operations/__init__.py
+++ b/fireflyfork/operations/__init__.py
@@ -19,14 +19,14 @@
 from ._changes import (
     HISTORY_PREFIX,
     RETAINED_VERSIONS,
+    has_same_settings,
     history_key,
     mint_change_id,
-    same_decisions,
     time_of_change,
     version_of_history_key,
 )
 from ._checks import RULES, check, check_change
-from ._decoding import Decoded, decode, leaves
+from ._decoding import Decoded, decode, iter_leaves
 from ._differences import Difference, differences
 from ._documents import (
     decode_document,
@@ -45,15 +45,15 @@
     JobAccount,
     JobAccounts,
     account_jobs,
-    by_phase,
-    spread,
+    late_jobs_by_phase,
+    late_seconds_by_cause,
     summarize,
 )
 from ._loop_account import LoopAccount, account_loops
 from ._quantities import ByteCount, ByteRate, Cores, Duration, Quantity, Share
 from ._reference import configuration_reference
-from ._span_tree import SpanNode, draw, find_trace, read_spans, span_trees
-from ._unusual import unusual
+from ._span_tree import SpanNode, draw_trees, find_trace, read_spans, span_trees
+from ._unusual import unusual_values
 from ._violations import Violation
 
 __all__ = [
@@ -91,19 +91,21 @@
     "WorkerAnswer",
     "account_jobs",
     "account_loops",
-    "by_phase",
     "check",
     "check_change",
     "configuration_reference",
     "decode",
     "decode_document",
     "differences",
-    "draw",
+    "draw_trees",
     "find_trace",
     "generate",
+    "has_same_settings",
     "history_key",
     "interview",
-    "leaves",
+    "iter_leaves",
+    "late_jobs_by_phase",
+    "late_seconds_by_cause",
     "mint_change_id",
     "parse_document",
     "read_samples",
@@ -111,13 +113,11 @@
     "render_answers",
     "render_configuration",
     "render_generated",
-    "same_decisions",
     "span_trees",
-    "spread",
     "summarize",
     "time_of_change",
     "unusable_addresses",
-    "unusual",
+    "unusual_values",
     "version_of_history_key",
     "with_version",
 ]
--- a/fireflyfork/operations/_answers.py
+++ b/fireflyfork/operations/_answers.py
@@ -31,7 +31,7 @@
     """What the answer changes, shown together with the prompt."""
 
 
-def asked(prompt: str, why: str) -> Mapping[str, Question]:
+def question_metadata(prompt: str, why: str) -> Mapping[str, Question]:
     """Return the dataclass field metadata that holds a field's question."""
     return {"question": Question(prompt, why)}
 
@@ -40,9 +40,11 @@
 class RegionAnswer:
     """A region and its failure domains."""
 
-    name: str = field(metadata=asked("Name of the region", "Links join regions, by name."))
+    name: str = field(
+        metadata=question_metadata("Name of the region", "Links join regions, by name.")
+    )
     failure_domains: tuple[str, ...] = field(
-        metadata=asked(
+        metadata=question_metadata(
             "Failure domains in it, separated by spaces",
             "What fails together: replicas and guards are spread over them.",
         )
@@ -54,17 +56,23 @@
     """The link between two regions."""
 
     between: tuple[str, str] = field(
-        metadata=asked("The two regions, separated by a space", "Each pair is joined once.")
+        metadata=question_metadata(
+            "The two regions, separated by a space", "Each pair is joined once."
+        )
     )
     one_way: Duration = field(
-        metadata=asked("One-way latency", "Timeouts must leave room for the round trip.")
+        metadata=question_metadata(
+            "One-way latency", "Timeouts must leave room for the round trip."
+        )
     )
     capacity: ByteRate = field(
-        metadata=asked("Capacity each way", "All traffic shares it, and it is paid by volume.")
+        metadata=question_metadata(
+            "Capacity each way", "All traffic shares it, and it is paid by volume."
+        )
     )
     spill: Share = field(
         default_factory=lambda: Share.parse("20%"),
-        metadata=asked(
+        metadata=question_metadata(
             "Share of it that requests may use when their own region has no room",
             "0% keeps every request in its region; more costs money and may crowd the link.",
         ),
@@ -76,16 +84,26 @@
     """Workers of one size in one failure domain."""
 
     failure_domain: str = field(
-        metadata=asked("Failure domain of these workers", "Replicas are spread over domains.")
+        metadata=question_metadata(
+            "Failure domain of these workers", "Replicas are spread over domains."
+        )
+    )
+    count: int = field(
+        metadata=question_metadata("How many", "Quotas must fit in what they hold together.")
+    )
+    cores: Cores = field(
+        metadata=question_metadata("Cores of one", "What tasks on it may reserve together.")
     )
-    count: int = field(metadata=asked("How many", "Quotas must fit in what they hold together."))
-    cores: Cores = field(metadata=asked("Cores of one", "What tasks on it may reserve together."))
     memory: ByteCount = field(
-        metadata=asked("Memory of one", "It is never promised twice: tasks that outgrow it die.")
+        metadata=question_metadata(
+            "Memory of one", "It is never promised twice: tasks that outgrow it die."
+        )
+    )
+    per_rack: int = field(
+        metadata=question_metadata("How many share a rack", "A rack fails as a whole.")
     )
-    per_rack: int = field(metadata=asked("How many share a rack", "A rack fails as a whole."))
     accelerators: int = field(
-        default=0, metadata=asked("Accelerators in one", "Whole devices, never shared.")
+        default=0, metadata=question_metadata("Accelerators in one", "Whole devices, never shared.")
     )
 
 
@@ -94,19 +112,21 @@
     """Executors of a service in one failure domain, with listed addresses or consecutive ports."""
 
     failure_domain: str = field(
-        metadata=asked("Failure domain of these executors", "Requests prefer their own region.")
+        metadata=question_metadata(
+            "Failure domain of these executors", "Requests prefer their own region."
+        )
     )
-    count: int = field(metadata=asked("How many", "Each is one target."))
+    count: int = field(metadata=question_metadata("How many", "Each is one target."))
     first_address: str | None = field(
         default=None,
-        metadata=asked(
+        metadata=question_metadata(
             "Address of the first, IP:port; the others have the ports after it",
             "Names are never resolved. Leave empty to list every address instead.",
         ),
     )
     addresses: tuple[str, ...] = field(
         default=(),
-        metadata=asked(
+        metadata=question_metadata(
             "All addresses, IP:port, separated by spaces", "Only when they don't count up."
         ),
     )
@@ -116,74 +136,82 @@
 class ServiceAnswer:
     """A latency-critical service."""
 
-    name: str = field(metadata=asked("Name of the service", "Callers put it in the path."))
-    team: str = field(metadata=asked("Team that owns it", "It must be among the teams."))
+    name: str = field(
+        metadata=question_metadata("Name of the service", "Callers put it in the path.")
+    )
+    team: str = field(
+        metadata=question_metadata("Team that owns it", "It must be among the teams.")
+    )
     longest_run: Duration = field(
-        metadata=asked(
+        metadata=question_metadata(
             "After which time has an executor surely ended a request?",
             "A slot whose caller gave up counts as busy for so long. Too short overloads "
             "executors, too long strands slots after a failure.",
         )
     )
     longest_timeout: Duration = field(
-        metadata=asked("Longest timeout that a caller may ask for", "Longer ones are refused.")
+        metadata=question_metadata(
+            "Longest timeout that a caller may ask for", "Longer ones are refused."
+        )
     )
     objective: Duration = field(
-        metadata=asked(
+        metadata=question_metadata(
             "Within which time must 99 of 100 requests be answered?",
             "Placement throttles or evicts batch work to defend it.",
         )
     )
     slots: int = field(
-        metadata=asked(
+        metadata=question_metadata(
             "Requests that one executor runs at a time", "It is never given more than that."
         )
     )
     connections: int = field(
-        metadata=asked("Connections that one executor accepts", "At least one for each slot.")
+        metadata=question_metadata(
+            "Connections that one executor accepts", "At least one for each slot."
+        )
     )
     executors: tuple[ExecutorAnswer, ...] = field(
-        metadata=asked("Executors", "Where requests are sent.")
+        metadata=question_metadata("Executors", "Where requests are sent.")
     )
     timeout: Duration | None = field(
         default=None,
-        metadata=asked(
+        metadata=question_metadata(
             "Timeout of a request that names none",
             "Leave empty to refuse requests that name no deadline.",
         ),
     )
     queue: int = field(
         default=64,
-        metadata=asked(
+        metadata=question_metadata(
             "Requests that may wait for a slot at one entry",
             "Beyond it, callers are told at once to come back; a longer queue answers too late.",
         ),
     )
     largest_request: ByteCount = field(
         default_factory=lambda: ByteCount.parse("1MiB"),
-        metadata=asked("Longest request body", "A longer one is refused unread."),
+        metadata=question_metadata("Longest request body", "A longer one is refused unread."),
     )
     replicas: int = field(
         default=0,
-        metadata=asked(
+        metadata=question_metadata(
             "Replicas that the planner keeps running",
             "0 when something else starts the executors.",
         ),
     )
     cores: Cores = field(
         default_factory=lambda: Cores.parse("0cores"),
-        metadata=asked("Cores of one replica", "Reserved on its worker."),
+        metadata=question_metadata("Cores of one replica", "Reserved on its worker."),
     )
     memory: ByteCount = field(
         default_factory=lambda: ByteCount.parse("0GB"),
-        metadata=asked("Memory of one replica", "Reserved on its worker."),
+        metadata=question_metadata("Memory of one replica", "Reserved on its worker."),
     )
     accelerators: int = field(
-        default=0, metadata=asked("Accelerators of one replica", "Whole devices.")
+        default=0, metadata=question_metadata("Accelerators of one replica", "Whole devices.")
     )
     when_disturbed: Tolerance = field(
         default=Tolerance.NONE,
-        metadata=asked(
+        metadata=question_metadata(
             "What may happen to it when work interferes: none, throttle or evict",
             "A service normally tolerates none.",
         ),
@@ -194,10 +222,12 @@
 class TeamAnswer:
     """A team: its tolerance for interference with its batch tasks and its right to urgent work."""
 
-    name: str = field(metadata=asked("Name of the team", "Quotas and jobs refer to it."))
+    name: str = field(
+        metadata=question_metadata("Name of the team", "Quotas and jobs refer to it.")
+    )
     when_disturbing: Tolerance = field(
         default=Tolerance.EVICT,
-        metadata=asked(
+        metadata=question_metadata(
             "What may happen to its batch tasks when they slow a service down: none, throttle "
             "or evict",
             "evict allows throttling too. An evicted task resumes from its checkpoint.",
@@ -205,7 +235,9 @@
     )
     urgent: bool = field(
         default=False,
-        metadata=asked("May it submit urgent work: yes or no", "Urgent work starts first."),
+        metadata=question_metadata(
+            "May it submit urgent work: yes or no", "Urgent work starts first."
+        ),
     )
 
 
@@ -213,20 +245,26 @@
 class JobAnswer:
     """A kind of batch job. A team's quota is the sum of what its jobs may use at once."""
 
-    name: str = field(metadata=asked("Name of the batch job", "Only this file uses it."))
-    team: str = field(metadata=asked("Team that submits it", "It must be among the teams."))
+    name: str = field(
+        metadata=question_metadata("Name of the batch job", "Only this file uses it.")
+    )
+    team: str = field(
+        metadata=question_metadata("Team that submits it", "It must be among the teams.")
+    )
     tasks_at_once: int = field(
-        metadata=asked(
+        metadata=question_metadata(
             "How many of its tasks may run at once",
             "Times the size of a task it is added to the team's quota.",
         )
     )
-    cores: Cores = field(metadata=asked("Cores of one task", "A first guess; usage corrects it."))
+    cores: Cores = field(
+        metadata=question_metadata("Cores of one task", "A first guess; usage corrects it.")
+    )
     memory: ByteCount = field(
-        metadata=asked("Memory of one task", "A first guess; usage corrects it.")
+        metadata=question_metadata("Memory of one task", "A first guess; usage corrects it.")
     )
     accelerators: int = field(
-        default=0, metadata=asked("Accelerators of one task", "Whole devices.")
+        default=0, metadata=question_metadata("Accelerators of one task", "Whole devices.")
     )
 
 
@@ -235,34 +273,37 @@
     """All answers of one organisation."""
 
     organisation: str = field(
-        metadata=asked("Your organisation", "Only a title of the generated file.")
+        metadata=question_metadata("Your organisation", "Only a title of the generated file.")
     )
     regions: tuple[RegionAnswer, ...] = field(
-        metadata=asked("Regions", "Traffic between regions is slow, narrow and paid.")
+        metadata=question_metadata("Regions", "Traffic between regions is slow, narrow and paid.")
     )
     workers: tuple[WorkerAnswer, ...] = field(
-        metadata=asked("Workers", "The checks make sure that what you promise fits in them.")
+        metadata=question_metadata(
+            "Workers", "The checks make sure that what you promise fits in them."
+        )
     )
-    teams: tuple[TeamAnswer, ...] = field(metadata=asked("Teams", "Each has a quota."))
+    teams: tuple[TeamAnswer, ...] = field(metadata=question_metadata("Teams", "Each has a quota."))
     services: tuple[ServiceAnswer, ...] = field(
-        metadata=asked("Latency-critical services", "What callers wait for.")
+        metadata=question_metadata("Latency-critical services", "What callers wait for.")
     )
     links: tuple[LinkAnswer, ...] = field(
-        default=(), metadata=asked("Links between regions", "None when there is one region.")
+        default=(),
+        metadata=question_metadata("Links between regions", "None when there is one region."),
     )
     jobs: tuple[JobAnswer, ...] = field(
-        default=(), metadata=asked("Batch jobs", "What may wait, but must be done.")
+        default=(), metadata=question_metadata("Batch jobs", "What may wait, but must be done.")
     )
     matters_most: tuple[Measure, ...] = field(
         default=(Measure.TAIL_LATENCY, Measure.EVICTIONS, Measure.THROUGHPUT),
-        metadata=asked(
+        metadata=question_metadata(
             "What matters most, first to last: tail_latency evictions throughput",
             "Each measure counts twice as much as the one after it.",
         ),
     )
     partitions: int = field(
         default=32,
-        metadata=asked(
+        metadata=question_metadata(
             "Partitions of each region's targets",
             "Several times the entries you will ever run in a region; it can't change later.",
         ),
--- a/fireflyfork/operations/_changes.py
+++ b/fireflyfork/operations/_changes.py
@@ -49,7 +49,7 @@
     return time.strftime("%Y-%m-%d %H:%M:%SZ", time.gmtime((value.int >> 80) / 1000))
 
 
-def same_decisions(one: Configuration, other: Configuration) -> bool:
+def has_same_settings(first: Configuration, second: Configuration) -> bool:
     """Whether two configurations are equal apart from version, change id and note."""
-    bare = replace(one, version=other.version, change_id=other.change_id, note=other.note)
-    return bare == other
+    aligned = replace(first, version=second.version, change_id=second.change_id, note=second.note)
+    return aligned == second
--- a/fireflyfork/operations/_checks.py
+++ b/fireflyfork/operations/_checks.py
@@ -7,7 +7,7 @@
 from .._contracts import Configuration
 from . import _relations as relations
 from ._rules import PatternRule, RangeRule, ReferenceRule, RelationRule, Rule, UniqueRule
-from ._violations import Violation, shown
+from ._violations import Violation, short_repr
 
 _NAME = r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?"
 _NAME_TEXT = "must be 1 to 63 lower-case letters, digits and inner hyphens"
@@ -28,8 +28,8 @@
 )
 
 RANGE_RULES: tuple[Rule, ...] = tuple(
-    RangeRule(f"must be between {least:.15g} and {most:.15g}", fix, domain, least, most)
-    for domain, least, most, fix in (
+    RangeRule(f"must be between {minimum:.15g} and {maximum:.15g}", fix, domain, minimum, maximum)
+    for domain, minimum, maximum, fix in (
         ("version", 0, 1e12, "leave the version that the questionnaire or apply wrote"),
         ("partitions_per_region", 1, 1024, "several times the entries of a region, such as 32"),
         ("services[*].longest_run_seconds", _SHORTEST_SECONDS, _HOUR_SECONDS, "give seconds"),
@@ -187,7 +187,7 @@
             "add the link with its latency and capacity",
         ),
         (
-            relations.sizeless_replicas,
+            relations.replicas_without_size,
             "services[*].resources",
             "must declare processors and memory when replicas are placed",
             "give the size of one replica",
@@ -205,7 +205,7 @@
             "lower the size of a replica or add workers in another failure domain",
         ),
         (
-            relations.replicas_beyond_a_lost_domain,
+            relations.replicas_exceeding_reduced_capacity,
             "services",
             "must fit together in the workers that are left when the largest domain fails",
             "lower replicas or sizes, or add workers",
@@ -217,19 +217,19 @@
             "lower quotas (tasks_at_once of the jobs) or add workers",
         ),
         (
-            relations.lopsided_quotas,
+            relations.incomplete_quotas,
             "teams[*].quota",
             "must have both processors and memory, or neither",
             "give both; nothing runs without one of them",
         ),
         (
-            relations.memory_in_another_unit,
+            relations.too_little_memory_per_core,
             "resources, quota, capacity",
             "must have at least 1 MiB of memory for each core",
             "give memory in bytes: 60 GB are 60000000000",
         ),
         (
-            relations.racks_beyond_the_group,
+            relations.racks_larger_than_group,
             "workers[*].workers_per_rack",
             "must be at most the group's count",
             "correct workers_per_rack",
@@ -241,9 +241,9 @@
             "give at least one measure a weight above 0",
         ),
         (
-            relations.more_than_a_stored_value,
+            relations.configuration_too_large_to_store,
             "file",
-            f"must be at most {relations.LONGEST_STORED_BYTES} bytes when stored",
+            f"must be at most {relations.MAX_STORED_BYTES} bytes when stored",
             "remove targets that are no longer used",
         ),
     )
@@ -254,7 +254,7 @@
 
 def check(configuration: Configuration) -> tuple[Violation, ...]:
     """Return all violations of all rules, in the order of ``RULES``."""
-    return tuple(violation for rule in RULES for violation in rule.broken_by(configuration))
+    return tuple(violation for rule in RULES for violation in rule.find_violations(configuration))
 
 
 def check_change(current: Configuration | None, proposed: Configuration) -> tuple[Violation, ...]:
@@ -262,14 +262,14 @@
 
     ``current`` is None if no configuration is in force yet; then nothing is forbidden.
     """
-    return tuple(_broken_by_change(current, proposed)) if current is not None else ()
+    return tuple(_change_violations(current, proposed)) if current is not None else ()
 
 
-def _broken_by_change(current: Configuration, proposed: Configuration) -> Iterator[Violation]:
+def _change_violations(current: Configuration, proposed: Configuration) -> Iterator[Violation]:
     if current.partitions_per_region != proposed.partitions_per_region:
         yield Violation(
             "partitions_per_region",
-            shown(proposed.partitions_per_region),
+            short_repr(proposed.partitions_per_region),
             "must not change while entries run: they would disagree on who owns a target",
             f"keep {current.partitions_per_region}",
         )
--- a/fireflyfork/operations/_decoding.py
+++ b/fireflyfork/operations/_decoding.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from ._quantities import Quantity
-from ._violations import Violation, shown
+from ._violations import Violation, short_repr
 
 T = typing.TypeVar("T")
 
@@ -32,50 +32,54 @@
 
 def decode(expected: type[T], raw: object) -> Decoded[T]:
     """Convert a parsed JSON value into the dataclass ``expected``."""
-    found: list[Violation] = []
-    value = _convert(expected, raw, "", found)
-    return Decoded(None if found else value, tuple(found))
+    violations: list[Violation] = []
+    value = _convert(expected, raw, "", violations)
+    return Decoded(None if violations else value, tuple(violations))
 
 
-def _convert(expected: Any, raw: object, path: str, found: list[Violation]) -> Any:
+def _convert(expected: Any, raw: object, path: str, violations: list[Violation]) -> Any:
     if dataclasses.is_dataclass(expected) and not is_quantity(expected):
-        return _convert_object(expected, raw, path, found)
+        return _convert_object(expected, raw, path, violations)
     if typing.get_origin(expected) is tuple and typing.get_args(expected)[-1] is Ellipsis:
-        return _convert_list(typing.get_args(expected)[0], raw, path, found)
+        return _convert_list(typing.get_args(expected)[0], raw, path, violations)
     if is_optional(expected):
-        return None if raw is None else _convert(inner_type(expected), raw, path, found)
-    return _convert_leaf(expected, raw, path, found)
+        return None if raw is None else _convert(inner_type(expected), raw, path, violations)
+    return _convert_leaf(expected, raw, path, violations)
 
 
-def _convert_object(expected: Any, raw: object, path: str, found: list[Violation]) -> Any:
+def _convert_object(expected: Any, raw: object, path: str, violations: list[Violation]) -> Any:
     if not isinstance(raw, dict):
-        found.append(Violation(path or "file", shown(raw), "must be an object", "write {...} here"))
+        violations.append(
+            Violation(path or "file", short_repr(raw), "must be an object", "write {...} here")
+        )
         return None
     hints = type_hints(expected)
     for name in raw:
         if name not in hints:
-            found.append(_unknown_field(name, raw[name], list(hints), path))
+            violations.append(_unknown_field(name, raw[name], list(hints), path))
     values: dict[str, Any] = {}
     for field in dataclasses.fields(expected):
-        where = joined(path, field.name)
+        field_path = join_path(path, field.name)
         if field.name in raw:
-            values[field.name] = _convert(hints[field.name], raw[field.name], where, found)
+            values[field.name] = _convert(
+                hints[field.name], raw[field.name], field_path, violations
+            )
         elif _is_required(field):
             fix = f"add it, such as {_example(hints[field.name])}"
-            found.append(Violation(where, "absent", "is required", fix))
-    return None if found else expected(**values)
+            violations.append(Violation(field_path, "absent", "is required", fix))
+    return None if violations else expected(**values)
 
 
-def _convert_list(element: Any, raw: object, path: str, found: list[Violation]) -> Any:
+def _convert_list(element: Any, raw: object, path: str, violations: list[Violation]) -> Any:
     if not isinstance(raw, list):
-        found.append(Violation(path, shown(raw), "must be a list", "write [...] here"))
+        violations.append(Violation(path, short_repr(raw), "must be a list", "write [...] here"))
         return ()
     return tuple(
-        _convert(element, item, f"{path}[{index}]", found) for index, item in enumerate(raw)
+        _convert(element, item, f"{path}[{index}]", violations) for index, item in enumerate(raw)
     )
 
 
-def _convert_leaf(expected: Any, raw: object, path: str, found: list[Violation]) -> Any:
+def _convert_leaf(expected: Any, raw: object, path: str, violations: list[Violation]) -> Any:
     try:
         if is_quantity(expected):
             return expected.parse(raw)
@@ -83,7 +87,7 @@
     except (ValueError, msgspec.ValidationError) as error:
         rule = str(error)
         rule = rule[0].lower() + rule[1:]
-        found.append(Violation(path, shown(raw), rule, f"write {_example(expected)}"))
+        violations.append(Violation(path, short_repr(raw), rule, f"write {_example(expected)}"))
         return None
 
 
@@ -92,7 +96,9 @@
 
     close = difflib.get_close_matches(name, known, n=1)
     fix = f"did you mean {close[0]}?" if close else f"remove it; known are {', '.join(known)}"
-    return Violation(joined(path, name), shown(value), "is not a known field", fix.rstrip("?"))
+    return Violation(
+        join_path(path, name), short_repr(value), "is not a known field", fix.rstrip("?")
+    )
 
 
 @functools.cache
@@ -142,18 +148,18 @@
     )
 
 
-def joined(path: str, name: str) -> str:
+def join_path(path: str, name: str) -> str:
     """Return the path of a field of the object at ``path``; an empty path is the root."""
     return f"{path}.{name}" if path else name
 
 
-def leaves(value: object, path: str = "") -> Iterator[tuple[str, object]]:
+def iter_leaves(value: object, path: str = "") -> Iterator[tuple[str, object]]:
     """Yield the path and value of each scalar in nested dicts and lists, in their order."""
     if isinstance(value, dict):
         for name, inner in value.items():
-            yield from leaves(inner, joined(path, str(name)))
+            yield from iter_leaves(inner, join_path(path, str(name)))
     elif isinstance(value, list):
         for index, inner in enumerate(value):
-            yield from leaves(inner, f"{path}[{index}]")
+            yield from iter_leaves(inner, f"{path}[{index}]")
     else:
         yield path, value
--- a/fireflyfork/operations/_differences.py
+++ b/fireflyfork/operations/_differences.py
@@ -12,13 +12,13 @@
 import msgspec
 
 from .._contracts import Configuration
-from ._decoding import joined
-from ._violations import shown
+from ._decoding import join_path
+from ._violations import short_repr
 
-_BOOKKEEPING = frozenset({"version", "change_id", "note"})
-_MOST_NAMED = 4
-_LONGEST_VALUE = 120
-_NAMES = ("target_id", "name", "regions", "failure_domain")
+_METADATA_FIELDS = frozenset({"version", "change_id", "note"})
+_MAX_LISTED_NAMES = 4
+_MAX_VALUE_LENGTH = 120
+_NAME_FIELDS = ("target_id", "name", "regions", "failure_domain")
 """Fields that can name an element of a list; the first that the element has is used."""
 
 
@@ -33,26 +33,26 @@
     def __str__(self) -> str:
         """Format as one line that starts with ``+``, ``-`` or ``~`` (changed)."""
         if self.before is None:
-            return f"+ {self.path}: {_shown(self.after)}"
+            return f"+ {self.path}: {_format_element(self.after)}"
         if self.after is None:
-            return f"- {self.path}: {_shown(self.before)}"
-        return f"~ {self.path}: {shown(self.before)} -> {shown(self.after)}"
+            return f"- {self.path}: {_format_element(self.before)}"
+        return f"~ {self.path}: {short_repr(self.before)} -> {short_repr(self.after)}"
 
 
 def differences(
     before: Configuration | None, after: Configuration | None
 ) -> tuple[Difference, ...]:
     """Return the changes from ``before`` to ``after``, without version, change id and note."""
-    return tuple(_compare("", _plain(before), _plain(after)))
+    return tuple(_compare("", _comparable_fields(before), _comparable_fields(after)))
 
 
-def _plain(configuration: Configuration | None) -> object:
+def _comparable_fields(configuration: Configuration | None) -> object:
     if configuration is None:
         return {}
     plain = msgspec.to_builtins(configuration)
     # Decoding doesn't distinguish an absent list from an empty one, so both compare as equal.
     return {
-        name: value for name, value in plain.items() if name not in _BOOKKEEPING and value != ()
+        name: value for name, value in plain.items() if name not in _METADATA_FIELDS and value != ()
     }
 
 
@@ -71,7 +71,7 @@
     path: str, before: dict[str, object], after: dict[str, object], pattern: str
 ) -> Iterator[Difference]:
     for name in {**before, **after}:
-        where = pattern.format(path=path, name=name) if path else joined(path, name)
+        where = pattern.format(path=path, name=name) if path else join_path(path, name)
         yield from _compare(where, before.get(name), after.get(name))
 
 
@@ -85,24 +85,24 @@
     counts: Counter[str] = Counter()
     named: dict[str, object] = {}
     for item in items:
-        name = _name(item)
+        name = _element_name(item)
         counts[name] += 1
         named[name if counts[name] == 1 else f"{name}#{counts[name]}"] = item
     return named
 
 
-def _shown(value: object) -> str:
+def _format_element(value: object) -> str:
     """Format an added or removed value.
 
     A list of objects is shown by the names of its elements, or by their number if there are more
     than ``_MAX_LISTED_NAMES``.
     """
     if not isinstance(value, tuple) or not _is_list_of_objects(value):
-        return shown(value, _LONGEST_VALUE)
+        return short_repr(value, _MAX_VALUE_LENGTH)
     names = tuple(_by_name(value))
-    return ", ".join(names) if len(names) <= _MOST_NAMED else f"{len(names)} entries"
+    return ", ".join(names) if len(names) <= _MAX_LISTED_NAMES else f"{len(names)} entries"
 
 
-def _name(item: dict[str, object]) -> str:
-    value = next((item[field] for field in _NAMES if field in item), "?")
+def _element_name(item: dict[str, object]) -> str:
+    value = next((item[field] for field in _NAME_FIELDS if field in item), "?")
     return "-".join(value) if isinstance(value, tuple) else str(value)
--- a/fireflyfork/operations/_documents.py
+++ b/fireflyfork/operations/_documents.py
@@ -18,7 +18,7 @@
 from ._decoding import Decoded, decode
 from ._generator import Generated
 from ._quantities import Quantity
-from ._violations import Violation, shown
+from ._violations import Violation, short_repr
 
 T = TypeVar("T")
 
@@ -49,7 +49,7 @@
     try:
         raw = parse_document(text)
     except SettingsError as error:
-        fault = Violation("file", shown(text[:40]), str(error), "mend the file's syntax there")
+        fault = Violation("file", short_repr(text[:40]), str(error), "mend the file's syntax there")
         return Decoded(None, (fault,))
     return decode(expected, raw)
 
@@ -66,7 +66,7 @@
 
 def render_answers(answers: Answers, title: str) -> str:
     """Render answers; quantities keep the text that their author wrote."""
-    return _render(_plain_answers(answers), {}, title)
+    return _render(_answers_to_builtins(answers), {}, title)
 
 
 def with_version(text: str, version: ConfigurationVersion) -> str:
@@ -104,12 +104,12 @@
     return dict(pairs)
 
 
-def _plain_answers(value: object) -> object:
+def _answers_to_builtins(value: object) -> object:
     if isinstance(value, Quantity):
         return value.text
     if isinstance(value, tuple):
-        return [_plain_answers(item) for item in value]
+        return [_answers_to_builtins(item) for item in value]
     if dataclasses.is_dataclass(value):
         given = ((field.name, getattr(value, field.name)) for field in dataclasses.fields(value))
-        return {name: _plain_answers(inner) for name, inner in given if inner is not None}
+        return {name: _answers_to_builtins(inner) for name, inner in given if inner is not None}
     return msgspec.to_builtins(value)
--- a/fireflyfork/operations/_generator.py
+++ b/fireflyfork/operations/_generator.py
@@ -33,7 +33,7 @@
 from .._zones import Region
 from ._answers import Answers, ExecutorAnswer, JobAnswer, Measure, ServiceAnswer
 from ._sources import sources_of
-from ._violations import Violation, shown
+from ._violations import Violation, short_repr
 
 UNAPPLIED = ConfigurationVersion(0)
 """The version of a generated configuration that no store has accepted."""
@@ -75,15 +75,15 @@
 
 def unusable_addresses(answers: Answers) -> Iterator[Violation]:
     """Yield a violation for each group of executors whose addresses are missing or invalid."""
-    for number, service in enumerate(answers.services):
-        for place, executors in enumerate(service.executors):
+    for service_index, service in enumerate(answers.services):
+        for group_index, executors in enumerate(service.executors):
             try:
                 addresses_of(executors)
             except SettingsError as error:
-                path = f"services[{number}].executors[{place}]"
+                path = f"services[{service_index}].executors[{group_index}]"
                 value = executors.first_address or list(executors.addresses)
                 fix = "give first_address as IP:port, or one address for each executor"
-                yield Violation(path, shown(value), str(error), fix)
+                yield Violation(path, short_repr(value), str(error), fix)
 
 
 def addresses_of(executors: ExecutorAnswer) -> tuple[str, ...]:
@@ -116,7 +116,7 @@
         yield RegionLink(
             (RegionName(link.between[0]), RegionName(link.between[1])),
             link.one_way.milliseconds,
-            link.capacity.whole,
+            link.capacity.rounded_amount,
             link.spill.fraction,
         )
 
@@ -127,7 +127,7 @@
             FailureDomainName(group.failure_domain),
             group.count,
             group.per_rack,
-            Resources(group.cores.millicores, group.memory.whole, group.accelerators),
+            Resources(group.cores.millicores, group.memory.rounded_amount, group.accelerators),
         )
 
 
@@ -140,9 +140,11 @@
         longest_timeout_seconds=answer.longest_timeout.seconds,
         latency_objective_milliseconds=answer.objective.milliseconds,
         longest_queue=answer.queue,
-        longest_body_bytes=answer.largest_request.whole,
+        longest_body_bytes=answer.largest_request.rounded_amount,
         replicas=answer.replicas,
-        resources=Resources(answer.cores.millicores, answer.memory.whole, answer.accelerators),
+        resources=Resources(
+            answer.cores.millicores, answer.memory.rounded_amount, answer.accelerators
+        ),
         tolerance=answer.when_disturbed,
     )
 
@@ -177,16 +179,16 @@
 
 def _teams(answers: Answers) -> Iterator[TeamContract]:
     for team in answers.teams:
-        sizes = (_running(job) for job in answers.jobs if job.team == team.name)
+        sizes = (_concurrent_resources(job) for job in answers.jobs if job.team == team.name)
         quota = sum(sizes, start=Resources())
         yield TeamContract(TeamName(team.name), quota, team.when_disturbing, team.urgent)
 
 
-def _running(job: JobAnswer) -> Resources:
+def _concurrent_resources(job: JobAnswer) -> Resources:
     """Return the total reservation of the tasks of a job that may run at once."""
     return Resources(
         job.cores.millicores * job.tasks_at_once,
-        job.memory.whole * job.tasks_at_once,
+        job.memory.rounded_amount * job.tasks_at_once,
         job.accelerators * job.tasks_at_once,
     )
 
--- a/fireflyfork/operations/_interview.py
+++ b/fireflyfork/operations/_interview.py
@@ -31,7 +31,7 @@
     """What the answer changes, shown together with the text."""
     default: str | None
     """The value of an empty reply, or None if a reply is required."""
-    complaint: str = ""
+    error: str = ""
     """Why the previous reply to this question was rejected; empty for the first try."""
 
 
@@ -57,19 +57,21 @@
 
 def _ask_field(field: dataclasses.Field[Any], kind: Any, path: str) -> Interview:
     question = question_of(field)
-    element = _element(kind)
+    element = _element_type(kind)
     if element is not None and dataclasses.is_dataclass(element):
         return (yield from _ask_list(element, path, question.prompt, question.why))
     default = _default(field)
-    prompt = Prompt(path, question.prompt + _such_as(kind), question.why, _written(default))
+    prompt = Prompt(
+        path, question.prompt + _example_suffix(kind), question.why, _format_default(default)
+    )
     while True:
         reply = (yield prompt).strip()
         if not reply and prompt.default is not None:
             return default
         try:
-            return _read(kind, reply)
+            return _parse_reply(kind, reply)
         except ValueError as error:
-            prompt = dataclasses.replace(prompt, complaint=f"{reply!r}: {error}")
+            prompt = dataclasses.replace(prompt, error=f"{reply!r}: {error}")
 
 
 def _ask_list(element: Any, path: str, text: str, why: str) -> Interview:
@@ -77,69 +79,69 @@
     items: list[Any] = []
     while True:
         prompt = f"{text}: add {'another' if items else 'one'}? yes or no"
-        more = Prompt(f"{path}[{len(items)}]", prompt, why, "no")
-        if not (yield from _ask_yes(more)):
+        add_prompt = Prompt(f"{path}[{len(items)}]", prompt, why, "no")
+        if not (yield from _ask_yes_or_no(add_prompt)):
             return tuple(items)
-        items.append((yield from _ask_object(element, more.path)))
+        items.append((yield from _ask_object(element, add_prompt.path)))
 
 
-def _ask_yes(prompt: Prompt) -> Generator[Prompt, str, bool]:
+def _ask_yes_or_no(prompt: Prompt) -> Generator[Prompt, str, bool]:
     while True:
         reply = (yield prompt).strip()
         try:
-            return _read_yes(reply)
+            return _parse_yes_or_no(reply)
         except ValueError as error:
-            prompt = dataclasses.replace(prompt, complaint=f"{reply!r}: {error}")
+            prompt = dataclasses.replace(prompt, error=f"{reply!r}: {error}")
 
 
-def _such_as(kind: Any) -> str:
+def _example_suffix(kind: Any) -> str:
     """Return an example to append to the prompt of a quantity; empty for other types."""
     wanted = inner_type(kind) if is_optional(kind) else kind
     return f", such as {wanted.example()}" if is_quantity(wanted) else ""
 
 
-def _read(kind: Any, reply: str) -> Any:
+def _parse_reply(kind: Any, reply: str) -> Any:
     """Parse a reply as a value of type ``kind``.
 
     Raises ValueError whose message states the expected format.
     """
     if is_optional(kind):
-        return _read(inner_type(kind), reply) if reply else None
+        return _parse_reply(inner_type(kind), reply) if reply else None
     if typing.get_origin(kind) is tuple:
-        return _read_words(kind, reply.replace(",", " ").split())
+        return _parse_words(kind, reply.replace(",", " ").split())
     if is_quantity(kind):
         return kind.parse(reply)
     if kind is bool:
-        return _read_yes(reply)
+        return _parse_yes_or_no(reply)
     if kind is int:
-        return _read_whole(reply)
+        return _parse_whole_number(reply)
     if isinstance(kind, type) and issubclass(kind, Enum):
-        return _read_member(kind, reply)
+        return _parse_enum_member(kind, reply)
     if not reply:
         raise ValueError("an answer is needed")
     return reply
 
 
-def _read_words(kind: Any, words: list[str]) -> tuple[Any, ...]:
+def _parse_words(kind: Any, words: list[str]) -> tuple[Any, ...]:
     arguments = typing.get_args(kind)
     if arguments[-1] is not Ellipsis and len(words) != len(arguments):
         raise ValueError(f"expected {len(arguments)} words")
-    return tuple(_read(arguments[0], word) for word in words)
+    return tuple(_parse_reply(arguments[0], word) for word in words)
 
 
-def _read_yes(reply: str) -> bool:
+def _parse_yes_or_no(reply: str) -> bool:
     if reply.lower() not in _YES | _NO:
         raise ValueError("expected yes or no")
     return reply.lower() in _YES
 
 
-def _read_whole(reply: str) -> int:
+def _parse_whole_number(reply: str) -> int:
     if not reply.isascii() or not reply.isdigit():
         raise ValueError("expected a whole number")
     return int(reply)
 
 
-def _read_member(kind: type[Enum], reply: str) -> Enum:
+def _parse_enum_member(kind: type[Enum], reply: str) -> Enum:
     try:
         return kind(reply)
     except ValueError:
@@ -147,7 +149,7 @@
         raise ValueError(f"expected one of {names}") from None
 
 
-def _element(kind: Any) -> Any:
+def _element_type(kind: Any) -> Any:
     """Return the element type of a variable-length tuple, or None for any other type."""
     arguments = typing.get_args(kind)
     is_list = typing.get_origin(kind) is tuple and arguments[-1] is Ellipsis
@@ -160,7 +162,7 @@
     return field.default
 
 
-def _written(default: Any) -> str | None:
+def _format_default(default: Any) -> str | None:
     """Format a default for its prompt, or return None if a reply is required."""
     if default is dataclasses.MISSING:
         return None
@@ -171,5 +173,5 @@
     if isinstance(default, Enum):
         return str(default.value)
     if isinstance(default, tuple):
-        return " ".join(_written(item) or "" for item in default)
+        return " ".join(_format_default(item) or "" for item in default)
     return str(default)
--- a/fireflyfork/operations/_job_account.py
+++ b/fireflyfork/operations/_job_account.py
@@ -16,7 +16,7 @@
 
 from .._job_samples import in_sample, job_of_task
 from .._waits import WaitReason
-from ._log_lines import decoded_lines
+from ._log_lines import decode_log_lines
 
 PHASE_SECONDS = 5.0
 """Length of the phases into which late jobs are grouped by acceptance time."""
@@ -122,7 +122,7 @@
 class _Job:
     queue: str
     accepted_at: float
-    over_at: float | None = None
+    finished_at: float | None = None
     state: str = "not over"
     allowed_seconds: float | None = None
     runs: dict[str, dict[int, _Run]] = field(default_factory=lambda: defaultdict(dict))
@@ -136,19 +136,19 @@
     a busy owner logged only in part are left out too. Text before the first brace of a line is
     skipped, and so are lines that are not log lines.
     """
-    known = sorted(_decoded(lines), key=lambda pair: pair[0])
-    if not known:
+    dated_lines = sorted(_lines_with_time(lines), key=lambda pair: pair[0])
+    if not dated_lines:
         return JobAccounts((), 1.0)
-    begin = known[0][0]
-    records = [((at - begin).total_seconds(), line) for at, line in known]
+    begin = dated_lines[0][0]
+    records = [((at - begin).total_seconds(), line) for at, line in dated_lines]
     jobs = _collect(records)
-    gaps = _gaps(records)
-    end = records[-1][0]
+    gaps = _intervals_without_owner(records)
+    last_time = records[-1][0]
     share = _smallest_share(records)
     accounts = tuple(
-        _account(name, job, gaps, end)
+        _account(name, job, gaps, last_time)
         for name, job in jobs.items()
-        if in_sample(name, share) and not _lasts(job)
+        if in_sample(name, share) and not _is_long_running(job)
     )
     return JobAccounts(accounts, share)
 
@@ -165,11 +165,14 @@
         if account.late:
             cause = account.main_cause
             rows[account.queue, cause].append(account.seconds.get(cause, 0.0))
-    found = (CauseRow(queue, cause, len(all_), sum(all_)) for (queue, cause), all_ in rows.items())
-    return tuple(sorted(found, key=lambda row: (-row.jobs, row.queue, row.cause.value)))
+    summary = (
+        CauseRow(queue, cause, len(cause_seconds), sum(cause_seconds))
+        for (queue, cause), cause_seconds in rows.items()
+    )
+    return tuple(sorted(summary, key=lambda row: (-row.jobs, row.queue, row.cause.value)))
 
 
-def by_phase(accounts: Iterable[JobAccount]) -> dict[float, dict[Cause, int]]:
+def late_jobs_by_phase(accounts: Iterable[JobAccount]) -> dict[float, dict[Cause, int]]:
     """Count late jobs by main cause, for each phase of acceptance, keyed by its first second."""
     phases: dict[float, dict[Cause, int]] = defaultdict(lambda: defaultdict(int))
     for account in accounts:
@@ -179,8 +182,8 @@
     return {phase: dict(phases[phase]) for phase in sorted(phases)}
 
 
-def _decoded(lines: Iterable[str]) -> Iterator[tuple[datetime, _Line]]:
-    for line in decoded_lines(lines, _Line):
+def _lines_with_time(lines: Iterable[str]) -> Iterator[tuple[datetime, _Line]]:
+    for line in decode_log_lines(lines, _Line):
         try:
             yield datetime.fromisoformat(line.time), line
         except ValueError:
@@ -204,12 +207,12 @@
             if run is not None and run.ended_at is None:
                 run.ended_at, run.reason, run.lowest_pace = at, line.reason, line.lowest_pace
         elif line.message == "job over":
-            job.over_at, job.state = at, line.state
+            job.finished_at, job.state = at, line.state
             job.allowed_seconds = line.allowed_ms / 1000
     return jobs
 
 
-def _gaps(records: Iterable[tuple[float, _Line]]) -> list[tuple[float, float]]:
+def _intervals_without_owner(records: Iterable[tuple[float, _Line]]) -> list[tuple[float, float]]:
     """Return the intervals in which a service had no owner that made decisions.
 
     An interval lasts from the last logged decision before a takeover until the new owner logs that
@@ -225,25 +228,28 @@
     return gaps
 
 
-def _lasts(job: _Job) -> bool:
+def _is_long_running(job: _Job) -> bool:
     """Whether the job's tasks run until it is cancelled, so that none ends with reason ``done``."""
     runs = [run for by_attempt in job.runs.values() for run in by_attempt.values()]
     cancelled = job.state == "cancelled"
-    unended = job.over_at is None and bool(runs)
+    unended = job.finished_at is None and bool(runs)
     return (cancelled or unended) and not any(run.reason == "done" for run in runs)
 
 
-def _account(name: str, job: _Job, gaps: list[tuple[float, float]], end: float) -> JobAccount:
-    until = job.over_at if job.over_at is not None else end
+def _account(name: str, job: _Job, gaps: list[tuple[float, float]], log_end: float) -> JobAccount:
+    until = job.finished_at if job.finished_at is not None else log_end
     seconds: dict[Cause, float] = defaultdict(float)
-    for begin, finish, cause in _segments(job, until):
-        gap = 0.0
+    for start, stop, cause in _segments(job, until):
+        without_owner = 0.0
         if cause not in (Cause.RAN, Cause.PACED, Cause.STORED):
-            gap = sum(max(0.0, min(finish, b) - max(begin, a)) for a, b in gaps)
-        if gap:
-            seconds[Cause.NO_OWNER] += gap
-        seconds[cause] += finish - begin - gap
-    allowed = job.allowed_seconds if job.over_at is not None else None
+            without_owner = sum(
+                max(0.0, min(stop, gap_stop) - max(start, gap_start))
+                for gap_start, gap_stop in gaps
+            )
+        if without_owner:
+            seconds[Cause.NO_OWNER] += without_owner
+        seconds[cause] += stop - start - without_owner
+    allowed = job.allowed_seconds if job.finished_at is not None else None
     return JobAccount(
         name, job.queue, job.accepted_at, job.state, until - job.accepted_at, allowed, dict(seconds)
     )
@@ -261,7 +267,7 @@
                 yield max(cursor, run.sent_at), ended, _run_cause(run)
             cursor = max(cursor, ended)
     if cursor < until:
-        yield cursor, until, Cause.STORED if job.over_at is not None else Cause.NEVER_PLACED
+        yield cursor, until, Cause.STORED if job.finished_at is not None else Cause.NEVER_PLACED
 
 
 def _critical_tasks(job: _Job) -> Iterator[list[_Run]]:
@@ -292,7 +298,7 @@
     return Cause.RAN if run.lowest_pace >= 100 else Cause.PACED
 
 
-def spread(accounts: Iterable[JobAccount]) -> dict[str, dict[Cause, float]]:
+def late_seconds_by_cause(accounts: Iterable[JobAccount]) -> dict[str, dict[Cause, float]]:
     """Sum the seconds of late jobs by queue and cause."""
     sums: dict[str, dict[Cause, float]] = defaultdict(lambda: defaultdict(float))
     for account in accounts:
--- a/fireflyfork/operations/_log_lines.py
+++ b/fireflyfork/operations/_log_lines.py
@@ -10,14 +10,14 @@
 _Line = TypeVar("_Line")
 
 
-def decoded_lines(lines: Iterable[str], shape: type[_Line]) -> Iterator[_Line]:
+def decode_log_lines(lines: Iterable[str], line_type: type[_Line]) -> Iterator[_Line]:
     """Yield the lines that decode as ``line_type``; text before a line's first brace is skipped."""
     for text in lines:
         brace = text.find("{")
         if brace < 0:
             continue
         try:
-            yield msgspec.json.decode(text[brace:], type=shape)
+            yield msgspec.json.decode(text[brace:], type=line_type)
         except (msgspec.DecodeError, UnicodeEncodeError):
             # A file may combine the logs of several programs; lines of other programs are skipped.
             continue
--- a/fireflyfork/operations/_loop_account.py
+++ b/fireflyfork/operations/_loop_account.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ._log_lines import decoded_lines
+from ._log_lines import decode_log_lines
 
 
 @dataclass(slots=True)
@@ -77,4 +77,4 @@
 
 def _loop_lines(lines: Iterable[str]) -> Iterator[_Line]:
     likely = (text for text in lines if _MESSAGE in text)
-    return (line for line in decoded_lines(likely, _Line) if line.message == _MESSAGE)
+    return (line for line in decode_log_lines(likely, _Line) if line.message == _MESSAGE)
--- a/fireflyfork/operations/_quantities.py
+++ b/fireflyfork/operations/_quantities.py
@@ -47,7 +47,7 @@
         return cls(match.group(0).strip(), amount)
 
     @property
-    def whole(self) -> int:
+    def rounded_amount(self) -> int:
         """The amount, rounded to a whole number."""
         return round(self.amount)
 
--- a/fireflyfork/operations/_reference.py
+++ b/fireflyfork/operations/_reference.py
@@ -34,17 +34,17 @@
 
 def _configuration_lines() -> Iterator[str]:
     yield "## Configuration\n"
-    for kind in _records(Configuration):
+    for kind in _nested_dataclasses(Configuration):
         yield f"### {kind.__name__}\n\n{_summary(kind)}\n"
         yield "| field | type | default | meaning |\n|---|---|---|---|"
-        told = _field_docstrings(kind)
+        docstrings = _field_docstrings(kind)
         hints = type_hints(kind)
         for field in dataclasses.fields(kind):
             cells = (
                 f"`{field.name}`",
                 _type_name(hints[field.name]),
                 _default(field),
-                told.get(field.name, ""),
+                docstrings.get(field.name, ""),
             )
             yield f"| {' | '.join(map(_cell, cells))} |"
         yield ""
@@ -60,7 +60,7 @@
 
 def _answer_lines() -> Iterator[str]:
     yield "## Answers\n"
-    for kind in _records(Answers):
+    for kind in _nested_dataclasses(Answers):
         yield f"### {kind.__name__}\n\n{_summary(kind)}\n"
         yield "| answer | type | default | question | what it changes |\n|---|---|---|---|---|"
         hints = type_hints(kind)
@@ -77,7 +77,7 @@
         yield ""
 
 
-def _records(kind: Any) -> tuple[Any, ...]:
+def _nested_dataclasses(kind: Any) -> tuple[Any, ...]:
     """Return a dataclass and all dataclasses nested in its fields, each once, outermost first."""
     found = [kind]
     for record in found:
@@ -104,12 +104,12 @@
     """Return the docstrings below the fields of a class by field name."""
     (definition,) = ast.parse(textwrap.dedent(inspect.getsource(kind))).body
     assert isinstance(definition, ast.ClassDef)
-    told: dict[str, str] = {}
-    for statement, below in zip(definition.body, definition.body[1:], strict=False):
-        text = _text_of(below)
+    docstrings: dict[str, str] = {}
+    for statement, successor in zip(definition.body, definition.body[1:], strict=False):
+        text = _text_of(successor)
         if isinstance(statement, ast.AnnAssign) and isinstance(statement.target, ast.Name) and text:
-            told[statement.target.id] = inspect.cleandoc(text).replace("\n", " ")
-    return told
+            docstrings[statement.target.id] = inspect.cleandoc(text).replace("\n", " ")
+    return docstrings
 
 
 def _text_of(statement: ast.stmt) -> str:
--- a/fireflyfork/operations/_rules.py
+++ b/fireflyfork/operations/_rules.py
@@ -14,38 +14,38 @@
 from typing import Any, Generic, TypeVar
 
 from .._contracts import Configuration
-from ._violations import Violation, shown
+from ._violations import Violation, short_repr
 
 T = TypeVar("T")
 
 
 @dataclass(frozen=True, slots=True)
-class Located(Generic[T]):
+class LocatedValue(Generic[T]):
     """A value and its path in the configuration."""
 
     path: str
     value: T
 
 
-def located(configuration: Configuration, domain: str) -> Iterator[Located[Any]]:
+def values_of_domain(configuration: Configuration, domain: str) -> Iterator[LocatedValue[Any]]:
     """Return the values of a domain; ``[*]`` matches each element, and None is left out."""
-    found = [Located("", configuration)]
+    selected = [LocatedValue("", configuration)]
     for step in domain.split("."):
-        found = [inner for outer in found for inner in _step(outer, step)]
-    return iter(found)
+        selected = [nested for container in selected for nested in _step(container, step)]
+    return iter(selected)
 
 
-def _step(outer: Located[Any], step: str) -> Iterator[Located[Any]]:
+def _step(container: LocatedValue[Any], step: str) -> Iterator[LocatedValue[Any]]:
     name, wildcard, _ = step.partition("[*]")
-    value = getattr(outer.value, name)
-    path = f"{outer.path}.{name}" if outer.path else name
+    value = getattr(container.value, name)
+    path = f"{container.path}.{name}" if container.path else name
     if value is None:
         return
     if not wildcard:
-        yield Located(path, value)
+        yield LocatedValue(path, value)
         return
     for index, item in enumerate(value):
-        yield Located(f"{path}[{index}]", item)
+        yield LocatedValue(f"{path}[{index}]", item)
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,12 +58,12 @@
     """The likely fix, as an instruction to the operator."""
 
     @abstractmethod
-    def broken_by(self, configuration: Configuration) -> Iterator[Violation]:
+    def find_violations(self, configuration: Configuration) -> Iterator[Violation]:
         """Yield a violation for each value that breaks this rule."""
 
     def violation(self, path: str, value: object, fix: str = "") -> Violation:
         """Return a violation of this rule; a non-empty ``fix`` replaces the rule's fix."""
-        return Violation(path, shown(value), self.text, fix or self.fix)
+        return Violation(path, short_repr(value), self.text, fix or self.fix)
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,9 +73,9 @@
     domain: str
     pattern: str
 
-    def broken_by(self, configuration: Configuration) -> Iterator[Violation]:
+    def find_violations(self, configuration: Configuration) -> Iterator[Violation]:
         """Yield a violation for each string that doesn't match the pattern."""
-        for text in located(configuration, self.domain):
+        for text in values_of_domain(configuration, self.domain):
             if not re.fullmatch(self.pattern, text.value):
                 yield self.violation(text.path, text.value)
 
@@ -85,14 +85,14 @@
     """Each number of a domain must lie between two inclusive bounds."""
 
     domain: str
-    least: float
-    most: float
+    minimum: float
+    maximum: float
 
-    def broken_by(self, configuration: Configuration) -> Iterator[Violation]:
+    def find_violations(self, configuration: Configuration) -> Iterator[Violation]:
         """Yield a violation for each number outside the range, and for NaN."""
-        for number in located(configuration, self.domain):
+        for number in values_of_domain(configuration, self.domain):
             # Comparisons with NaN are false, so a test for values outside the range would miss NaN.
-            if not self.least <= number.value <= self.most:
+            if not self.minimum <= number.value <= self.maximum:
                 yield self.violation(number.path, number.value)
 
 
@@ -102,10 +102,10 @@
 
     domain: str
 
-    def broken_by(self, configuration: Configuration) -> Iterator[Violation]:
+    def find_violations(self, configuration: Configuration) -> Iterator[Violation]:
         """Yield a violation for each repeated value; the fix names its first path."""
         first: dict[Any, str] = {}
-        for item in located(configuration, self.domain):
+        for item in values_of_domain(configuration, self.domain):
             earlier = first.setdefault(item.value, item.path)
             if earlier != item.path:
                 yield self.violation(item.path, item.value, f"{self.fix}; {earlier} has it too")
@@ -116,12 +116,12 @@
     """Each value of a domain must occur in another domain."""
 
     domain: str
-    among: str
+    referenced_domain: str
 
-    def broken_by(self, configuration: Configuration) -> Iterator[Violation]:
+    def find_violations(self, configuration: Configuration) -> Iterator[Violation]:
         """Yield a violation for each value not in the other domain; the fix lists known values."""
-        known = {item.value for item in located(configuration, self.among)}
-        for item in located(configuration, self.domain):
+        known = {item.value for item in values_of_domain(configuration, self.referenced_domain)}
+        for item in values_of_domain(configuration, self.domain):
             if item.value not in known:
                 names = ", ".join(sorted(map(str, known))) or "none"
                 yield self.violation(item.path, item.value, f"{self.fix}; known are {names}")
@@ -133,9 +133,9 @@
 
     domain: str
     """The values that the rule reports, for the reference page only."""
-    find: Callable[[Configuration], Iterator[Located[Any]]]
+    find_broken: Callable[[Configuration], Iterator[LocatedValue[Any]]]
 
-    def broken_by(self, configuration: Configuration) -> Iterator[Violation]:
+    def find_violations(self, configuration: Configuration) -> Iterator[Violation]:
         """Yield a violation for each value that the generator finds."""
-        for item in self.find(configuration):
+        for item in self.find_broken(configuration):
             yield self.violation(item.path, item.value)
--- a/fireflyfork/operations/_sources.py
+++ b/fireflyfork/operations/_sources.py
@@ -61,12 +61,12 @@
 
 def _service_sources(path: str, service: ServiceAnswer) -> Iterator[tuple[str, str]]:
     for name, answer in _SERVICE_SOURCES.items():
-        yield f"{path}.{name}", f"{answer}: {_told(service, answer)}"
+        yield f"{path}.{name}", f"{answer}: {_format_answer(service, answer)}"
     size = f"cores: {service.cores}, memory: {service.memory}"
     yield f"{path}.resources", f"{size}, accelerators: {service.accelerators}"
 
 
-def _told(service: ServiceAnswer, answer: str) -> str:
+def _format_answer(service: ServiceAnswer, answer: str) -> str:
     """Format an answer as written; an answer equal to its default is marked as not answered."""
     value = getattr(service, answer)
     text = str(value.value if isinstance(value, Enum) else value)
--- a/fireflyfork/operations/_span_tree.py
+++ b/fireflyfork/operations/_span_tree.py
@@ -29,15 +29,15 @@
             continue
 
 
-def find_trace(spans: Iterable[Span], wanted: str) -> tuple[Span, ...]:
+def find_trace(spans: Iterable[Span], identifier: str) -> tuple[Span, ...]:
     """Return the spans of all traces with the trace id or span attribute value ``identifier``.
 
     Attributes include the request id and the idempotency key, which callers know. An attribute
     must be equal to ``identifier``, not only contain it.
     """
-    known = tuple(spans)
-    traces = {span.trace_id for span in known if _is_named(span, wanted)}
-    return tuple(span for span in known if span.trace_id in traces)
+    all_spans = tuple(spans)
+    traces = {span.trace_id for span in all_spans if _matches_identifier(span, identifier)}
+    return tuple(span for span in all_spans if span.trace_id in traces)
 
 
 def span_trees(spans: Iterable[Span]) -> tuple[SpanNode, ...]:
@@ -56,7 +56,7 @@
     return tuple(_node(root, children) for root in roots)
 
 
-def draw(trees: Iterable[SpanNode]) -> Iterator[str]:
+def draw_trees(trees: Iterable[SpanNode]) -> Iterator[str]:
     """Yield the lines of a drawing of the trees.
 
     Times are in milliseconds: the offset from the start of the earliest root, and the duration.
@@ -66,18 +66,18 @@
     roots = tuple(trees)
     begun = min((root.span.start for root in roots), default=0.0)
     for root in roots:
-        yield _line(root.span, begun)
-        yield from _below(root, begun, "")
+        yield _format_span(root.span, begun)
+        yield from _draw_children(root, begun, "")
 
 
-def _below(node: SpanNode, begun: float, indent: str) -> Iterator[str]:
+def _draw_children(node: SpanNode, begun: float, indent: str) -> Iterator[str]:
     for child in node.children:
         is_last = child is node.children[-1]
-        yield f"{indent}{'└─ ' if is_last else '├─ '}{_line(child.span, begun)}"
-        yield from _below(child, begun, indent + ("   " if is_last else "│  "))
+        yield f"{indent}{'└─ ' if is_last else '├─ '}{_format_span(child.span, begun)}"
+        yield from _draw_children(child, begun, indent + ("   " if is_last else "│  "))
 
 
-def _line(span: Span, begun: float) -> str:
+def _format_span(span: Span, begun: float) -> str:
     offset = (span.start - begun) * _MILLISECONDS
     duration = span.duration * _MILLISECONDS
     attributes = " ".join(f"{name}={value}" for name, value in span.attributes.items())
@@ -91,5 +91,5 @@
     return SpanNode(span, tuple(_node(child, children) for child in below))
 
 
-def _is_named(span: Span, wanted: str) -> bool:
-    return span.trace_id == wanted or wanted in map(str, span.attributes.values())
+def _matches_identifier(span: Span, identifier: str) -> bool:
+    return span.trace_id == identifier or identifier in map(str, span.attributes.values())
--- a/fireflyfork/operations/_unusual.py
+++ b/fireflyfork/operations/_unusual.py
@@ -7,7 +7,7 @@
 from .._contracts import Configuration, TargetContract
 from .._ids import ServiceName
 from ._differences import differences
-from ._violations import Violation, shown
+from ._violations import Violation, short_repr
 
 LARGE_STEP = 8.0
 """Smallest factor between two values that is reported.
@@ -16,24 +16,24 @@
 """
 
 _STEP_RULE = "changes by a factor of {factor:.0f} against the version in force"
-_ODD_RULE = "differs from all other targets of the service, which had one value so far"
+_OUTLIER_RULE = "differs from all other targets of the service, which had one value so far"
 
 
-def unusual(current: Configuration | None, proposed: Configuration) -> tuple[Violation, ...]:
+def unusual_values(current: Configuration | None, proposed: Configuration) -> tuple[Violation, ...]:
     """Return allowed values that a wrong unit or digit could have produced.
 
     ``current`` is None if no configuration is in force yet; then nothing is reported.
     """
     if current is None:
         return ()
-    return (*_large_steps(current, proposed), *_odd_targets(current, proposed))
+    return (*_large_steps(current, proposed), *_outlier_targets(current, proposed))
 
 
 def _large_steps(current: Configuration, proposed: Configuration) -> Iterator[Violation]:
     for difference in differences(current, proposed):
         factor = _factor(difference.before, difference.after)
         if factor >= LARGE_STEP:
-            value = f"{shown(difference.before)} -> {shown(difference.after)}"
+            value = f"{short_repr(difference.before)} -> {short_repr(difference.after)}"
             rule = _STEP_RULE.format(factor=factor)
             yield Violation(difference.path, value, rule, "check the unit and the digits")
 
@@ -49,26 +49,28 @@
     return max(after / before, before / after)
 
 
-def _odd_targets(current: Configuration, proposed: Configuration) -> Iterator[Violation]:
+def _outlier_targets(current: Configuration, proposed: Configuration) -> Iterator[Violation]:
     for service in proposed.services:
         before = _targets(current, service.name)
         after = _targets(proposed, service.name)
         for name in ("slots", "connections"):
-            yield from _odd_ones(name, before, after)
+            yield from _outlier_of_field(name, before, after)
 
 
-def _odd_ones(
+def _outlier_of_field(
     name: str, before: tuple[TargetContract, ...], after: tuple[TargetContract, ...]
 ) -> Iterator[Violation]:
     """Yield the only target with a new value, if all targets of the service had one value before.
 
     With fewer than three targets, no value counts as usual, so none is reported.
     """
-    common = {getattr(target, name) for target in before}
-    odd = [target for target in after if getattr(target, name) not in common]
-    if len(common) == 1 and len(odd) == 1 and len(after) > 2:
-        path = f"targets[{odd[0].target_id}].{name}"
-        yield Violation(path, shown(getattr(odd[0], name)), _ODD_RULE, f"keep {min(common)}")
+    usual_values = {getattr(target, name) for target in before}
+    outliers = [target for target in after if getattr(target, name) not in usual_values]
+    if len(usual_values) == 1 and len(outliers) == 1 and len(after) > 2:
+        path = f"targets[{outliers[0].target_id}].{name}"
+        yield Violation(
+            path, short_repr(getattr(outliers[0], name)), _OUTLIER_RULE, f"keep {min(usual_values)}"
+        )
 
 
 def _targets(configuration: Configuration, service: ServiceName) -> tuple[TargetContract, ...]:
--- a/fireflyfork/operations/_violations.py
+++ b/fireflyfork/operations/_violations.py
@@ -23,7 +23,7 @@
         return f"{self.path}: {self.value}: {self.rule}. Fix: {self.fix}."
 
 
-def shown(value: object, longest: int = 60) -> str:
+def short_repr(value: object, max_length: int = 60) -> str:
     """Return the ``repr`` of a value, cut to ``max_length`` characters for messages."""
     text = repr(value)
-    return text if len(text) <= longest else f"{text[: longest - 3]}..."
+    return text if len(text) <= max_length else f"{text[: max_length - 3]}..."
--- a/fireflyfork/operations/tests/test_checks.py
+++ b/fireflyfork/operations/tests/test_checks.py
@@ -261,7 +261,7 @@
         expected = {"targets[1].slots", "services[0].longest_queue", "links[0].spill_share"}
         self.assertEqual(paths, expected)
 
-    def test_partitions_stay(self) -> None:
+    def test_number_of_partitions_must_not_change(self) -> None:
         """Guards against a change of the number of partitions while entries run.
 
         Entries with different numbers would disagree on the owner of a target, and two owners could
@@ -288,7 +288,7 @@
         violation = Violation("a.b", "3", "must be less", "lower it")
         self.assertEqual(str(violation), "a.b: 3: must be less. Fix: lower it.")
 
-    def test_names_in_other_services(self) -> None:
+    def test_path_of_the_second_service(self) -> None:
         """Guards against violations of the second service that have the path of the first."""
         base = example_configuration()
         second = replace(base.services[0], name=ServiceName("other"), team=TeamName("nobody"))
--- a/fireflyfork/operations/tests/test_differences.py
+++ b/fireflyfork/operations/tests/test_differences.py
@@ -39,13 +39,13 @@
                 for line, start in zip(lines, expected, strict=True):
                     self.assertTrue(line.startswith(start), line)
 
-    def test_from_nothing(self) -> None:
+    def test_first_configuration(self) -> None:
         """The first configuration lists a few new elements by name and more of them by number."""
         lines = [str(each) for each in differences(None, BASE)]
         self.assertIn("+ regions: viti, vanua", lines)
         self.assertIn("+ targets: 24 entries", lines)
 
-    def test_two_things_of_one_name(self) -> None:
+    def test_elements_with_a_repeated_name(self) -> None:
         """Guards against elements with a repeated name that are missing from the differences."""
         twice = replace(BASE, services=BASE.services * 2)
         (difference,) = differences(BASE, twice)
--- a/fireflyfork/operations/tests/test_interview.py
+++ b/fireflyfork/operations/tests/test_interview.py
@@ -10,7 +10,7 @@
 from .builders_replies import replies_for
 
 
-def hold(replies: Iterable[str]) -> tuple[Answers, list[Prompt]]:
+def run_interview(replies: Iterable[str]) -> tuple[Answers, list[Prompt]]:
     """Send ``replies`` to an interview and return its answers and all its prompts."""
     conversation = interview()
     prompts = [next(conversation)]
@@ -34,12 +34,12 @@
         # Replies are stripped, and an empty reply without a default is asked for again.
         if answers.organisation.strip() != answers.organisation or not answers.organisation:
             return
-        given_back, _ = hold(replies_for(answers))
+        given_back, _ = run_interview(replies_for(answers))
         self.assertEqual(given_back, answers)
 
     def test_every_question_says_why(self) -> None:
         """Guards against a prompt without an explanation for teams that don't know the system."""
-        _, prompts = hold(replies_for(example_answers("naidu")))
+        _, prompts = run_interview(replies_for(example_answers("naidu")))
         for prompt in prompts:
             self.assertTrue(prompt.text and prompt.why, prompt)
 
@@ -57,14 +57,14 @@
         for good, bad, complaint in cases:
             with self.subTest(bad=bad):
                 place = replies.index(good)
-                answers, prompts = hold([*replies[:place], bad, *replies[place:]])
+                answers, prompts = run_interview([*replies[:place], bad, *replies[place:]])
                 self.assertEqual(answers, example_answers("naidu"))
-                (asked_again,) = [prompt for prompt in prompts if prompt.complaint]
-                self.assertIn(complaint, asked_again.complaint)
+                (asked_again,) = [prompt for prompt in prompts if prompt.error]
+                self.assertIn(complaint, asked_again.error)
 
     def test_empty_replies_take_the_default(self) -> None:
         """An empty reply selects the default that the prompt shows."""
         replies = list(replies_for(example_answers("naidu")))
         place = replies.index("tail_latency evictions throughput")
-        answers, _ = hold([*replies[:place], "", *replies[place + 1 :]])
+        answers, _ = run_interview([*replies[:place], "", *replies[place + 1 :]])
         self.assertEqual(answers, example_answers("naidu"))
--- a/fireflyfork/operations/tests/test_job_account.py
+++ b/fireflyfork/operations/tests/test_job_account.py
@@ -3,7 +3,7 @@
 import unittest
 
 from ..._job_samples import in_sample
-from .. import Cause, account_jobs, by_phase, summarize
+from .. import Cause, account_jobs, late_jobs_by_phase, summarize
 from .builders_job_logs import accepted, ended, line, over, sent
 
 OWNED = line(0.0, "took ownership")
@@ -73,7 +73,7 @@
             ended(4.0),
             over(4.0, 2.8, 1.0),
         )
-        account = next(one for one in account_jobs(lines).jobs if one.job == "a1")
+        account = next(account for account in account_jobs(lines).jobs if account.job == "a1")
         self.assertAlmostEqual(account.seconds[Cause.NO_OWNER], 1.8)
         self.assertAlmostEqual(account.seconds[Cause.WAITED], 0.1)
 
@@ -83,13 +83,13 @@
         self.assertEqual(account.main_cause, Cause.NEVER_PLACED)
         self.assertAlmostEqual(account.seconds[Cause.NEVER_PLACED], 8.0)
 
-    def test_jobs_that_last_are_left_out(self) -> None:
+    def test_long_running_jobs_are_left_out(self) -> None:
         lines = (OWNED, accepted(1.0), sent(1.1), ended(5.0, reason="stopped"), line(9.0, "x"))
         self.assertEqual(account_jobs(lines).jobs, ())
 
-    def test_what_is_no_log_line_is_passed_over(self) -> None:
+    def test_other_lines_are_skipped(self) -> None:
         lines = ("starting", "{broken", "12.3 n-1 " + accepted(1.0), '{"time": "x", "message": ""}')
-        self.assertEqual([one.job for one in account_jobs(lines).jobs], ["a1"])
+        self.assertEqual([account.job for account in account_jobs(lines).jobs], ["a1"])
 
 
 class SampleTest(unittest.TestCase):
@@ -102,7 +102,7 @@
         accounts = account_jobs((OWNED, *(accepted(1.0, job) for job in jobs), *busy))
         self.assertEqual(accounts.share, 0.25)
         expected = [job for job in jobs if in_sample(job, 0.25)]
-        self.assertEqual([one.job for one in accounts.jobs], expected)
+        self.assertEqual([account.job for account in accounts.jobs], expected)
 
 
 class SummaryTest(unittest.TestCase):
@@ -122,4 +122,6 @@
         (row,) = summarize(accounts)
         self.assertEqual((row.queue, row.cause, row.jobs), ("quotes", Cause.MEMORY, 2))
         self.assertAlmostEqual(row.seconds, 6.0)
-        self.assertEqual(by_phase(accounts), {0.0: {Cause.MEMORY: 1}, 5.0: {Cause.MEMORY: 1}})
+        self.assertEqual(
+            late_jobs_by_phase(accounts), {0.0: {Cause.MEMORY: 1}, 5.0: {Cause.MEMORY: 1}}
+        )
--- a/fireflyfork/operations/tests/test_loop_account.py
+++ b/fireflyfork/operations/tests/test_loop_account.py
@@ -68,7 +68,7 @@
         (account,) = account_loops((old,)).values()
         self.assertEqual((account.store_calls, account.store_received), ({"watch op": 2}, {}))
 
-    def test_what_no_scheduler_wrote_is_passed_over(self) -> None:
+    def test_lines_of_other_programs_are_skipped(self) -> None:
         """Guards against truncated lines or lines of other programs that fail the whole file."""
         others = ("loop time", '{"message": "loop time", "spent_ms": 3}', '{"loop time', sent(1.0))
         self.assertEqual(account_loops((*others, *LINES)), self.accounts)
--- a/fireflyfork/operations/tests/test_span_tree.py
+++ b/fireflyfork/operations/tests/test_span_tree.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from ..._traces import Span
-from .. import draw, find_trace, read_spans, span_trees
+from .. import draw_trees, find_trace, read_spans, span_trees
 
 TRACE = "4bf92f3577b34da6a3ce929d0e0e4736"
 
@@ -32,7 +32,7 @@
     def test_drawing(self) -> None:
         """A request with five spans, whose last one is a retry."""
         self.assertEqual(
-            list(draw(span_trees(reversed(HOPS)))),
+            list(draw_trees(span_trees(reversed(HOPS)))),
             [
                 "request at p-request: +0.0 ms, 10.0 ms  request_id=r1",
                 "└─ forward at p-forward: +1.0 ms, 10.0 ms",
@@ -42,7 +42,7 @@
             ],
         )
 
-    def test_found_by_what_a_caller_knows(self) -> None:
+    def test_trace_is_found_by_id_or_attribute(self) -> None:
         """A trace is found by its id or by the whole value of an attribute, as the request id."""
         other = Span("x", "f" * 32, "z", "", "p", 1.0, 1.0)
         for wanted in (TRACE, "r1", "desk-2"):
@@ -59,19 +59,19 @@
         lines = ["", "not json", '{"message": "serving"}', line, line[:40], "[1]"]
         self.assertEqual(list(read_spans(lines)), [HOPS[0]])
 
-    def test_a_hop_is_missing(self) -> None:
+    def test_spans_below_a_missing_parent_are_drawn(self) -> None:
         """Guards against spans that aren't drawn because their parent is missing.
 
         A process killed before it writes its span leaves the spans below it as a separate tree.
         """
         trees = span_trees(each for each in HOPS if each.name != "forward")
         self.assertEqual([tree.span.name for tree in trees], ["request", "peer"])
-        self.assertEqual(len(list(draw(trees))), 4)
+        self.assertEqual(len(list(draw_trees(trees))), 4)
 
     @settings(max_examples=80)
     @given(st.lists(st.tuples(st.integers(0, 5), st.integers(0, 5)), max_size=8))
     def test_any_parents(self, pairs: list[tuple[int, int]]) -> None:
         """Guards against endless drawing or repeated spans when damaged lines form cycles."""
         spans = [span("s", str(own), str(parent), float(own)) for own, parent in pairs]
-        lines = list(draw(span_trees(spans)))
+        lines = list(draw_trees(span_trees(spans)))
         self.assertLessEqual(len(lines), len({each.span_id for each in spans}))
--- a/fireflyfork/operations/tests/test_unusual.py
+++ b/fireflyfork/operations/tests/test_unusual.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from ... import Configuration
-from .. import unusual
+from .. import unusual_values
 from .builders_answers import example_configuration
 
 BASE = example_configuration()
@@ -36,16 +36,16 @@
         ]
         for proposed, count in cases:
             with self.subTest(proposed=proposed.services, links=proposed.links):
-                self.assertEqual(len(unusual(BASE, proposed)), count)
-                self.assertEqual(unusual(None, proposed), ())
+                self.assertEqual(len(unusual_values(BASE, proposed)), count)
+                self.assertEqual(unusual_values(None, proposed), ())
 
     def test_odd_targets(self) -> None:
         """A single differing target is reported; several differing targets are intended."""
         cases = [((9,), 1), ((9, 9), 0), ((16,) * 24, 0), ((8, 8), 0)]
         for slots, count in cases:
             with self.subTest(slots=slots):
-                self.assertEqual(len(unusual(BASE, with_slots(*slots))), count)
+                self.assertEqual(len(unusual_values(BASE, with_slots(*slots))), count)
 
-    def test_mixed_already(self) -> None:
+    def test_targets_that_differ_in_force(self) -> None:
         """Guards against reports on a service whose targets already differ in force."""
-        self.assertEqual(unusual(with_slots(16), with_slots(16, 9)), ())
+        self.assertEqual(unusual_values(with_slots(16), with_slots(16, 9)), ())
--- a/fireflyfork/programs/_ctl_account.py
+++ b/fireflyfork/programs/_ctl_account.py
@@ -15,8 +15,8 @@
     LoopAccount,
     account_jobs,
     account_loops,
-    by_phase,
-    spread,
+    late_jobs_by_phase,
+    late_seconds_by_cause,
     summarize,
 )
 from ._ctl_output import CommandError, ExitCode, Output, finish, table
@@ -91,7 +91,7 @@
     yield ""
     sums = [
         (queue, cause.value, f"{seconds:.1f}")
-        for queue, causes in sorted(spread(late).items())
+        for queue, causes in sorted(late_seconds_by_cause(late).items())
         for cause, seconds in sorted(causes.items(), key=lambda one: -one[1])
     ]
     yield from table(("queue", "time of late jobs", "seconds"), sums)
@@ -166,7 +166,7 @@
         raise CommandError(
             ExitCode.USAGE, "plots need matplotlib", "pip install 'fireflyfork[plots]'"
         ) from error
-    phases = by_phase(accounts)
+    phases = late_jobs_by_phase(accounts)
     figure = Figure(figsize=(9, 4.5), layout="constrained")
     axes = figure.subplots()
     below = [0] * len(phases)
--- a/fireflyfork/programs/_ctl_change.py
+++ b/fireflyfork/programs/_ctl_change.py
@@ -6,7 +6,7 @@
 
 from .._contracts import Configuration
 from .._ids import ConfigurationVersion
-from ..operations import Violation, check_change, differences, same_decisions, unusual
+from ..operations import Violation, check_change, differences, has_same_settings, unusual_values
 from ._ctl_output import CommandError, ExitCode, Output
 from ._ctl_store import ChangeLostError, ConfigurationStore, Current
 
@@ -29,7 +29,7 @@
         """The version now in force with these contents, or None after a dry run."""
         current = await stored.current()
         present = current.configuration
-        if present is not None and same_decisions(present, proposed):
+        if present is not None and has_same_settings(present, proposed):
             self._result("unchanged", present, present)
             return present.version
         if present is not None and present.version != proposed.version:
@@ -43,7 +43,7 @@
         earlier = await find_version(stored, version)
         current = await stored.current()
         present = current.configuration
-        if present is not None and same_decisions(present, earlier):
+        if present is not None and has_same_settings(present, earlier):
             self._result("unchanged", present, present)
             return present.version
         return await self._write(stored, current, earlier)
@@ -56,7 +56,7 @@
         if violations:
             reasons = "; ".join(str(violation) for violation in violations)
             raise CommandError(ExitCode.INVALID, reasons)
-        self._confirm(unusual(present, proposed))
+        self._confirm(unusual_values(present, proposed))
         written = stored.prepare(proposed, current, self._note)
         if self._dry_run:
             self._result("would change", present, written)
--- a/fireflyfork/programs/_ctl_jobs.py
+++ b/fireflyfork/programs/_ctl_jobs.py
@@ -72,7 +72,7 @@
         job_id=JobId(job),
         team=TeamName(team),
         task_class=task_class or team,
-        resources=Resources(cores.millicores, memory.whole, accelerators),
+        resources=Resources(cores.millicores, memory.rounded_amount, accelerators),
         run_seconds=run_time.seconds,
         tasks=tasks,
         urgent=urgent,
--- a/fireflyfork/programs/_ctl_questionnaire.py
+++ b/fireflyfork/programs/_ctl_questionnaire.py
@@ -83,8 +83,8 @@
 
 
 def _reply(prompt: Prompt, output: Output) -> str:
-    if prompt.complaint:
-        output.progress(f"  not understood: {prompt.complaint}")
+    if prompt.error:
+        output.progress(f"  not understood: {prompt.error}")
     else:
         output.progress(f"\n{prompt.text}\n  {prompt.why}")
     default = f" [{prompt.default}]" if prompt.default else ""
--- a/fireflyfork/programs/_ctl_trace.py
+++ b/fireflyfork/programs/_ctl_trace.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from .._traces import Span
-from ..operations import draw, find_trace, read_spans, span_trees
+from ..operations import draw_trees, find_trace, read_spans, span_trees
 from ._ctl_output import CommandError, ExitCode, Output, finish
 
 
@@ -49,7 +49,7 @@
     """The traces one below the other; a key that was repeated names several."""
     for trace_id in dict.fromkeys(span.trace_id for span in spans):
         yield f"trace {trace_id}"
-        yield from draw(span_trees(span for span in spans if span.trace_id == trace_id))
+        yield from draw_trees(span_trees(span for span in spans if span.trace_id == trace_id))
 
 
 def read_lines(file: Path) -> Iterator[str]:
