--- a/fireflyfork/programs/_configuration_keeper.py
+++ b/fireflyfork/programs/_configuration_keeper.py
@@ -149,9 +149,7 @@
         if outcome is OfferOutcome.CONFLICT:
             logger.error("two configuration changes have the same version", version=offer.version)
         if outcome is OfferOutcome.OLDER and source is OfferSource.STORE:
-            logger.error(
-                "store returned an older configuration", version=offer.version, held=self.version
-            )
+            logger.error("the store was set back", version=offer.version, held=self.version)
         if self._membership is not None:
             # A peer replies to a version lower than its own with the whole configuration, so the
             # reported version must be current.
