--- a/fireflyfork/adapters/_http.py
+++ b/fireflyfork/adapters/_http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 on trio streams with h11: the pieces that both sides of a connection share."""
+"""Shared parts of the HTTP/1.1 client and server, which run h11 on trio streams."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
 
 
 class HttpError(FireflyforkError):
-    """The other side broke off, fell silent, or sent something that is not HTTP."""
+    """The peer closed the connection early, timed out, or sent data that isn't valid HTTP."""
 
 
 class ConnectError(HttpError):
-    """No connection came about, so nothing of the call has reached the other side."""
+    """No connection could be made, so no part of the request has reached the server."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,34 +48,34 @@
 
     method: str
     target: str
-    """Path and query."""
+    """The path and the query string."""
     headers: tuple[Header, ...]
-    """Names in lower case."""
+    """The headers, with names in lower case."""
 
     def header(self, name: bytes) -> str | None:
-        """The first value of header ``name`` (lower case), or None."""
+        """Return the first value of header ``name`` (lower case), or None."""
         return find_header(self.headers, name)
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """The head of a final response."""
+    """The head of a final (not informational) response."""
 
     status: int
     headers: tuple[Header, ...]
 
     def header(self, name: bytes) -> str | None:
-        """The first value of header ``name`` (lower case), or None."""
+        """Return the first value of header ``name`` (lower case), or None."""
         return find_header(self.headers, name)
 
 
 def find_header(headers: Iterable[Header], name: bytes) -> str | None:
-    """The first value of header ``name`` (lower case), or None."""
+    """Return the first value of header ``name`` (lower case), or None."""
     return next((value.decode("latin-1") for key, value in headers if key == name), None)
 
 
 def end_to_end(headers: Iterable[Header]) -> tuple[Header, ...]:
-    """The headers that a proxy passes on: all but those that concern one connection only."""
+    """Return the headers that a proxy forwards: all except the hop-by-hop headers."""
     headers = tuple(headers)
     connection = find_header(headers, b"connection") or ""
     named = {token.strip().lower().encode("latin-1") for token in connection.split(",")}
@@ -85,10 +85,10 @@
 
 
 def abort(stream: trio.SocketStream) -> None:
-    """Reset the connection, so that the other side can't take what it has for a clean end.
+    """Reset the connection so the peer can't mistake a truncated body for a complete one.
 
-    A body without a length ends with the connection. If an answer that broke off were closed in
-    the ordinary way, the other side would take the part it has for the whole.
+    A body without a content length ends when the connection closes. If the connection were closed
+    normally in the middle of such a body, the peer would treat the received part as the whole.
     """
     linger_zero = struct.pack("ii", 1, 0)
     try:
@@ -101,9 +101,9 @@
 async def read_event(
     http: h11.Connection, stream: trio.SocketStream, received: Callable[[], None] = lambda: None
 ) -> HttpEvent:
-    """The next event from the other side; ``received`` is called whenever bytes have come.
+    """Return the next event from the peer. ``received`` is called whenever bytes arrive.
 
-    Raises HttpError, and h11's error on what isn't HTTP.
+    Raises HttpError if the connection breaks, and h11's error if the data isn't valid HTTP.
     """
     try:
         while True:
@@ -118,7 +118,7 @@
 
 
 async def collect(chunks: AsyncIterator[bytes], longest: int) -> bytes:
-    """The whole body. Raises HttpError when it is longer than ``longest`` bytes."""
+    """Return the whole body. Raises HttpError if it is longer than ``max_bytes``."""
     parts: list[bytes] = []
     length = 0
     async for chunk in chunks:
--- a/fireflyfork/adapters/_http_client.py
+++ b/fireflyfork/adapters/_http_client.py
@@ -1,4 +1,4 @@
-"""The client side of HTTP/1.1: one connection, and a one-shot helper for small calls."""
+"""An HTTP/1.1 client connection, and a client for small calls to one server."""
 
 from __future__ import annotations
 
@@ -27,35 +27,36 @@
 from ._loop_time import LoopTime
 
 UNACKNOWLEDGED_SECONDS = 2.0
-"""Unless told otherwise. Slots of executors are held on the strength of it, and a watch whose way to the store
-has gone finds that out by nothing else before its wait is over."""
+"""The default time after which a connection with unacknowledged data is closed. Reserved executor slots are kept
+in reliance on this limit, and without it a watch wouldn't notice a lost connection to the store before its wait
+ends."""
 _END = h11.EndOfMessage()
 
 
 class HttpClientConnection:
-    """One connection to a server. It carries one request at a time."""
+    """A connection to a server that carries one request at a time."""
 
     def __init__(self, stream: trio.SocketStream) -> None:
-        """Use ``open``; this takes over a connected stream."""
+        """Take ownership of a connected stream. Use ``open`` to connect."""
         self._stream = stream
         self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=LONGEST_HEAD_BYTES)
         self._sent_anything = False
         self.received: Callable[[], None] = lambda: None
-        """Called whenever bytes have come."""
+        """A callback that is called whenever bytes arrive."""
 
     @property
     def sent_anything(self) -> bool:
-        """Whether any byte of the current request may have left this process."""
+        """Whether any byte of the current request may have been sent."""
         return self._sent_anything
 
     @property
     def reusable(self) -> bool:
-        """Whether the last exchange ended cleanly and the server has not hung up since."""
+        """Whether the last exchange ended cleanly and the server hasn't closed the connection since."""
         return self.ended_cleanly and not self._readable()
 
     @property
     def ended_cleanly(self) -> bool:
-        """Whether no exchange is under way and none broke off."""
+        """Whether no exchange is in progress and the last one, if any, was completed."""
         idle = self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
         unused = self._http.our_state is h11.IDLE and self._http.their_state is h11.IDLE
         return idle or unused
@@ -64,17 +65,17 @@
     async def open(
         cls, address: Address, timeout: float, unacknowledged: float = UNACKNOWLEDGED_SECONDS
     ) -> HttpClientConnection:
-        """Connect within ``timeout`` seconds. Raises HttpError.
+        """Connect within ``timeout`` seconds. Raises ConnectError.
 
-        The connection ends when bytes stay unacknowledged for so many seconds.
+        The kernel closes the connection if sent bytes stay unacknowledged for ``unacknowledged_seconds``.
         """
         try:
             with trio.fail_after(timeout):
                 stream = await trio.open_tcp_stream(address.host, address.port)
         except (OSError, trio.TooSlowError) as error:
             raise ConnectError(f"can't connect to {address}: {error!r}") from error
-        # A peer that vanished without a word is noticed only through data that stays
-        # unacknowledged. Without this limit the kernel goes on resending for a quarter of an hour.
+        # A peer that disappears without closing the connection is noticed only because sent data stays
+        # unacknowledged. Without this limit the kernel retransmits for a quarter of an hour.
         milliseconds = int(unacknowledged * 1000)
         stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, milliseconds)
         return cls(stream)
@@ -84,15 +85,15 @@
         await self._send(self._begin(head))
 
     async def send_body(self, data: bytes) -> None:
-        """Send a part of the request's body. Raises HttpError."""
+        """Send a part of the request body. Raises HttpError."""
         await self._send(h11.Data(data=data))
 
     async def send_end(self) -> None:
-        """End the request. Raises HttpError."""
+        """Finish the request body. Raises HttpError."""
         await self._send(h11.EndOfMessage())
 
     async def receive_head(self) -> ResponseHead:
-        """The head of the final response. Raises HttpError."""
+        """Return the head of the final response, skipping informational ones. Raises HttpError."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.InformationalResponse):
@@ -102,7 +103,7 @@
             return ResponseHead(event.status_code, tuple(event.headers))
 
     async def receive_body(self) -> AsyncIterator[bytes]:
-        """The response's body in parts. Raises HttpError when it breaks off before its end."""
+        """Yield the response body in parts. Raises HttpError if it is truncated."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Data):
@@ -115,14 +116,14 @@
     async def request(
         self, head: RequestHead, body: bytes, longest_answer: int
     ) -> tuple[ResponseHead, bytes]:
-        """Send a small request at once and read its whole response. Raises HttpError."""
+        """Send a small request in one write and read its whole response. Raises HttpError."""
         content = (h11.Data(data=body),) if body else ()
         await self._send(self._begin(head), *content, _END)
         response = await self.receive_head()
         return response, await collect(self.receive_body(), longest_answer)
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection immediately."""
         self._stream.socket.close()
 
     def _begin(self, head: RequestHead) -> h11.Request:
@@ -147,8 +148,8 @@
             raise HttpError(f"receiving failed: {error!r}") from error
 
     def _readable(self) -> bool:
-        # An idle connection becomes readable only when the server has closed it. Sending a
-        # booking into it would end in "may have run" for a request that no executor ever saw.
+        # An idle connection becomes readable only when the server has closed it. A request sent on it
+        # would be reported as "may have run" although no executor ever received it.
         descriptor = self._stream.socket.fileno()
         if descriptor < 0:
             return True
@@ -160,11 +161,11 @@
 ClientExchange = Callable[
     [str, str, tuple[Header, ...], bytes], Awaitable[tuple[ResponseHead, bytes]]
 ]
-"""One exchange on one connection: method, target, headers and body; the answer's head and body."""
+"""Sends one request (method, target, headers, body) on a given connection and returns the response's head and body."""
 
 
 class HttpClient:
-    """Small calls to one server over kept connections, reopened when they break."""
+    """Makes small calls to one server over pooled connections, which are reopened when they break."""
 
     def __init__(
         self,
@@ -177,15 +178,19 @@
         unacknowledged: float = UNACKNOWLEDGED_SECONDS,
         connects_patiently: bool = False,
     ) -> None:
-        """``timeout`` is in seconds without a byte, ``pause`` (by default the same) once an answer has
-        begun to come; ``longest_answer`` is in bytes. Both are counted in ``loop_time`` if it is given.
+        """Configure a client; connections are opened when needed.
 
-        ``greet`` finds out on each new connection whether its other end is the one that is meant, and
-        raises HttpError if not; nothing of a call is sent before.
+        ``timeout`` is the maximum number of seconds until the first byte of a response, and
+        ``read_timeout`` (by default the same) the maximum between two reads after that. Both are measured
+        in ``loop_time`` if it is given. ``max_response_bytes`` limits the size of a response body.
 
-        ``unacknowledged`` is for each connection. Where calls wait longer than it for answers over a full
-        link, it ends them though nothing is lost. For the same reason ``connects_patiently`` lets a new
-        connection take as long as the call that needs it may take; otherwise it has to be made within ``timeout``.
+        ``verify`` checks on each new connection that it leads to the intended process, and raises
+        HttpError if not. No call is sent on the connection before that.
+
+        ``unacknowledged_seconds`` applies to each connection. If calls wait longer than this for answers
+        over a saturated link, it breaks connections although no data is lost. For the same reason
+        ``connect_within_call`` lets a new connection take as long as the call that needs it; otherwise it
+        must be made within ``timeout``.
         """
         self._address = address
         self._timeout = timeout
@@ -197,7 +202,7 @@
         self._connects_patiently = connects_patiently
         self._idle: list[HttpClientConnection] = []
         self._doubtful = False
-        """Whether the last call failed on its connection: the kept ones may have gone silent as well."""
+        """Whether the last call failed on its connection: the idle connections may be dead as well."""
 
     async def call(
         self,
@@ -209,17 +214,17 @@
         is_greeting: bool = False,
         fresh: bool = False,
     ) -> tuple[ResponseHead, bytes]:
-        """One call. Raises HttpError.
+        """Make one call. Raises HttpError.
 
-        One that is a greeting by itself may go out on a connection that nobody has greeted on; one that
-        is ``fresh`` goes out on a new connection.
+        A call that verifies the connection itself (``is_verification``) may use a new connection without
+        the check by ``verify``. A ``fresh`` call always uses a new connection.
 
-        The answer must begin within the timeout plus ``extra_seconds``, and go on within the longest
-        pause after each part. Were the whole call limited, an answer that is too long for the link in
-        that time could never arrive, however often the call was repeated.
+        The response must begin within the timeout plus ``extra_seconds``, and each further part must
+        arrive within the read timeout. If the duration of the whole call were limited, a response too
+        large for the link in that time could never arrive, however often the call was repeated.
 
-        A Host header among ``headers`` takes the place of the server's address.
-        After an error the call may have taken effect, but for a ConnectError.
+        A Host header in ``headers`` replaces the server's address.
+        After any error except ConnectError, the call may have taken effect.
         """
         connection: HttpClientConnection | None = None
         fresh = fresh or self._doubtful
@@ -235,13 +240,13 @@
             self._doubtful = True
             raise HttpError(f"no answer from {self._address} in time") from error
         except HttpError:
-            # A refused connection says nothing of those that are kept.
+            # A refused connection says nothing about the state of the idle connections.
             self._doubtful = self._doubtful or connection is not None
             raise
         else:
             if fresh:
-                # A firewall that forgets its connections makes all of them silent at once, and new ones
-                # work. Each kept one would cost a caller one more timeout.
+                # A firewall that loses its connection table drops all existing connections at once, while
+                # new ones work. Each idle connection that is kept would cost a caller another timeout.
                 self.close()
             self._doubtful = False
             return answer
@@ -250,7 +255,7 @@
                 self._keep(connection)
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close all idle connections."""
         while self._idle:
             self._idle.pop().close()
 
@@ -302,7 +307,7 @@
 
 @contextmanager
 def _fail_after(seconds: float) -> Iterator[Callable[[float], None]]:
-    """trio.fail_after; yields a function that puts the timeout off."""
+    """Like trio.fail_after, but yield a function that postpones the timeout."""
     with trio.fail_after(seconds) as scope:
 
         def put_off(more: float) -> None:
--- a/fireflyfork/adapters/_http_server.py
+++ b/fireflyfork/adapters/_http_server.py
@@ -1,4 +1,4 @@
-"""The server side of HTTP/1.1: one task per connection, one exchange at a time on it."""
+"""An HTTP/1.1 server with one task per connection, which handles one exchange at a time."""
 
 from __future__ import annotations
 
@@ -25,61 +25,61 @@
 _HEAD_TOO_LARGE = 431
 
 LINGER_SECONDS = 1.0
-"""For so long a client may go on sending what nobody reads any more."""
+"""The time during which the server still accepts, and discards, data before it closes a connection."""
 
 JSON_HEADER: Header = (b"content-type", b"application/json")
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLimits:
-    """How long a server waits for a client, in seconds."""
+    """How long the server waits for a client, in seconds."""
 
     head: float = 10.0
-    """For the rest of a head once it has begun, and for each further part of a body."""
+    """The timeout for the rest of a head once it has begun, and for each further part of a body."""
     idle: float = 75.0
-    """For the next request on a kept connection."""
+    """The timeout for the next request on a persistent connection."""
     send: float = 10.0
-    """For the client to take each part of an answer."""
+    """The timeout for sending each part of a response."""
 
 
 class Exchange:
-    """One request and the answer to it."""
+    """A request and the response to it."""
 
     def __init__(self, connection: ServerConnection, head: RequestHead) -> None:
-        """The connection makes one for each request."""
+        """Called by ``ServerConnection`` for each request."""
         self._connection = connection
         self._head = head
         self._started = False
 
     @property
     def head(self) -> RequestHead:
-        """The request's head."""
+        """The head of the request."""
         return self._head
 
     @property
     def answer_started(self) -> bool:
-        """Whether a final status has been sent."""
+        """Whether sending the final status has begun."""
         return self._started
 
     def body(self) -> AsyncIterator[bytes]:
-        """The request's body in parts. Raises HttpError when it breaks off."""
+        """Yield the request body in parts. Raises HttpError if it is truncated."""
         return self._connection.receive_body()
 
     async def start(self, status: int, headers: Iterable[Header]) -> None:
-        """Send the head of the answer. Raises HttpError."""
+        """Send the head of the response. Raises HttpError."""
         self._started = True
         await self._connection.send(h11.Response(status_code=status, headers=list(headers)))
 
     async def send(self, data: bytes) -> None:
-        """Send a part of the answer's body. Raises HttpError."""
+        """Send a part of the response body. Raises HttpError."""
         await self._connection.send(h11.Data(data=data))
 
     async def end(self) -> None:
-        """End the answer. Raises HttpError."""
+        """Finish the response. Raises HttpError."""
         await self._connection.send(h11.EndOfMessage())
 
     async def answer(self, status: int, body: bytes, headers: Iterable[Header] = ()) -> None:
-        """Send a whole small answer. Raises HttpError."""
+        """Send a complete small response. Raises HttpError."""
         length = (b"content-length", str(len(body)).encode("ascii"))
         await self.start(status, (length, *headers))
         if body and self._head.method != "HEAD":
@@ -87,33 +87,33 @@
         await self.end()
 
     async def answer_json(self, status: int, value: object, headers: Iterable[Header] = ()) -> None:
-        """Send ``value`` as JSON. Raises HttpError."""
+        """Send a complete response with ``value`` as JSON. Raises HttpError."""
         await self.answer(status, msgspec.json.encode(value), (JSON_HEADER, *headers))
 
     def abort(self) -> None:
-        """Break the answer off so that the client can't take it for whole."""
+        """Reset the connection so the client can't mistake a partial response for a complete one."""
         self._connection.abort()
 
 
 class HttpHandler(ABC):
-    """What a server does with requests."""
+    """Handles the requests that an ``HttpServer`` receives."""
 
     @abstractmethod
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request."""
+        """Answer a request."""
 
     async def malformed(self, exchange: Exchange, status: int, reason: str) -> None:
-        """Answer something that is not a request."""
+        """Answer data that isn't a valid request with an error ``status`` and its ``reason``."""
         await exchange.answer_json(status, {"error": reason})
 
 
 class ServerConnection:
-    """One accepted connection."""
+    """An accepted connection."""
 
     def __init__(
         self, stream: trio.SocketStream, handler: HttpHandler, limits: ServerLimits
     ) -> None:
-        """Take over a connected stream."""
+        """Take ownership of a connected stream."""
         self._stream = stream
         self._handler = handler
         self._limits = limits
@@ -123,12 +123,12 @@
         self._finishing = False
         self._idle_scope: trio.CancelScope | None = None
         self._received: deque[HttpEvent] = deque()
-        """Of the request's body, what came together with its head."""
+        """Events of the request body that arrived together with the head."""
 
     async def run(self) -> None:
         """Serve requests until either side ends the connection."""
         try:
-            # An answer that did not announce the end promises that one more request is read.
+            # A response without "connection: close" promises that the next request will be read.
             while await self._serve_one() and not self._announced:
                 self._http.start_next_cycle()
         except (HttpError, h11.ProtocolError):
@@ -137,11 +137,11 @@
             self._stream.socket.close()
 
     def announce_end(self) -> None:
-        """Close after the next answer, which says so."""
+        """Close the connection after the next response, which announces this with "connection: close"."""
         self._closing = True
 
     def finish(self) -> None:
-        """Close after the exchange under way; at once when there is none."""
+        """Close the connection after the current exchange, or immediately if it is idle."""
         self._closing = True
         self._finishing = True
         if self._idle_scope is not None:
@@ -153,9 +153,9 @@
         abort(self._stream)
 
     async def send(self, event: h11.Event) -> None:
-        """Send one event of an answer. Raises HttpError."""
-        # An answer that overtakes the request's body costs the connection. A client that isn't told
-        # sends its next request on it, and never gets an answer to that.
+        """Send an event of a response. Raises HttpError."""
+        # If the response is sent before the whole request body has arrived, the connection must be
+        # closed. A client that isn't told would send its next request on it and never get an answer.
         overtakes = self._http.their_state is h11.SEND_BODY
         if (self._closing or overtakes) and isinstance(event, h11.Response):
             self._announced = True
@@ -175,7 +175,7 @@
             raise HttpError(f"sending failed: {error!r}") from error
 
     async def receive_body(self) -> AsyncIterator[bytes]:
-        """The body of the request under way. Raises HttpError when it breaks off."""
+        """Yield the body of the current request in parts. Raises HttpError if it is truncated."""
         if self._http.they_are_waiting_for_100_continue:
             await self.send(h11.InformationalResponse(status_code=100, headers=[]))
         while True:
@@ -208,7 +208,7 @@
         return await self._finish_cycle()
 
     def _take_received(self) -> None:
-        """Take the part of the body that is here already; most requests are here as a whole."""
+        """Buffer the part of the body that has arrived with the head, which usually is the whole body."""
         self._received.clear()
         while self._http.their_state is h11.SEND_BODY:
             event = self._http.next_event()
@@ -217,8 +217,8 @@
             self._received.append(event)
 
     async def _finish_cycle(self) -> bool:
-        # A request that was answered before its body was read costs the connection: the next one
-        # would be read from the middle of the body.
+        # If a request was answered before its body was read, the connection must be closed: the next
+        # request would be read from the middle of the body.
         while self._http.their_state is h11.SEND_BODY:
             if self._http.next_event() is h11.NEED_DATA:
                 await self._linger()
@@ -226,8 +226,8 @@
         return self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
 
     async def _linger(self) -> None:
-        # Closing while the client still sends would reset the connection, and the client would
-        # lose the answer that tells it what is wrong.
+        # Closing the connection while the client is still sending would reset it, and the client would
+        # lose the response that explains the error.
         try:
             with trio.move_on_after(LINGER_SECONDS):
                 await self._stream.send_eof()
@@ -257,7 +257,7 @@
             with trio.fail_after(seconds):
                 return await read_event(self._http, self._stream)
         except trio.TooSlowError as error:
-            raise HttpError("the client fell silent") from error
+            raise HttpError("timed out waiting for the client") from error
 
     async def _refuse(self, status: int, reason: str) -> None:
         if self._http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
@@ -275,16 +275,16 @@
 
 
 def _head_bytes(event: h11.Request) -> int:
-    # The parser's own limit counts only heads that come in several reads.
+    # The limit in h11 applies only to heads that arrive in more than one read.
     headers = sum(len(name) + len(value) for name, value in event.headers)
     return headers + len(event.target)
 
 
 class HttpServer:
-    """Accepts connections and ends them gracefully."""
+    """Accepts connections, and closes them gracefully when it stops."""
 
     def __init__(self, handler: HttpHandler, limits: ServerLimits | None = None) -> None:
-        """``limits`` defaults to those of ServerLimits."""
+        """Configure a server. ``limits`` defaults to the values of ``ServerLimits``."""
         self._handler = handler
         self._limits = limits or ServerLimits()
         self._connections: set[ServerConnection] = set()
@@ -294,32 +294,32 @@
 
     @property
     def connection_count(self) -> int:
-        """Connections open now."""
+        """The number of open connections."""
         return len(self._connections)
 
     async def run(self, listeners: list[trio.SocketListener]) -> None:
-        """Serve until ``stop``; returns when the last exchange has ended."""
+        """Serve until ``stop`` is called, and return when the last exchange has ended."""
         async with trio.open_nursery() as nursery:
             with self._accepting:
                 await trio.serve_listeners(self._serve, listeners, handler_nursery=nursery)
         self._all_ended.set()
 
     async def wait_ended(self) -> None:
-        """Wait, after ``stop``, until the last exchange has ended."""
+        """Wait until ``stop`` was called and the last exchange has ended."""
         await self._all_ended.wait()
 
     def announce_stop(self) -> None:
-        """Go on accepting, but let each answer from now on be the last of its connection.
+        """Keep accepting connections, but close each one after its next response.
 
-        A connection that is closed while it idles may be closed just as its client sends the next
-        request, which the client would have to take for lost.
+        If an idle connection were closed instead, its client might be sending the next request at that
+        moment, and couldn't tell whether the request was handled.
         """
         self._stopping = True
         for connection in self._connections:
             connection.announce_end()
 
     def stop(self) -> None:
-        """Accept nothing new; exchanges under way go on to their end."""
+        """Stop accepting connections; exchanges in progress are completed."""
         self._accepting.cancel()
         for connection in self._connections:
             connection.finish()
@@ -336,5 +336,5 @@
 
 
 async def listen(host: str, port: int) -> list[trio.SocketListener]:
-    """Open listeners on one IP number. Raises OSError."""
+    """Open listeners on one IP address. Raises OSError."""
     return await trio.open_tcp_listeners(port, host=host)
--- a/fireflyfork/adapters/_loop_profile.py
+++ b/fireflyfork/adapters/_loop_profile.py
@@ -1,7 +1,7 @@
-"""What the event loop's processor time goes to.
+"""Measures what the event loop spends its processor time on.
 
-Looking at each step of each task costs about as much as the loop itself does, so it is done for a while only,
-now and then.
+Recording each step of each task costs about as much as the loop itself, so it is done only for short periods
+from time to time.
 """
 
 from __future__ import annotations
@@ -14,29 +14,30 @@
 import trio
 
 LOOP_ITSELF = "event loop"
-"""The activity of choosing what runs next."""
+"""The activity for the event loop's own work, such as choosing the next task to run."""
 _WAITING = "waiting"
-"""Not reported: where the clock is the wall's, this is the time in which nothing is done."""
+"""The activity for waiting on I/O. It isn't reported: with a wall clock, it is the time in which the loop is idle."""
 
 
 class LoopProfile(trio.abc.Instrument):
-    """Adds up processor time by activity: the function that a task was started with.
+    """Sums up processor time by activity, which is the function that a task was started with.
 
-    Synchronous parts of a task may be told apart by ``section``. It looks only inside of ``looking``.
+    Synchronous parts of a task can be recorded as separate activities with ``section``. Time is recorded
+    only inside of ``recording``.
     """
 
     def __init__(self, clock: Callable[[], float] = time.thread_time) -> None:
-        """``clock`` tells the processor time of the loop's thread in seconds."""
+        """``clock`` returns the processor time of the event loop's thread in seconds."""
         self._clock = clock
         self._spent: defaultdict[str, float] = defaultdict(float)
-        """By whole name: shortening it at each step would cost as much as the step."""
+        """Seconds by qualified name: shortening the name at each step would cost as much as the step."""
         self._activity = LOOP_ITSELF
         self._charged_at = clock()
         self._looking = False
 
     @property
     def spent(self) -> Mapping[str, float]:
-        """Seconds by activity, of all the time that it has looked."""
+        """The seconds spent so far, by activity, in all recorded periods."""
         spent: defaultdict[str, float] = defaultdict(float)
         for name, seconds in self._spent.items():
             if name != _WAITING:
@@ -45,7 +46,7 @@
 
     @contextmanager
     def looking(self) -> Iterator[None]:
-        """Look at what the loop does meanwhile."""
+        """Record the processor time that the event loop uses during the block."""
         self._charged_at = self._clock()
         self._activity = LOOP_ITSELF
         self._looking = True
@@ -59,7 +60,7 @@
 
     @contextmanager
     def section(self, activity: str) -> Iterator[None]:
-        """Charge the block to ``activity``; nothing may be awaited in it."""
+        """Charge the time of the block to ``activity``. The block must not await anything."""
         if not self._looking:
             yield
             return
@@ -71,19 +72,19 @@
             self._enter(outer)
 
     def before_task_step(self, task: trio.lowlevel.Task) -> None:
-        """Called by trio."""
+        """Charge time to the task from now on. Called by trio."""
         self._enter(task.name)
 
     def after_task_step(self, _task: trio.lowlevel.Task) -> None:
-        """Called by trio."""
+        """Charge time to the event loop from now on. Called by trio."""
         self._enter(LOOP_ITSELF)
 
     def before_io_wait(self, _timeout: float) -> None:
-        """Called by trio."""
+        """Charge time to waiting from now on. Called by trio."""
         self._enter(_WAITING)
 
     def after_io_wait(self, _timeout: float) -> None:
-        """Called by trio."""
+        """Charge time to the event loop from now on. Called by trio."""
         self._enter(LOOP_ITSELF)
 
     def _enter(self, activity: str) -> None:
@@ -94,5 +95,5 @@
 
 
 def _short_name(name: str) -> str:
-    """The class and method of a qualified name."""
+    """Return the last two parts of a qualified name: the class and the method."""
     return ".".join(name.rsplit(".", 2)[-2:])
--- a/fireflyfork/adapters/_loop_time.py
+++ b/fireflyfork/adapters/_loop_time.py
@@ -1,8 +1,8 @@
-"""Timeouts that the event loop's own lag doesn't use up.
+"""Timeouts that don't count the event loop's own lag.
 
-A process that is short of processor time reads answers late. Judged by the wall clock, these answers are
-late by somebody else's fault; whoever then asks again makes the process later still. Loop time advances
-only while the loop responds, and a timeout by it is settled only after the sockets were looked at once more.
+A process that is short of processor time reads responses late. By the wall clock it would blame the peer for
+the delay, and retrying such calls would increase the load and the lag further. Loop time advances only while the
+event loop responds, and a loop-time timeout fires only after the sockets have been polled once more.
 """
 
 from __future__ import annotations
@@ -17,57 +17,62 @@
 
 TICK_SECONDS = 0.05
 LAG_DECAY = 0.993
-"""For each tick: a lag shows for some five seconds, so that it is seen by whoever reads it that often."""
+"""The factor by which the reported lag decays with each tick. A lag stays visible for about five seconds, long
+enough for readers that poll it at this interval."""
 MOST_OF_A_TICK = 1.5
-"""Loop time advances at most so many ticks from one tick to the next, however long that took."""
+"""The maximum that loop time advances between two ticks, in units of ``TICK_SECONDS``, however much time has
+passed."""
 
 
 class Alarm:
-    """Something that is due at a loop time, unless it is cancelled or put off before."""
+    """A callback that is due at a loop time, unless it is cancelled or postponed before."""
 
     def __init__(self, due: float, action: Callable[[], object]) -> None:
-        """``due`` is a loop time in seconds."""
+        """Call ``action`` at loop time ``due``, in seconds."""
         self._due = due
         self._action: Callable[[], object] | None = action
         self._overdue = False
 
     @property
     def due(self) -> float:
-        """The loop time at which it goes off."""
+        """The loop time in seconds at which the timer fires."""
         return self._due
 
     @property
     def pending(self) -> bool:
-        """Whether it may still go off."""
+        """Whether the timer has neither fired nor been cancelled."""
         return self._action is not None
 
     def cancel(self) -> None:
-        """It won't go off any more."""
+        """Prevent the timer from firing."""
         self._action = None
 
     def put_off(self, due: float) -> None:
-        """It goes off at ``due`` at the earliest."""
+        """Postpone the timer to ``due``; an earlier time than the current one has no effect."""
         if due > self._due:
             self._due = due
             self._overdue = False
 
     def is_settled(self) -> bool:
-        """Whether it has been due for a whole pass of the loop, which has delivered what had come."""
+        """Whether the timer was already due at the previous call.
+
+        Between two calls the event loop has completed a pass and delivered all data that had arrived.
+        """
         was_overdue, self._overdue = self._overdue, True
         return was_overdue
 
     def go_off(self) -> None:
-        """Do what it is for, once."""
+        """Run the action, if it hasn't run yet and the timer isn't cancelled."""
         action, self._action = self._action, None
         if action is not None:
             action()
 
 
 class LoopTime:
-    """The loop time of one process, and the alarms that are set by it."""
+    """The loop time of one process, and the timers that use it."""
 
     def __init__(self) -> None:
-        """Time begins to run with the first alarm."""
+        """Start at 0; the time advances only while timers are pending."""
         self._now = 0.0
         self._lag = 0.0
         self._alarms: list[tuple[float, int, Alarm]] = []
@@ -76,11 +81,11 @@
 
     @property
     def lag(self) -> float:
-        """How late the loop came to a tick of late, in seconds: the worst, which fades."""
+        """The maximum delay of recent ticks in seconds, which decays over time."""
         return self._lag
 
     def after(self, seconds: float, action: Callable[[], object]) -> Alarm:
-        """Call ``action`` from the loop after so many seconds of loop time."""
+        """Call ``action`` from the event loop after ``seconds`` of loop time."""
         alarm = Alarm(self._now + seconds, action)
         self._push(alarm)
         if not self._ticking:
@@ -89,14 +94,14 @@
         return alarm
 
     def put_off(self, alarm: Alarm, seconds: float) -> None:
-        """Let an alarm go off so many seconds from now at the earliest."""
+        """Postpone a timer to at least ``seconds`` from now."""
         alarm.put_off(self._now + seconds)
 
     @contextmanager
     def fail_after(self, seconds: float) -> Iterator[Callable[[float], None]]:
-        """Raise trio.TooSlowError when the block takes longer.
+        """Raise trio.TooSlowError if the block takes longer than ``seconds`` of loop time.
 
-        Yields a function that puts this off until at least so many seconds from its call.
+        Yields a function that postpones the timeout to at least the given number of seconds from its call.
         """
         with trio.CancelScope() as scope:
             alarm = self.after(seconds, scope.cancel)
--- a/fireflyfork/adapters/_message_stream.py
+++ b/fireflyfork/adapters/_message_stream.py
@@ -1,4 +1,7 @@
-"""A stream of msgpack messages between two instances; what waits while a frame is on its way goes in the next."""
+"""A stream of msgpack messages between two instances.
+
+Messages that are queued while a frame is being sent are batched into the next frame.
+"""
 
 from __future__ import annotations
 
@@ -22,21 +25,21 @@
 
 
 def encode_frame(messages: Sequence[object]) -> bytes:
-    """The bytes of one frame."""
+    """Encode messages as one frame: a big-endian length of 4 bytes, then a msgpack list."""
     body = _ENCODER.encode(messages)
     return _LENGTH.pack(len(body)) + body
 
 
 class FrameDecoder(Generic[_Message]):
-    """Turns received bytes into messages."""
+    """Decodes received bytes into messages."""
 
     def __init__(self, decoder: msgspec.msgpack.Decoder[list[_Message]]) -> None:
-        """Nothing received; ``decoder`` knows the messages that may come."""
+        """``decoder`` decodes the body of a frame and defines the messages that are allowed."""
         self._decoder = decoder
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[_Message]:
-        """The messages that ``data`` completes. Raises PeerError on anything else."""
+        """Yield the messages that ``data`` completes. Raises PeerError if the data is invalid."""
         self._buffer += data
         while len(self._buffer) >= _LENGTH.size:
             (length,) = _LENGTH.unpack_from(self._buffer)
@@ -55,14 +58,14 @@
 
 @dataclass(slots=True)
 class StreamTraffic:
-    """Bytes of frames, as one side counts them."""
+    """The bytes of frames that one side has received and sent."""
 
     received: int = 0
     sent: int = 0
 
 
 class MessageStream(Generic[_Message]):
-    """One end of a stream between two instances."""
+    """One end of a message stream between two instances."""
 
     def __init__(
         self,
@@ -71,9 +74,9 @@
         unacknowledged_seconds: float,
         traffic: StreamTraffic | None = None,
     ) -> None:
-        """Take over a connected stream; its bytes are added to ``traffic``.
+        """Take ownership of a connected stream and count its bytes in ``traffic``.
 
-        The kernel ends it when bytes stay unacknowledged for ``unacknowledged_seconds``.
+        The kernel closes the connection if sent bytes stay unacknowledged for ``unacknowledged_seconds``.
         """
         milliseconds = int(unacknowledged_seconds * 1000)
         stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, milliseconds)
@@ -90,22 +93,25 @@
         return self._closed
 
     def send(self, message: _Message) -> None:
-        """Have a message sent; ``run`` sends it."""
+        """Queue a message, to be sent by ``run`` or ``flush``."""
         self._waiting.append(message)
         self._some_wait.set()
 
     def withdraw(self, message: _Message) -> None:
-        """Don't send a message that still waits to be sent."""
+        """Remove a message from the queue if it hasn't been sent yet."""
         self._waiting = [one for one in self._waiting if one is not message]
 
     async def run(self) -> None:
-        """Send what there is to send. Raises PeerError."""
+        """Send queued messages until cancelled. Raises PeerError if the connection breaks."""
         while True:
             await self._some_wait.wait()
             await self.flush()
 
     async def flush(self) -> None:
-        """Send what waits; for a side that only speaks in turn, in place of ``run``. Raises PeerError."""
+        """Send all queued messages as one frame. Raises PeerError if the connection breaks.
+
+        A side that sends only in a request-response pattern uses this instead of ``run``.
+        """
         messages, self._waiting = self._waiting, []
         self._some_wait = trio.Event()
         if not messages:
@@ -118,9 +124,9 @@
             raise PeerError(f"the stream broke: {error!r}") from error
 
     async def receive(self) -> list[_Message] | None:
-        """The messages that the next data completes, often none; None once the other side has closed the stream.
+        """Return the messages that the next received data completes, often none, or None at the end of the stream.
 
-        Raises PeerError.
+        Raises PeerError if the connection breaks or the data is invalid.
         """
         try:
             data = await self._stream.receive_some(_RECEIVE_BYTES)
@@ -130,12 +136,12 @@
         return list(self._decoder.feed(data)) if data else None
 
     async def messages(self) -> AsyncIterator[_Message]:
-        """What the other side says, until it closes the stream. Raises PeerError."""
+        """Yield received messages until the peer closes the stream. Raises PeerError."""
         while (received := await self.receive()) is not None:
             for message in received:
                 yield message
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection immediately."""
         self._closed = True
         self._stream.socket.close()
