--- a/fireflyfork/adapters/_peer_connection.py
+++ b/fireflyfork/adapters/_peer_connection.py
@@ -1,4 +1,4 @@
-"""One authenticated stream between two entries, with many calls multiplexed on it."""
+"""An authenticated stream between two entries that multiplexes many calls."""
 
 from __future__ import annotations
 
@@ -38,30 +38,30 @@
 
 
 class PeerHandler(ABC):
-    """What an entry does with what its peers send."""
+    """Handles the messages that an entry receives from its peers."""
 
     @abstractmethod
     async def handle_call(self, call: IncomingCall) -> None:
-        """Serve one forwarded request."""
+        """Serve a forwarded request."""
 
     @abstractmethod
     def pong(self, member: MemberId, nonce: int) -> Pong:
-        """The answer to a ping of ``member``, with figures that it can use."""
+        """Return the answer to a ping from ``member``, with the figures that it uses for routing."""
 
     @abstractmethod
     def handle_pong(self, member: MemberId, pong: Pong) -> None:
-        """Take note of a peer's figures."""
+        """Record the figures that a peer has sent."""
 
     @abstractmethod
     def handle_control(self, member: MemberId, control: Control) -> Control | None:
-        """Take a membership message, and return the reply to it if there is one."""
+        """Handle a membership message, and return the reply if there is one."""
 
 
 class Call:
-    """One request on a stream, with a window of bytes that may be under way each way."""
+    """A request on a stream. A window in each direction limits the bytes in flight."""
 
     def __init__(self, connection: PeerConnection, number: int) -> None:
-        """The connection makes these."""
+        """Called by ``PeerConnection``; ``number`` identifies the call in its messages."""
         self._connection = connection
         self._number = number
         self._window = WINDOW_BYTES
@@ -71,30 +71,30 @@
 
     @property
     def member(self) -> MemberId:
-        """The peer at the other end."""
+        """The member id of the peer."""
         return self._connection.member
 
     def deliver(self, event: CallEvent) -> None:
-        """Queue an event for the reader. The window bounds how much can wait."""
+        """Queue an event for the reader. The window limits the size of the queue."""
         try:
             self._sender.send_nowait(event)
         except trio.BrokenResourceError:
             return
 
     def grant(self, size: int) -> None:
-        """Allow ``size`` more bytes to be sent."""
+        """Enlarge the send window by ``size`` bytes."""
         self._window += size
         self._window_grew.set()
         self._window_grew = trio.Event()
 
     def lose(self) -> None:
-        """Wake reader and writer: the call or its stream is gone."""
+        """Wake up the reader and the writer with an error: the call was given up or the stream has ended."""
         self._closed = True
         self._sender.close()
         self._window_grew.set()
 
     async def send(self, data: bytes, end: bool) -> None:
-        """Send a part of the body. Raises PeerError when the stream is gone."""
+        """Send a part of the body. Raises PeerError if the call or the stream has ended."""
         pieces = range(0, len(data), CHUNK_BYTES) if data else range(1)
         last = pieces[-1]
         for start in pieces:
@@ -106,7 +106,7 @@
             self._connection.send(Chunk(self._number, piece, end and start == last))
 
     async def receive(self) -> CallEvent:
-        """The next event. Raises PeerError when the stream is gone."""
+        """Return the next event. Raises PeerError if the call or the stream has ended."""
         try:
             event = await self._receiver.receive()
         except trio.EndOfChannel as error:
@@ -116,7 +116,10 @@
         return event
 
     async def body(self) -> AsyncIterator[bytes]:
-        """The parts of the body from here to its end. Raises PeerError, RequestError."""
+        """Yield the remaining parts of the body.
+
+        Raises RequestError if the peer refuses the call, and PeerError if the stream ends early.
+        """
         while True:
             event = await self.receive()
             if isinstance(event, Refusal):
@@ -134,45 +137,45 @@
 
 
 class OutgoingCall(Call):
-    """The initiator's end of a call."""
+    """The side of a call that sent the request."""
 
     def close(self, finished: bool) -> None:
-        """Forget the call; when it has not ``finished``, tell the peer to give it up."""
+        """Remove the call. If it hasn't ``finished``, tell the peer to cancel it."""
         self._connection.forget(self._number)
         if not finished:
             self._connection.send_if_open(Cancel(self._number))
 
 
 class IncomingCall(Call):
-    """The acceptor's end of a call."""
+    """The side of a call that serves the request."""
 
     def __init__(self, connection: PeerConnection, forward: Forward) -> None:
-        """The connection makes these."""
+        """Called by ``PeerConnection`` for each Forward that it receives."""
         super().__init__(connection, forward.call)
         self._forward = forward
         self._scope = trio.CancelScope()
 
     @property
     def forward(self) -> Forward:
-        """The request's head."""
+        """The head of the request."""
         return self._forward
 
     @property
     def scope(self) -> trio.CancelScope:
-        """Cancelled when the initiator gives the call up or the stream is lost."""
+        """The scope of the handler, cancelled when the initiator cancels the call or the stream ends."""
         return self._scope
 
     def lose(self) -> None:
-        """The stream is gone, so nobody waits for the answer any more."""
+        """Also cancel the handler, since nobody waits for the answer any more."""
         super().lose()
         self._scope.cancel()
 
     def start(self, status: int, headers: tuple[Header, ...], figures: ServiceFigures) -> None:
-        """Send the head of the answer. Raises PeerError."""
+        """Send the head of the answer. Raises PeerError if the stream has ended."""
         self._connection.send(AnswerHead(self._number, status, list(headers), figures))
 
     def refuse(self, error: RequestError) -> None:
-        """End the call without a whole answer."""
+        """End the call with an error instead of a complete answer."""
         refusal = Refusal(
             self._number, error.status, error.reason, error.verdict, error.retry_after
         )
@@ -180,12 +183,15 @@
 
 
 class PeerConnection:
-    """One stream to one peer."""
+    """A stream to one peer."""
 
     def __init__(
         self, stream: trio.SocketStream, member: MemberId, handler: PeerHandler, initiator: bool
     ) -> None:
-        """Use ``connect_peer`` or ``accept_peer``; ``member`` is the proved name of the peer."""
+        """Take ownership of a stream whose peer has proved that it is ``member``.
+
+        Use ``connect_peer`` or ``accept_peer`` for the handshake. The ``initiator`` sends the pings.
+        """
         self._stream = stream
         self._initiator = initiator
         self._member = member
@@ -200,7 +206,7 @@
 
     @property
     def member(self) -> MemberId:
-        """The peer."""
+        """The member id of the peer."""
         return self._member
 
     @property
@@ -210,11 +216,11 @@
 
     @property
     def sent_bytes(self) -> int:
-        """Bytes sent so far."""
+        """The number of bytes sent so far."""
         return self._sent_bytes
 
     def open_call(self) -> tuple[int, OutgoingCall]:
-        """Start a call; the caller sends the Forward that bears its number."""
+        """Register a new call and return it with its number. The caller must then send a Forward with that number."""
         number = self._next_number
         self._next_number += 1
         call = OutgoingCall(self, number)
@@ -222,25 +228,25 @@
         return number, call
 
     def forget(self, number: int) -> None:
-        """Drop a call; what still arrives for it is ignored."""
+        """Remove a call; messages that still arrive for it are ignored."""
         call = self._calls.pop(number, None)
         if call is not None:
             call.lose()
 
     def send(self, message: Message) -> None:
-        """Queue a message. Raises PeerError when the stream is gone."""
+        """Queue a message. Raises PeerError if the stream has ended."""
         if self._lost:
             raise PeerError(f"the stream to {self._member} was lost")
         self._outgoing.append(encode_message(message))
         self._outgoing_added.set()
 
     def send_if_open(self, message: Message) -> None:
-        """Queue a message that nobody needs once the stream is gone."""
+        """Queue a message, or drop it if the stream has ended."""
         if not self._lost:
             self.send(message)
 
     async def run(self) -> None:
-        """Carry messages until the stream breaks or falls silent; never raises for that."""
+        """Send and receive messages until the stream ends or the peer stops responding; neither raises an error."""
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._write, nursery.cancel_scope)
@@ -251,7 +257,7 @@
             self.close()
 
     def close(self) -> None:
-        """End the stream and wake all that wait on it."""
+        """Close the stream and end all its calls."""
         self._lost = True
         self._stream.socket.close()
         calls, self._calls = self._calls, {}
@@ -318,9 +324,9 @@
             scope.cancel()
 
     async def _watch(self, scope: trio.CancelScope) -> None:
-        # Something between the two ends may lose track of the connection: nothing is refused and
-        # nothing arrives. Requests on it would wait until their deadlines. The heartbeat makes
-        # silence mean something, and the stream is given up so that a new one can take its place.
+        # A network device between the two ends may lose the state of the connection, after which it drops
+        # all packets without a reset. Requests on the stream would wait until their deadlines. Because of
+        # the heartbeat, a silent stream is known to be dead; it is closed and a new one replaces it.
         nonce = 0
         while trio.current_time() - self._heard < SILENCE_SECONDS:
             if self._initiator:
@@ -331,5 +337,5 @@
 
 
 def refused(refusal: Refusal) -> RequestError:
-    """The error that a refusal stands for."""
+    """Return the error that a refusal carries."""
     return RequestError(refusal.status, refusal.reason, refusal.verdict, refusal.retry_after)
--- a/fireflyfork/adapters/_peer_handshake.py
+++ b/fireflyfork/adapters/_peer_handshake.py
@@ -1,4 +1,4 @@
-"""How two entries prove their names to each other at the start of a stream."""
+"""The handshake with which two entries authenticate each other at the start of a stream."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 async def connect_peer(
     stream: trio.SocketStream, own: MemberId, peer: MemberId, key: bytes, handler: PeerHandler
 ) -> PeerConnection:
-    """Prove both names over a connected stream to ``peer``. Raises PeerError."""
+    """Authenticate both sides of a connected stream to ``peer``, as the initiator. Raises PeerError."""
     messages = _HandshakeMessages(stream)
     challenge = await messages.receive()
     if not isinstance(challenge, Challenge) or challenge.member != peer:
@@ -46,7 +46,7 @@
 async def accept_peer(
     stream: trio.SocketStream, own: MemberId, key: bytes, handler: PeerHandler
 ) -> PeerConnection:
-    """Prove both names over an accepted stream. Raises PeerError."""
+    """Authenticate both sides of an accepted stream. Raises PeerError."""
     messages = _HandshakeMessages(stream)
     nonce = secrets.token_bytes(_NONCE_BYTES)
     await messages.send(Challenge(own, nonce))
@@ -61,7 +61,7 @@
 
 
 class _HandshakeMessages:
-    """Single messages on a stream, each within the time of the whole handshake."""
+    """Sends and receives single messages, all within one time limit for the whole handshake."""
 
     def __init__(self, stream: trio.SocketStream) -> None:
         self._stream = stream
--- a/fireflyfork/adapters/_peer_messages.py
+++ b/fireflyfork/adapters/_peer_messages.py
@@ -1,4 +1,4 @@
-"""The messages between entries, and their encoding as a stream of msgpack values."""
+"""The messages that entries exchange, encoded as a stream of msgpack values."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
 
 
 class Role(Enum):
-    """What the receiver of a forwarded request is asked to be."""
+    """The role in which the receiver handles a forwarded request."""
 
     HOME = "home"
-    """The home of the request's idempotency key; it may forward the request once more."""
+    """The member that keeps the record of the request's idempotency key. It may forward the request once more."""
     OWNER = "owner"
-    """The owner of one of the service's targets; it runs the request on one of its own."""
+    """The owner of at least one target of the service. It runs the request on one of its own targets."""
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Base of all messages."""
+    """Base class of all messages between entries."""
 
 
 class Challenge(Message, frozen=True):
-    """The acceptor's first message: who it is, and a nonce that proves a fresh answer."""
+    """The acceptor's first message: its member id, and a nonce that prevents the replay of an old answer."""
 
     member: str
     nonce: bytes
 
 
 class Hello(Message, frozen=True):
-    """The initiator's answer to the challenge, and a nonce of its own."""
+    """The initiator's answer to the challenge, with a nonce of its own."""
 
     member: str
     digest: bytes
@@ -50,29 +50,29 @@
 
 
 class Ping(Message, frozen=True):
-    """Asks whether the stream is alive."""
+    """A heartbeat, which the receiver answers with a Pong."""
 
     nonce: int
 
 
 class ServiceFigures(msgspec.Struct, frozen=True, array_like=True):
-    """How busy a member's own targets of one service are."""
+    """The load of a member's own targets of one service."""
 
     free_slots: int
     queued: int
-    """Requests that wait for a slot."""
+    """The number of requests that wait for a slot."""
     drain_per_second: float
-    """Requests that the targets end in a second when all slots are busy."""
+    """The number of requests that the targets complete per second when all slots are busy."""
 
 
 class Pong(Message, frozen=True):
-    """Answers a ping with figures that routing uses."""
+    """The answer to a ping, with the figures that routing uses."""
 
     nonce: int
     figures: dict[str, ServiceFigures]
-    """By service."""
+    """The figures by service."""
     leaving: dict[str, float]
-    """Targets that the sender knows to be leaving, and for how many seconds."""
+    """The targets that the sender knows to be leaving, and for how many seconds it has known."""
 
 
 class Forward(Message, frozen=True):
@@ -86,14 +86,14 @@
     path: str
     headers: list[tuple[bytes, bytes]]
     remaining_milliseconds: int
-    """Time left until the deadline. A duration, because the clocks of instances differ."""
+    """The time left until the deadline. It is a duration because the clocks of instances differ."""
     traceparent: str
     key: str
     """The idempotency key, or an empty string."""
 
 
 class Chunk(Message, frozen=True):
-    """A part of a request's or an answer's body."""
+    """A part of the body of a request or an answer."""
 
     call: int
     data: bytes
@@ -107,11 +107,11 @@
     status: int
     headers: list[tuple[bytes, bytes]]
     figures: ServiceFigures
-    """Of the request's service at the sender."""
+    """The sender's figures for the service of the request."""
 
 
 class Refusal(Message, frozen=True):
-    """Ends a call without a whole answer. After an AnswerHead it means that the answer broke off."""
+    """Ends a call without a complete answer. After an AnswerHead it means that the answer was truncated."""
 
     call: int
     status: int
@@ -121,13 +121,13 @@
 
 
 class Cancel(Message, frozen=True):
-    """The initiator has given the call up."""
+    """Sent by the initiator when it gives up a call."""
 
     call: int
 
 
 class Credit(Message, frozen=True):
-    """The receiver has taken so many bytes of a call's body; as many more may be sent."""
+    """Sent by the receiver of a body after it has consumed ``size`` bytes; ``size`` more bytes may be sent."""
 
     call: int
     size: int
@@ -157,22 +157,22 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """The bytes of one message."""
+    """Encode one message."""
     plain = msgspec.to_builtins(message, builtin_types=(bytes,))
     return bytes(msgpack.packb(plain))
 
 
 class MessageDecoder:
-    """Turns received bytes into messages."""
+    """Decodes received bytes into messages."""
 
     def __init__(self) -> None:
-        """Nothing received."""
+        """Start with an empty buffer, which is limited to twice the maximum size of a message."""
         self._unpacker = msgpack.Unpacker(
             max_buffer_size=2 * LONGEST_MESSAGE_BYTES, max_bin_len=LONGEST_MESSAGE_BYTES
         )
 
     def feed(self, data: bytes) -> Iterator[PeerMessage]:
-        """The messages that ``data`` completes. Raises PeerError on anything else."""
+        """Yield the messages that ``data`` completes. Raises PeerError if the data is invalid."""
         try:
             self._unpacker.feed(data)
             for plain in self._unpacker:
--- a/fireflyfork/adapters/_peers.py
+++ b/fireflyfork/adapters/_peers.py
@@ -1,4 +1,4 @@
-"""The streams to all peers: one outgoing stream for each, opened when needed and replaced."""
+"""Maintains one outgoing stream to each peer, opened when needed and replaced when lost."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 class Peers:
-    """Outgoing streams to peers, and the server for theirs."""
+    """The outgoing streams to peers, and the server for incoming ones."""
 
     def __init__(
         self, own: Callable[[], MemberId], key: bytes, handler: PeerHandler, address_of: AddressOf
     ) -> None:
-        """``own`` tells this member's present id.
+        """``own_id`` returns this member's current id, which may change.
 
-        ``address_of`` tells the peer address of a member, or None when it is unknown.
+        ``address_of`` returns the peer address of a member, or None if it is unknown.
         """
         self._own = own
         self._key = key
@@ -42,17 +42,17 @@
 
     @property
     def sent_bytes(self) -> int:
-        """Bytes sent on the streams that are open now."""
+        """The number of bytes sent on the outgoing streams that are currently open."""
         return sum(stream.sent_bytes for stream in self._streams.values())
 
     async def run(self, listeners: list[trio.SocketListener]) -> None:
-        """Accept streams from peers and carry outgoing ones, until cancelled."""
+        """Accept streams from peers and run the outgoing ones, until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             await trio.serve_listeners(self._accept, listeners)
 
     async def stream(self, member: MemberId) -> PeerConnection:
-        """A live stream to ``member``. Raises PeerError; nothing has then been sent."""
+        """Return an open stream to ``member``. Raises PeerError, in which case nothing has been sent."""
         while True:
             stream = self._streams.get(member)
             if stream is not None and not stream.lost:
@@ -66,13 +66,13 @@
             return await self._open(member)
 
     def keep_open(self, members: tuple[MemberId, ...]) -> None:
-        """Open streams to these peers in the background, so that a first request needn't wait."""
+        """Open missing streams to these peers in the background, so the first request doesn't wait."""
         for member in members:
             if self._nursery is not None and member != self._own() and member not in self._streams:
                 self._nursery.start_soon(self._try_open, member)
 
     def close_all(self) -> None:
-        """End all outgoing streams; this member has a new id, which the others must learn."""
+        """Close all outgoing streams. Used when this member has a new id, which a handshake must announce."""
         for stream in tuple(self._streams.values()):
             stream.close()
 
@@ -83,8 +83,8 @@
             return
 
     def _refuse_in_quarantine(self, member: MemberId) -> None:
-        # A paused peer accepts connections and says nothing. Each request for it would otherwise
-        # wait for a handshake that doesn't come, when it could be refused or go elsewhere at once.
+        # The kernel of a paused peer still accepts connections, but the handshake never completes. Without
+        # the quarantine each request would wait for it instead of failing or going elsewhere immediately.
         if member in self._opening:
             return
         now = trio.current_time()
@@ -133,7 +133,7 @@
             raise
 
     def forget_all_but(self, members: frozenset[MemberId]) -> None:
-        """Forget paths to members that are gone."""
+        """Remove the state of connections to members that have left."""
         self._paths = {one: path for one, path in self._paths.items() if one in members}
 
     async def _carry(self, stream: PeerConnection) -> None:
--- a/fireflyfork/adapters/_relay_client.py
+++ b/fireflyfork/adapters/_relay_client.py
@@ -1,4 +1,4 @@
-"""The owner's side: calls to executors that are made by relays near them."""
+"""The owner's side of relays: calls to executors through relays in their failure domains."""
 
 from __future__ import annotations
 
@@ -42,20 +42,21 @@
 
 CONNECT_SECONDS = 0.6
 ORDER_SECONDS = 1.0
-"""Of loop time: what the relay allows an executor, and the way there and back besides."""
+"""The loop time that an order may take: the timeout that the relay applies to the executor, plus the round trip."""
 WAY_SECONDS = 0.4
 PING_SECONDS = 0.4
 SILENT_SECONDS = 1.0
-"""Of loop time without a word. A relay that is silent for so long gets no new calls: it may be frozen, or
-behind a full link. What it was asked may still be carried out, and its answers may be on their way."""
+"""The loop time without a message from a relay after which it gets no new calls: it may be frozen, or behind a
+saturated link. Calls sent before may still be executed, and their replies may still arrive."""
 LONGEST_SILENCE_SECONDS = SILENT_SECONDS + LONGEST_CALL_SECONDS + WAY_SECONDS
-"""Of loop time without a word. No call is pending by then, so ending the stream loses no answer."""
+"""The loop time without a message after which the stream is closed. By then no call is pending, so closing the
+stream loses no reply."""
 RECONNECT_SECONDS = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class RelayPlace:
-    """An instance that makes calls for others."""
+    """The address of an instance that relays calls for other instances."""
 
     node: NodeName
     failure_domain: FailureDomainName
@@ -63,15 +64,15 @@
 
 
 class _State(Enum):
-    """What a relay may be used for."""
+    """The state of the stream to a relay, which decides whether the relay gets new calls."""
 
     CLOSED = "closed"
-    """Not connected, or not greeted yet."""
+    """Not connected, or no Hello received yet."""
     OPEN = "open"
     SILENT = "silent"
-    """It gets no new calls until it says something; those under way go on."""
+    """The relay gets no new calls until it sends a message. Pending calls are still awaited."""
     LEAVING = "leaving"
-    """It gets no new calls any more; those under way go on."""
+    """The relay is stopping and gets no new calls. Pending calls are still awaited."""
 
 
 @dataclass(slots=True, eq=False)
@@ -81,10 +82,10 @@
 
 
 class Relay:
-    """A stream to one relay."""
+    """A stream to one relay, which is reopened when it ends."""
 
     def __init__(self, place: RelayPlace, loop_time: LoopTime, traffic: StreamTraffic) -> None:
-        """``run`` connects; what its streams carry is added to ``traffic``."""
+        """Start disconnected; ``run`` connects. The bytes of all streams to the relay are added to ``traffic``."""
         self.place = place
         self._traffic = traffic
         self._loop_time = loop_time
@@ -98,20 +99,20 @@
 
     @property
     def usable(self) -> bool:
-        """Whether new calls may go over it."""
+        """Whether new calls may be sent to the relay."""
         return self._state is _State.OPEN and not self._replaced
 
     def note_replaced(self) -> None:
-        """Others are used in its place: it gets no new calls, and those under way go on."""
+        """Send no new calls, because the relay is no longer configured. Pending calls are still awaited."""
         self._replaced = True
 
     async def wait_idle(self) -> None:
-        """Wait until no call is under way."""
+        """Wait until no call is pending."""
         while self._pending:
             await self._call_ended.wait()
 
     async def run(self) -> None:
-        """Connect, and connect again when the stream has ended."""
+        """Connect, and reconnect ``RECONNECT_SECONDS`` after the stream has ended. Runs until cancelled."""
         while True:
             try:
                 await self._live()
@@ -123,7 +124,10 @@
             await trio.sleep(RECONNECT_SECONDS)
 
     async def call(self, make: Callable[[int], Call], seconds: float) -> Reply | None:
-        """One call within so many seconds of loop time; None if it may or may not have been made."""
+        """Make a call and return the reply, or None if no reply arrives within ``seconds`` of loop time.
+
+        Without a reply, the call may or may not have been executed.
+        """
         if self._stream is None:
             return None
         stream, number = self._stream, next(self._numbers)
@@ -134,7 +138,8 @@
             stream.send(call)
             await pending.done.wait()
         finally:
-            # One that waits behind a full link would come after whatever took its place.
+            # A message that is still queued behind a saturated link would arrive after the call that
+            # replaces it.
             stream.withdraw(call)
             alarm.cancel()
             del self._pending[number]
@@ -143,7 +148,7 @@
         return pending.reply
 
     def rank(self, executor: ExecutorId) -> int:
-        """Orders the relays for an executor; each executor's order is another one (rendezvous hashing)."""
+        """Return the weight of this relay for an executor (rendezvous hashing): the highest one is chosen."""
         return xxhash.xxh32_intdigest(f"{self.place.node} {executor}".encode())
 
     def forget(self, executor: ExecutorId) -> None:
@@ -166,7 +171,7 @@
             await self._listen(self._stream)
 
     async def _listen(self, stream: RelayStream) -> NoReturn:
-        """Take what the relay says until the stream ends. Raises PeerError."""
+        """Handle the messages of the relay until the stream ends, then raise PeerError."""
         try:
             with self._loop_time.fail_after(LONGEST_SILENCE_SECONDS) as put_off:
                 async for message in stream.messages():
@@ -174,7 +179,7 @@
                     self._note_word()
                     self._take(message)
         except trio.TooSlowError as error:
-            raise PeerError(f"silent for {LONGEST_SILENCE_SECONDS} s") from error
+            raise PeerError(f"no message for {LONGEST_SILENCE_SECONDS} s") from error
         raise PeerError("the relay closed the stream")
 
     def _note_word(self) -> None:
@@ -200,14 +205,14 @@
                     pending.done.set()
             case Hello(version):
                 if version != RELAY_VERSION:
-                    raise PeerError(f"the relay speaks version {version}, not {RELAY_VERSION}")
+                    raise PeerError(f"the relay uses version {version}, not {RELAY_VERSION}")
                 self._state = _State.OPEN
             case Goodbye():
                 self._state = _State.LEAVING
             case Pong():
                 pass
             case _:
-                raise PeerError(f"{type(message).__name__} from a relay")
+                raise PeerError(f"unexpected {type(message).__name__} from a relay")
 
     @staticmethod
     async def _ping(stream: RelayStream) -> None:
@@ -227,12 +232,15 @@
 
 
 class RelayedExecutors(ExecutorCalls):
-    """Calls that go through a relay in the executor's failure domain where there is one, else directly."""
+    """Calls executors through a relay in their failure domain if one is usable, and directly otherwise."""
 
     def __init__(
         self, direct: ExecutorCalls, loop_time: LoopTime, traffic: RelayTraffic | None = None
     ) -> None:
-        """No relay is used before ``run`` and ``use``; ``traffic`` counts what streams to them carry."""
+        """Start without relays: ``direct`` makes all calls until relays are set and ``run`` has connected to them.
+
+        ``traffic`` counts the bytes of the streams to relays.
+        """
         self._direct = direct
         self._traffic = traffic if traffic is not None else RelayTraffic()
         self._loop_time = loop_time
@@ -243,12 +251,12 @@
         self._changed = trio.Event()
 
     def use(self, places: Iterable[RelayPlace]) -> None:
-        """Use these relays and no other ones."""
+        """Use exactly the given relays from now on."""
         self._wanted = tuple(places)
         self._changed.set()
 
     async def run(self) -> None:
-        """Hold the streams to relays until cancelled."""
+        """Maintain the streams to the relays until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 self._follow(nursery)
@@ -294,7 +302,7 @@
     async def poll(
         self, place: ExecutorPlace, token: FencingToken, request: PollRequest, fresh: bool = False
     ) -> PollAnswer:
-        """See ExecutorCalls. A fresh poll goes directly: it finds out whether the usual way is silent."""
+        """See ExecutorCalls. A ``fresh`` poll is sent directly, to detect whether only the usual path is broken."""
         relay = None if fresh else self._relay_for(place)
         if relay is None:
             return await self._direct.poll(place, token, request, fresh)
@@ -306,7 +314,7 @@
         try:
             return reply.answer()
         except ValueError as error:
-            logger.warning("relay's answer not readable", relay=relay.place.node, error=str(error))
+            logger.warning("cannot decode relay reply", relay=relay.place.node, error=str(error))
             return PollAnswer(CallOutcome.UNKNOWN, why="relay's answer not readable")
 
     def forget(self, executor: ExecutorId) -> None:
@@ -316,7 +324,10 @@
             relay.forget(executor)
 
     def _relay_for(self, place: ExecutorPlace) -> Relay | None:
-        """The same one for an executor as long as it is usable, so that its connections are kept."""
+        """Return the relay for an executor, or None to call it directly.
+
+        The choice is stable while that relay is usable, so the relay's connection to the executor is reused.
+        """
         usable = [one for one in self._near(place) if one.usable]
         if not usable:
             return None
@@ -340,7 +351,7 @@
 
     @staticmethod
     async def _retire(relay: Relay, scope: trio.CancelScope) -> None:
-        """Let a relay go once it owes no answer."""
+        """Close the stream to a relay once no call is pending, or after the time that any call may take."""
         relay.note_replaced()
         with trio.move_on_after(LONGEST_SILENCE_SECONDS):
             await relay.wait_idle()
@@ -359,5 +370,5 @@
     try:
         return reply.answer()
     except ValueError as error:
-        logger.warning("relay's answer not readable", relay=relay.place.node, error=str(error))
+        logger.warning("cannot decode relay reply", relay=relay.place.node, error=str(error))
         return OrderAnswer(CallOutcome.UNKNOWN, None)
--- a/fireflyfork/adapters/_relay_messages.py
+++ b/fireflyfork/adapters/_relay_messages.py
@@ -1,6 +1,6 @@
-"""What instances say to each other to have calls to executors made near them.
+"""The messages between an owner and the relays that call executors on its behalf.
 
-A stream carries frames: a length, then a list of messages. Whatever waits goes out in one frame.
+A stream consists of frames, each with a length and a list of messages. All queued messages are sent in one frame.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 from ._executor_calls import ExecutorPlace
 
 RELAY_VERSION = 1
-"""Instances of two versions that differ in it don't use each other as relays."""
+"""The version of the protocol. Instances with different versions don't use each other as relays."""
 
 
 class RelayMessage(msgspec.Struct, frozen=True, array_like=True, tag_field="kind"):
-    """Anything that is said on a stream between an owner and a relay."""
+    """Base class of all messages between an owner and a relay."""
 
 
 class Place(msgspec.Struct, frozen=True, array_like=True):
-    """See ExecutorPlace."""
+    """The executor process that a call is addressed to; see ExecutorPlace."""
 
     executor: str
     host: str
@@ -41,17 +41,17 @@
 
     @classmethod
     def of(cls, place: ExecutorPlace) -> Place:
-        """What the relay has to know of a place."""
+        """Encode the address of an executor process, without its failure domain."""
         return cls(place.executor, place.address.host, place.address.port, place.incarnation)
 
     def place(self) -> ExecutorPlace:
-        """The place that is meant."""
+        """Decode the address of the executor process."""
         address = Address(self.host, self.port)
         return ExecutorPlace(ExecutorId(self.executor), address, self.incarnation)
 
 
 class Hello(RelayMessage, frozen=True, tag=0):
-    """The first message of either side."""
+    """The first message of each side."""
 
     version: int
 
@@ -60,7 +60,7 @@
     """See ExecutorCalls.start."""
 
     number: int
-    """Names the call in its reply."""
+    """The number that identifies the call in its reply."""
     place: Place
     token: int
     task: str
@@ -111,7 +111,7 @@
 
 
 class OrderReply(RelayMessage, frozen=True, tag=6):
-    """The answer to a start, stop or pace."""
+    """The reply to a start, stop or pace call."""
 
     number: int
     outcome: str
@@ -120,16 +120,16 @@
 
     @classmethod
     def of(cls, number: int, answer: OrderAnswer) -> OrderReply:
-        """Carry an answer."""
+        """Encode the answer to call ``number``."""
         return cls(number, answer.outcome.value, answer.clock_ms, answer.incarnation)
 
     def answer(self) -> OrderAnswer:
-        """The answer that it carries. Raises ValueError."""
+        """Decode the answer. Raises ValueError for an unknown outcome."""
         return OrderAnswer(CallOutcome(self.outcome), self.clock_ms, self.incarnation)
 
 
 class PollReply(RelayMessage, frozen=True, tag=7):
-    """The answer to a poll."""
+    """The reply to a poll."""
 
     number: int
     outcome: str
@@ -142,7 +142,7 @@
 
     @classmethod
     def of(cls, number: int, answer: PollAnswer) -> PollReply:
-        """Carry an answer."""
+        """Encode the answer to call ``number``."""
         running = [
             (row.task, row.attempt, row.checkpoint, row.progress_percent, row.figure)
             for row in answer.running
@@ -163,7 +163,7 @@
         )
 
     def answer(self) -> PollAnswer:
-        """The answer that it carries. Raises ValueError."""
+        """Decode the answer. Raises ValueError for an unknown outcome or reason."""
         return PollAnswer(
             CallOutcome(self.outcome),
             self.clock_ms,
@@ -179,15 +179,15 @@
 
 
 class Ping(RelayMessage, frozen=True, tag=8):
-    """Is the other side there?"""
+    """A heartbeat, which the relay answers with a Pong."""
 
 
 class Pong(RelayMessage, frozen=True, tag=9):
-    """It is."""
+    """The answer to a Ping."""
 
 
 class Goodbye(RelayMessage, frozen=True, tag=10):
-    """The relay stops: calls under way are still answered, and no new one should come."""
+    """Sent by a relay that is stopping. It still answers pending calls, and must get no new ones."""
 
 
 Call = StartCall | StopCall | PaceCall | PollCall
@@ -198,7 +198,7 @@
 
 
 def start_call(number: int, place: ExecutorPlace, token: int, order: StartRequest) -> StartCall:
-    """A start as a message."""
+    """Encode an order to start a run."""
     return StartCall(
         number,
         Place.of(place),
@@ -213,7 +213,7 @@
 
 
 def poll_call(number: int, place: ExecutorPlace, token: int, request: PollRequest) -> PollCall:
-    """A poll as a message."""
+    """Encode a poll."""
     return PollCall(
         number,
         Place.of(place),
--- a/fireflyfork/adapters/_relay_server.py
+++ b/fireflyfork/adapters/_relay_server.py
@@ -1,4 +1,4 @@
-"""The relay's side: makes calls to executors for an owner on another instance."""
+"""The relay: calls executors on behalf of owners on other instances."""
 
 from __future__ import annotations
 
@@ -31,17 +31,19 @@
 from ._relay_stream import RelayStream
 
 CALLS_AT_ONCE = 512
-"""For one owner. Above that its messages are left unread, which its stream passes on to it."""
+"""The maximum number of concurrent calls for one owner. Above it the relay stops reading from the owner's stream,
+and TCP flow control slows the owner down."""
 TICK_SECONDS = 0.25
 STOOD_STILL_SECONDS = 1.0
-"""An owner that hears nothing for so long uses another relay."""
+"""The length of a stall of this process after which its streams are closed. An owner that receives nothing for this
+time uses another relay."""
 
 
 class RelayServer:
-    """Makes calls for any owner that connects.
+    """Calls executors for any owner that connects.
 
-    It decides nothing and remembers nothing: tokens, leases and deadlines are the owner's, and an order that
-    is delayed here is as void as one that is delayed on the network.
+    A relay is stateless and makes no decisions. Tokens, leases and deadlines are set by the owner, so an order
+    that is delayed at the relay is rejected by them like an order that is delayed on the network.
     """
 
     def __init__(
@@ -49,9 +51,9 @@
         new_calls: Callable[[], ExecutorCalls],
         clock: Callable[[], float] = trio.current_time,
     ) -> None:
-        """``new_calls`` makes a client of executors for each owner: each comes with a token of its own.
+        """``new_calls`` creates a client of executors for each owner, because each owner has its own token.
 
-        ``clock`` goes on while the process stands still.
+        ``clock`` must continue to run while the process is suspended.
         """
         self._new_calls = new_calls
         self._clock = clock
@@ -66,7 +68,7 @@
             await trio.serve_listeners(self._serve, listeners)
 
     def say_goodbye(self) -> None:
-        """Tell all owners to use another relay; what is under way goes on."""
+        """Tell all owners to use another relay; calls in progress are completed."""
         self._stopping = True
         for stream in self._streams:
             stream.send(Goodbye())
@@ -77,10 +79,10 @@
             await trio.sleep(TICK_SECONDS)
 
     def _end_streams_after_stall(self) -> None:
-        """End all streams if the process has stood still.
+        """Close all streams if the process was stalled.
 
-        What has come on them meanwhile is old, and their owners have turned to other relays: an order to
-        change a run's pace would undo the one that they sent since.
+        Messages that arrived during the stall are outdated, and the owners have switched to other relays. An
+        old order that changes the pace of a run would undo a newer one that the owner has sent since.
         """
         stood_still = self._clock() - self._awake_at > STOOD_STILL_SECONDS
         self._awake_at = self._clock()
@@ -111,7 +113,7 @@
         async for message in stream.messages():
             self._end_streams_after_stall()
             if stream.closed:
-                raise PeerError("the relay stood still")
+                raise PeerError("the relay was stalled")
             if isinstance(message, Call):
                 borrower = object()
                 await limit.acquire_on_behalf_of(borrower)
@@ -124,13 +126,13 @@
         match message:
             case Hello(version):
                 if version != RELAY_VERSION:
-                    raise PeerError(f"the owner speaks version {version}, not {RELAY_VERSION}")
+                    raise PeerError(f"the owner uses version {version}, not {RELAY_VERSION}")
             case Forget(executor):
                 calls.forget(ExecutorId(executor))
             case Ping():
                 stream.send(Pong())
             case _:
-                raise PeerError(f"{type(message).__name__} from an owner")
+                raise PeerError(f"unexpected {type(message).__name__} from an owner")
 
     @staticmethod
     async def _answer(
--- a/fireflyfork/adapters/_relay_stream.py
+++ b/fireflyfork/adapters/_relay_stream.py
@@ -1,4 +1,4 @@
-"""A stream between an owner and a relay."""
+"""The message stream between an owner and a relay."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class RelayStream(MessageStream[AnyMessage]):
-    """One end of it.
+    """One end of the stream between an owner and a relay.
 
-    On a full link bytes and their acknowledgements are under way for seconds, as the answers are, so the kernel
-    has to bear that for as long as calls wait.
+    On a saturated link, data and acknowledgements are delayed by seconds, as replies are. The limit for
+    unacknowledged data is therefore as long as the longest call.
     """
 
     def __init__(self, stream: trio.SocketStream, traffic: StreamTraffic | None = None) -> None:
-        """Take over a connected stream; its bytes are added to ``traffic``."""
+        """Take ownership of a connected stream and count its bytes in ``traffic``."""
         super().__init__(stream, DECODER, LONGEST_CALL_SECONDS, traffic)
--- a/fireflyfork/adapters/_relay_traffic.py
+++ b/fireflyfork/adapters/_relay_traffic.py
@@ -1,4 +1,4 @@
-"""How many bytes the streams between owners and relays carry."""
+"""Counts the bytes on the streams between owners and relays."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class RelayTraffic:
-    """What the owners on this instance exchange with relays, by the relays' failure domain."""
+    """The bytes that owners on this instance exchange with relays, by the failure domain of the relay."""
 
     def __init__(self) -> None:
-        """Nothing exchanged."""
+        """Start with no failure domain."""
         self._domains: dict[FailureDomainName, StreamTraffic] = {}
 
     @property
     def received(self) -> Mapping[str, int]:
-        """Bytes that came from relays there."""
+        """The bytes received from relays, by failure domain."""
         return {domain: traffic.received for domain, traffic in self._domains.items()}
 
     @property
     def sent(self) -> Mapping[str, int]:
-        """Bytes that went to relays there."""
+        """The bytes sent to relays, by failure domain."""
         return {domain: traffic.sent for domain, traffic in self._domains.items()}
 
     def of(self, domain: FailureDomainName) -> StreamTraffic:
-        """Where streams to a failure domain are counted."""
+        """Return the counter for streams to relays in a failure domain."""
         return self._domains.setdefault(domain, StreamTraffic())
--- a/fireflyfork/adapters/_replica_client.py
+++ b/fireflyfork/adapters/_replica_client.py
@@ -1,4 +1,4 @@
-"""Follows the replicas of other instances over sockets."""
+"""A client that queries the replicas of other instances."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 
 CONNECT_SECONDS = 0.6
 SILENT_SECONDS = 1.4
-"""Of loop time without a byte: what a question may wait, and the way there and back. A large answer may take
-longer, as long as it goes on coming."""
+"""The maximum loop time without received data: the time that a query may wait at the peer, plus the round trip. A
+large answer may take longer in total, as long as data keeps arriving."""
 UNACKNOWLEDGED_SECONDS = 2.0
 
 
 class SocketReplicaPeers(ReplicaPeers):
-    """The replicas of other instances, each over a stream of its own."""
+    """Connects to the replicas of other instances, each over a separate stream."""
 
     def __init__(self, loop_time: LoopTime) -> None:
-        """Silence is judged by ``loop_time``."""
+        """Timeouts are measured in ``loop_time``."""
         self._loop_time = loop_time
 
     @asynccontextmanager
@@ -52,7 +52,7 @@
 
 
 class _StreamPeer(ReplicaPeer):
-    """One question at a time, each on its way before its answer is waited for."""
+    """Handles one query at a time: each is sent in full before its answer is awaited."""
 
     def __init__(self, stream: MessageStream[AnyReplicaMessage], loop_time: LoopTime) -> None:
         self._stream = stream
@@ -65,7 +65,8 @@
             with self._loop_time.fail_after(silence) as put_off:
                 await self._stream.flush()
                 while (received := await self._stream.receive()) is not None:
-                    # A greeting alone is no beginning of an answer.
+                    # A chunk without a complete message is the beginning of a large answer and gets the usual
+                    # timeout. A complete Hello is not, and leaves the limit for the beginning in force.
                     put_off(silence if received else SILENT_SECONDS)
                     for message in received:
                         if isinstance(message, Update):
@@ -80,6 +81,6 @@
     match message:
         case Hello(version):
             if version != REPLICA_VERSION:
-                raise PeerError(f"it speaks version {version}")
+                raise PeerError(f"the upstream uses version {version}")
         case _:
-            raise PeerError(f"{type(message).__name__} from an upstream")
+            raise PeerError(f"unexpected {type(message).__name__} from an upstream")
--- a/fireflyfork/adapters/_replica_messages.py
+++ b/fireflyfork/adapters/_replica_messages.py
@@ -1,4 +1,4 @@
-"""What is said on a stream between an instance and one that follows its replica."""
+"""The messages between an instance and a follower of its replica."""
 
 from __future__ import annotations
 
@@ -13,60 +13,60 @@
 from ._replicas import ReplicaAnswer, ReplicaQuestion
 
 REPLICA_VERSION = 1
-"""Instances of two versions that differ in it don't follow each other."""
+"""The version of the protocol. Instances with different versions don't follow each other."""
 COMPRESSED_FROM_BYTES = 1_024
 COMPRESSION_LEVEL = 1
-"""A configuration is mostly repeated words, so the quickest level takes most of what there is to take."""
+"""A configuration consists mostly of repeated words, so the fastest level achieves most of the possible reduction."""
 LONGEST_VALUE_BYTES = 16 << 20
 
 
 class ReplicaMessage(msgspec.Struct, frozen=True, array_like=True, tag_field="kind"):
-    """Anything that is said."""
+    """Base class of all messages between an instance and a follower."""
 
 
 class Hello(ReplicaMessage, frozen=True, tag=0):
-    """The first message of either side."""
+    """The first message of each side."""
 
     version: int
 
 
 class Ask(ReplicaMessage, frozen=True, tag=1):
-    """See ReplicaQuestion."""
+    """A query; see ReplicaQuery."""
 
     after: int
     mark: float | None
 
     @classmethod
     def of(cls, question: ReplicaQuestion) -> Ask:
-        """Carry a question."""
+        """Encode a query."""
         return cls(question.after, question.mark)
 
     def question(self) -> ReplicaQuestion:
-        """The question that it carries."""
+        """Decode the query."""
         return ReplicaQuestion(Revision(self.after), self.mark)
 
 
 class Item(msgspec.Struct, frozen=True, array_like=True):
-    """A key with its value."""
+    """A key with its value, compressed if it is large."""
 
     key: str
     revision: int
     created: int
     checksum: int
-    """Of the value as it is in the store."""
+    """The checksum (xxh3, 64 bits) of the uncompressed value, as stored."""
     compressed: bool
     content: bytes
 
     @classmethod
     def of(cls, item: StoredItem) -> Item:
-        """Carry an item."""
+        """Encode an item."""
         compressed = len(item.value) >= COMPRESSED_FROM_BYTES
         content = zlib.compress(item.value, COMPRESSION_LEVEL) if compressed else item.value
         checksum = xxhash.xxh3_64_intdigest(item.value)
         return cls(item.key, item.revision, item.created, checksum, compressed, content)
 
     def item(self) -> StoredItem:
-        """The item that it carries. Raises PeerError if it isn't whole."""
+        """Decode the item. Raises PeerError if the value is truncated or corrupt."""
         value = self._decompressed() if self.compressed else self.content
         if xxhash.xxh3_64_intdigest(value) != self.checksum:
             raise PeerError(f"the value of {self.key} at {self.revision} doesn't have its checksum")
@@ -84,7 +84,7 @@
 
 
 class Update(ReplicaMessage, frozen=True, tag=2):
-    """See ReplicaAnswer."""
+    """The answer to a query; see ReplicaAnswer."""
 
     as_of: int
     age_seconds: float
@@ -94,7 +94,7 @@
     changed: list[Item]
 
     def answer(self) -> ReplicaAnswer:
-        """The answer that it carries. Raises PeerError."""
+        """Decode the answer. Raises PeerError if a value is truncated or corrupt."""
         return ReplicaAnswer(
             Revision(self.as_of),
             self.age_seconds,
@@ -106,14 +106,14 @@
 
 
 class ItemEncoder:
-    """Turns items into messages; what many ask for is compressed once."""
+    """Encodes answers. Items are cached, so a value that many followers request is compressed once."""
 
     def __init__(self) -> None:
-        """Nothing was encoded yet."""
+        """Start with an empty cache."""
         self._encoded: dict[str, Item] = {}
 
     def update(self, answer: ReplicaAnswer) -> Update:
-        """An answer as a message."""
+        """Encode an answer."""
         for key in self._encoded.keys() - answer.revisions.keys():
             del self._encoded[key]
         return Update(
--- a/fireflyfork/adapters/_replica_server.py
+++ b/fireflyfork/adapters/_replica_server.py
@@ -1,4 +1,4 @@
-"""Answers other instances that follow this one's replica."""
+"""A server that answers the queries of instances that follow this instance's replica."""
 
 from __future__ import annotations
 
@@ -18,17 +18,18 @@
 from ._replicas import ReplicaSource
 
 UNACKNOWLEDGED_SECONDS = 5.0
-"""A follower over a full link takes its time."""
+"""The limit for unacknowledged data, chosen long enough for a follower behind a saturated link."""
 IDLE_SECONDS = 30.0
-"""A follower asks again as soon as it is answered, so one that doesn't for so long has gone, or its connection
-has gone silent, which nothing else would tell."""
+"""The time without a query after which the connection is closed. A follower sends its next query as soon as it gets
+an answer, so a longer pause means that the follower has gone or that the connection is dead, which nothing else
+would reveal."""
 
 
 class ReplicaServer:
-    """Serves one replica."""
+    """Serves a replica to its followers."""
 
     def __init__(self, source: ReplicaSource) -> None:
-        """``source`` answers."""
+        """``source`` answers the queries."""
         self._source = source
         self._encoder = ItemEncoder()
 
@@ -59,7 +60,7 @@
             with trio.fail_after(IDLE_SECONDS):
                 return await stream.receive()
         except trio.TooSlowError as error:
-            raise PeerError(f"no question for {IDLE_SECONDS} s") from error
+            raise PeerError(f"no query for {IDLE_SECONDS} s") from error
 
     async def _take(
         self, message: AnyReplicaMessage, stream: MessageStream[AnyReplicaMessage]
@@ -67,9 +68,9 @@
         match message:
             case Hello(version):
                 if version != REPLICA_VERSION:
-                    raise PeerError(f"the follower speaks version {version}")
+                    raise PeerError(f"the follower uses version {version}, not {REPLICA_VERSION}")
             case Ask():
                 answer = await self._source.answer(message.question())
                 stream.send(self._encoder.update(answer))
             case _:
-                raise PeerError(f"{type(message).__name__} from a follower")
+                raise PeerError(f"unexpected {type(message).__name__} from a follower")
--- a/fireflyfork/adapters/_replicas.py
+++ b/fireflyfork/adapters/_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas of keys of the store that instances ask each other for."""
+"""The interfaces through which instances replicate keys of the store from each other."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaPlace:
-    """Where an instance answers for its replica."""
+    """The address at which an instance serves its replica."""
 
     node: NodeName
     address: Address
@@ -23,51 +23,57 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaQuestion:
-    """What has changed since?"""
+    """A query for all changes after a revision."""
 
     after: Revision
-    """All changes up to this one are known to whoever asks; 0: none."""
+    """The revision up to which the follower has all changes; 0: it has none."""
     mark: float | None = None
-    """Of the last answer on this connection."""
+    """The ``mark`` of the last answer on this connection, or None for the first query."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaAnswer:
-    """What one instance knows of the keys."""
+    """The state of an instance's replica, with the changes that the follower lacks."""
 
     as_of: Revision
-    """All changes up to this one are known to whoever answers; 0: none."""
+    """The revision up to which the replica has all changes; 0: it has none."""
     age_seconds: float
-    """How long ago it was certain that nothing newer was in the store; infinite while nothing is known."""
+    """The time since the replica was last known to be up to date with the store; infinite if it never was."""
     waited_seconds: float
-    """How long the question waited for something to tell."""
+    """How long the query waited for an update."""
     mark: float
-    """Rises when more becomes known; for the next question."""
+    """A value that rises when the replica learns more. The follower sends it in its next query."""
     revisions: Mapping[str, Revision]
-    """The last change of every key that there is."""
+    """The revision of the last change of every existing key."""
     changed: tuple[StoredItem, ...]
-    """The keys that have changed after the revision that was asked about."""
+    """The items that have changed after the revision of the query."""
 
 
 class ReplicaSource(ABC):
-    """Answers for a replica."""
+    """Answers queries about a replica."""
 
     @abstractmethod
     async def answer(self, question: ReplicaQuestion) -> ReplicaAnswer:
-        """Wait until there is something to tell, or until a waiting question wants to hear from a live instance."""
+        """Return the answer to a query.
+
+        Waits for an update, but no longer than a waiting follower takes to conclude that this instance is dead.
+        """
 
 
 class ReplicaPeer(ABC):
-    """Another instance's replica, over one connection."""
+    """A connection to another instance's replica."""
 
     @abstractmethod
     async def ask(self, question: ReplicaQuestion, patience: float = inf) -> ReplicaAnswer:
-        """One question. Raises PeerError when no answer comes, or none begins to within ``patience`` seconds."""
+        """Send a query and return the answer.
+
+        Raises PeerError if no answer arrives, or if none begins to arrive within ``max_wait`` seconds.
+        """
 
 
 class ReplicaPeers(ABC):
-    """The replicas of other instances."""
+    """Connects to the replicas of other instances."""
 
     @abstractmethod
     def connect(self, place: ReplicaPlace) -> AbstractAsyncContextManager[ReplicaPeer]:
-        """Hold a connection to one of them. Raises PeerError when there can be none."""
+        """Hold a connection to a replica during the block. Raises PeerError if it can't be made."""
