--- a/fireflyfork/adapters/__init__.py
+++ b/fireflyfork/adapters/__init__.py
@@ -1,4 +1,4 @@
-"""What touches sockets, each kind behind an abstract base class."""
+"""Network clients and servers, each behind an abstract base class."""
 
 from ._advisor import Advice, Advisor, NoAdvisor
 from ._control_content import decode_content, encode_content
--- a/fireflyfork/adapters/_advisor.py
+++ b/fireflyfork/adapters/_advisor.py
@@ -1,4 +1,4 @@
-"""An outside service that tells which executors may run a step."""
+"""The interface of the platform's advisor, which decides which executors may run a step."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Advice:
-    """The executors that may run a step."""
+    """The executors that the advisor allows to run a step, and how long that holds."""
 
     tickets: dict[ExecutorId, str]
-    """What a start there has to carry."""
+    """The ticket that a start on each allowed executor must carry."""
     valid_seconds: float
 
 
 class Advisor(ABC):
-    """The service that knows a queue's policy."""
+    """A client of the advisor, which enforces the policies of queues."""
 
     @abstractmethod
     async def advise(self, step: str, executors: tuple[ExecutorId, ...]) -> Advice | None:
-        """Which of these executors may run the step; None when there was no answer."""
+        """Return which of the given executors may run the step, or None if the advisor doesn't answer."""
 
 
 class NoAdvisor(Advisor):
-    """Where the platform has none."""
+    """The advisor for platforms without one; it never gives advice."""
 
     async def advise(self, step: str, executors: tuple[ExecutorId, ...]) -> Advice | None:
-        """No answer."""
+        """Return None: no advisor exists."""
         return None
--- a/fireflyfork/adapters/_control_content.py
+++ b/fireflyfork/adapters/_control_content.py
@@ -1,4 +1,4 @@
-"""The content of control messages: dataclasses as msgpack."""
+"""Encodes dataclasses as msgpack for the content of control messages."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 def encode_content(content: object) -> bytes:
-    """The bytes of a dataclass."""
+    """Encode a dataclass."""
     return bytes(msgpack.packb(msgspec.to_builtins(content, builtin_types=(bytes,))))
 
 
 def decode_content(data: bytes, content_type: type[Content]) -> Content:
-    """The dataclass that ``data`` holds. Raises PeerError."""
+    """Decode ``data`` as ``content_type``. Raises PeerError if it doesn't match that type."""
     try:
         plain = msgpack.unpackb(data)
         return msgspec.convert(plain, content_type, builtin_types=(bytes,))
--- a/fireflyfork/adapters/_coordination.py
+++ b/fireflyfork/adapters/_coordination.py
@@ -1,4 +1,4 @@
-"""The store as scheduling needs it: transactions over keys, ordered changes, leases."""
+"""The interface of the store that scheduling uses: transactions over keys, watches and leases."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
     key: str
     value: bytes
     revision: Revision
-    """Of its last change, on the counter that all keys share."""
+    """The revision of the last change of the key. All keys share one counter of revisions."""
     created: Revision
-    """Of its creation, on the same counter."""
+    """The revision at which the key was created."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
     key: str
     revision: Revision
     item: StoredItem | None
-    """What was written, or None when the key was removed."""
+    """The item as written, or None if the key was removed."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
 
     changes: tuple[StoreChange, ...]
     as_of: Revision
-    """Where the next call continues."""
+    """The revision after which the next call continues."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +46,7 @@
 
     items: tuple[StoredItem, ...]
     as_of: Revision
-    """The earliest revision that any page was read at: following from here misses nothing."""
+    """The lowest revision at which any page was read. A watch that starts here misses no change."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,49 +56,49 @@
     key: str
     value: bytes
     lease: LeaseId | None = None
-    """The key is removed when this lease ends."""
+    """The lease that the key is bound to: the key is removed when the lease ends. None: not bound."""
 
 
 class CoordinationStore(ABC):
-    """Linearizable keys with transactions, watches and leases. Every call is paid for.
+    """Linearizable keys with transactions, watches and leases. The platform charges for every call.
 
-    Each method raises StoreRefusedError when nothing was done, and StoreUnavailableError when no
-    answer came: a change may then have taken effect, or may still take effect seconds later.
+    Each method raises StoreRefusedError if the store did nothing, and StoreUnavailableError if it
+    didn't answer: a change may then have taken effect, or may still take effect seconds later.
     """
 
     @property
     @abstractmethod
     def answers(self) -> bool:
-        """Whether the store has answered this instance lately."""
+        """Whether the store has answered recent calls of this instance."""
 
     @property
     def calls(self) -> Mapping[str, int]:
-        """Calls made so far, by what they were for; empty where nobody counts them."""
+        """The number of calls made so far, by purpose; empty if the implementation doesn't count them."""
         return {}
 
     @property
     def bytes_received(self) -> Mapping[str, int]:
-        """The bodies of answers that came whole, by the same purposes as ``calls``."""
+        """The bytes of complete response bodies, by the same purposes as ``calls``."""
         return {}
 
     @property
     def bytes_sent(self) -> Mapping[str, int]:
-        """The bodies of calls, by the same purposes as ``calls``."""
+        """The bytes of request bodies, by the same purposes as ``calls``."""
         return {}
 
     @abstractmethod
     async def read(self, key: str) -> StoredItem | None:
-        """The item, or None when the key is absent."""
+        """Return the item, or None if the key is absent."""
 
     @abstractmethod
     async def list(self, prefix: str) -> StoreListing:
-        """All items whose keys start with ``prefix``."""
+        """Return all items whose keys start with ``prefix``."""
 
     @abstractmethod
     async def changes(self, prefix: str, after: Revision, wait_seconds: float) -> StoreChanges:
-        """The changes after a revision; waits until there is one, or until the time is over.
+        """Return the changes after a revision, waiting up to ``wait_seconds`` for the first one.
 
-        Raises StoreHistoryLostError when the store no longer knows that far back.
+        Raises StoreHistoryLostError if the store no longer keeps changes from that revision on.
         """
 
     @abstractmethod
@@ -110,17 +110,18 @@
     ) -> Revision:
         """Apply all changes if every key in ``expected`` is at its revision (0: absent).
 
-        Raises TransactionConflictError when one is not, and LeaseEndedError.
+        Returns the revision of the transaction. Raises TransactionConflictError if a key is at another
+        revision, and LeaseEndedError if the lease of a put has ended.
         """
 
     @abstractmethod
     async def grant_lease(self, seconds: float) -> LeaseId:
-        """A new lease."""
+        """Create a lease that ends ``seconds`` after its last renewal."""
 
     @abstractmethod
     async def keep_lease(self, lease: LeaseId) -> None:
-        """Renew a lease. Raises LeaseEndedError."""
+        """Renew a lease. Raises LeaseEndedError if it has ended."""
 
     @abstractmethod
     async def end_lease(self, lease: LeaseId) -> None:
-        """End a lease and remove its keys."""
+        """End a lease and remove the keys that are bound to it."""
--- a/fireflyfork/adapters/_executor_calls.py
+++ b/fireflyfork/adapters/_executor_calls.py
@@ -1,4 +1,4 @@
-"""Calls to executors: start, stop, pace, and poll with a renewal of the lease."""
+"""The interface for calls to executors: start, stop and pace runs, poll, and renew the lease."""
 
 from __future__ import annotations
 
@@ -10,33 +10,34 @@
 from ..decisions.jobs import OrderAnswer, PollAnswer, PollRequest, StartRequest
 
 ANY_INCARNATION = 0
-"""In place of an incarnation: whichever is there."""
+"""Used in place of an incarnation if the call may reach any incarnation."""
 
 LONGEST_CALL_SECONDS = 7.5
-"""No call waits longer for its answer. The longest ones are polls: they wait at the executor, and then for as long
-as a lease lasts for an answer that is late."""
+"""The maximum time that a call waits for its answer. Polls take the longest: they wait at the executor, and a
+late answer is then awaited for as long as a lease lasts."""
 
 
 @dataclass(frozen=True, slots=True)
 class ExecutorPlace:
-    """Which process a call is meant for."""
+    """The executor process that a call is addressed to."""
 
     executor: ExecutorId
     address: Address
     incarnation: int
-    """When that process started, in Unix milliseconds, or ``ANY_INCARNATION``."""
+    """The start time of the process in Unix milliseconds, or ``ANY_INCARNATION``."""
     failure_domain: FailureDomainName | None = None
-    """Where it stands; None if it doesn't matter who calls it."""
+    """The failure domain of the executor, which decides whether a relay calls it; None: always call it directly."""
 
 
 class ExecutorCalls(ABC):
-    """Calls to executors. None raises: what went wrong is the outcome.
-
-    A call is carried out by the incarnation that its place names and by no other one; what finds another
-    one there does nothing, and its outcome is OTHER_INCARNATION, with the incarnation that is there if it
-    is known. Executors count clocks and ends anew in each life: a deadline by the clock of the last life
-    would let runs go on in the next one for as long as the platform allows, long after their owner took
-    them for over and started their tasks elsewhere, and ends of the next life would be forgotten unseen.
+    """Calls to executors. They don't raise errors: failures are reported as the outcome.
+
+    A call takes effect only on the incarnation that it is addressed to. If another incarnation is running,
+    the call does nothing and its outcome is OTHER_INCARNATION, with the running incarnation if it is known.
+    An executor restarts its clock and its numbering of ends with each incarnation. A deadline by the clock
+    of the previous incarnation would let runs continue in the next one for as long as the platform allows,
+    long after their owner considered them over and started their tasks elsewhere, and ends of the next
+    incarnation would be acknowledged before the owner has read them.
     """
 
     @abstractmethod
@@ -53,7 +54,7 @@
         task: TaskName,
         attempt: AttemptNumber,
     ) -> OrderAnswer:
-        """Stop a run; one that is not there yet is barred."""
+        """Stop a run. If the run hasn't started yet, the executor refuses to start it later."""
 
     @abstractmethod
     async def pace(
@@ -64,17 +65,17 @@
         attempt: AttemptNumber,
         percent: int,
     ) -> OrderAnswer:
-        """Let a run work at a share of its speed."""
+        """Limit a run to ``percent`` of its full speed."""
 
     @abstractmethod
     async def poll(
         self, place: ExecutorPlace, token: FencingToken, request: PollRequest, fresh: bool = False
     ) -> PollAnswer:
-        """Renew the lease of all that runs there and list it, with what has ended.
+        """Renew the lease of all runs on the executor, and list the current runs and the ended ones.
 
-        A ``fresh`` poll goes out on a new connection; if it is answered, no other idle one is used any more.
+        A ``fresh`` poll uses a new connection. If it is answered, all other idle connections are closed.
         """
 
     @abstractmethod
     def forget(self, executor: ExecutorId) -> None:
-        """Close the connections to an executor that has left."""
+        """Close the connections to an executor that is no longer registered."""
--- a/fireflyfork/adapters/_instances.py
+++ b/fireflyfork/adapters/_instances.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of live and leaving instances."""
+"""Reads the platform's list of live and leaving instances, which lags behind their actual state."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class InstanceState(Enum):
-    """What the list says of one instance."""
+    """The state of an instance according to the list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceChange:
-    """One instance's latest state."""
+    """The latest state of an instance."""
 
     target_id: TargetId
     state: InstanceState
@@ -33,28 +33,28 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceChanges:
-    """What changed since a cursor, and the cursor to ask from next."""
+    """The changes since a cursor, and the cursor for the next call."""
 
     cursor: int
     changes: tuple[InstanceChange, ...]
 
 
 class InstanceList(ABC):
-    """The list, read by its changes so that a large fleet costs no more than what happens in it."""
+    """The list of instances. It is read as changes, so the cost depends on the number of changes, not of instances."""
 
     @abstractmethod
     async def changes(self, cursor: int, wait_seconds: float) -> InstanceChanges:
-        """The changes since ``cursor`` (0: all instances). Raises PlatformError.
+        """Return the changes since ``cursor`` (0: all instances). Raises PlatformError.
 
-        Waits up to ``wait_seconds`` for the first one.
+        Waits up to ``wait_seconds`` for the first change.
         """
 
 
 class HttpInstanceList(InstanceList):
-    """The list over HTTP: ``GET /v1/instances?after=CURSOR&wait=SECONDS``."""
+    """Reads the list over HTTP: ``GET /v1/instances?after=CURSOR&wait=SECONDS``."""
 
     def __init__(self, address: Address, timeout: float = 2.0) -> None:
-        """``timeout`` is in seconds, on top of the time that a call asks to wait."""
+        """``timeout`` is in seconds, in addition to the ``wait_seconds`` of a call."""
         self._client = HttpClient(address, timeout)
 
     async def changes(self, cursor: int, wait_seconds: float) -> InstanceChanges:
--- a/fireflyfork/adapters/_machines.py
+++ b/fireflyfork/adapters/_machines.py
@@ -1,4 +1,4 @@
-"""The platform's service that lists machines and takes them down for upkeep."""
+"""The interface of the platform's machine service, which lists machines and takes them down for upkeep."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 
 
 class MachineCalls(ABC):
-    """Calls to it."""
+    """Calls to the platform's machine service."""
 
     @abstractmethod
     async def list(self) -> tuple[MachineListing, ...] | None:
-        """All machines; None when there was no answer."""
+        """Return all machines, or None if the service doesn't answer."""
 
     @abstractmethod
     async def begin_upkeep(
         self, machine: MachineId, wave: int, holder: NodeName, token: FencingToken
     ) -> UpkeepOutcome:
-        """Take a machine down for its upkeep of a wave; everything that runs there ends.
+        """Take a machine down for its upkeep in a wave; everything that runs on it ends.
 
-        ``holder`` and ``token`` say who orders it; the platform refuses a lower token than it has
-        seen for the machine. Repeating an order is harmless.
+        ``holder`` is the instance that gives the order and ``token`` its fencing token; the platform refuses
+        a token lower than the highest it has seen for the machine. Repeating an order has no further effect.
         """
 
 
 class NoMachines(MachineCalls):
-    """Where the platform has no such service."""
+    """The machine service for platforms without one; it lists no machines."""
 
     async def list(self) -> tuple[MachineListing, ...] | None:
-        """No answer."""
+        """Return None: no machine service exists."""
         return None
 
     async def begin_upkeep(
         self, machine: MachineId, wave: int, holder: NodeName, token: FencingToken
     ) -> UpkeepOutcome:
-        """No such machine."""
+        """Return UNKNOWN_MACHINE: no machine service exists."""
         return UpkeepOutcome.UNKNOWN_MACHINE
--- a/fireflyfork/adapters/_platform.py
+++ b/fireflyfork/adapters/_platform.py
@@ -1,4 +1,4 @@
-"""The worker platform: it runs tasks on workers under leases and reports usage with a lag."""
+"""The interface of the worker platform, which runs tasks on workers under leases and reports usage with a lag."""
 
 from __future__ import annotations
 
@@ -14,39 +14,38 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformReport:
-    """What changed since a cursor, and the cursor to ask from next."""
+    """The runs that changed since a cursor, and the cursor for the next call."""
 
     cursor: int
     runs: tuple[RunReport, ...]
 
 
 class WorkerPlatform(ABC):
-    """Orders to workers. Every call raises PlatformError when no answer came.
+    """Orders to workers. Every call raises PlatformError if the platform doesn't answer.
 
-    Attempt numbers fence: once an attempt of a task was stopped, or a higher one started, no order
-    starts that attempt or a lower one, however late the order arrives. The platform remembers how
-    an attempt ended for a day. Once it has answered an order to stop an attempt, it passes no
-    renewal of that attempt on either, even when the worker could not be reached to stop it.
+    Attempt numbers fence: once an attempt of a task was stopped, or a higher one was started, no order
+    starts that attempt or a lower one, however late the order arrives. The platform keeps the outcome of
+    an attempt for a day. Once it has answered an order to stop an attempt, it also forwards no more lease
+    renewals of that attempt, even if the worker couldn't be reached to stop it.
     """
 
     @abstractmethod
     async def workers(self, region: RegionName) -> tuple[Worker, ...]:
-        """The workers of a region."""
+        """Return the workers of a region."""
 
     @abstractmethod
     async def start(self, orders: tuple[StartOrder, ...]) -> tuple[RunReport, ...]:
-        """Start attempts; idempotent by task and attempt. A refused one comes back REFUSED
-        and is fenced.
+        """Start attempts; idempotent by task and attempt.
 
-        Without an answer, each may have started.
+        A refused attempt is reported as REFUSED and is fenced. After an error, each attempt may have started.
         """
 
     @abstractmethod
     async def stop(self, task_id: TaskId, attempt: AttemptNumber, checkpoint: bool) -> RunReport:
-        """Stop one attempt, after a checkpoint if asked; idempotent.
+        """Stop an attempt, after a checkpoint if requested; idempotent.
 
-        An attempt that never started is thereby fenced and comes back STOPPED. One whose worker
-        can't be reached comes back RUNNING; its worker stops it when the lease lapses.
+        An attempt that never started is fenced and reported as STOPPED. An attempt whose worker can't be
+        reached is reported as RUNNING; the worker stops it when the lease lapses.
         """
 
     @abstractmethod
@@ -59,11 +58,11 @@
     async def renew(
         self, runs: tuple[tuple[TaskId, AttemptNumber], ...], seconds: float
     ) -> tuple[RunReport, ...]:
-        """Renew the leases of many attempts in one call; the answer holds those that are over."""
+        """Renew the leases of many attempts in one call, and return the attempts that have ended."""
 
     @abstractmethod
     async def report(self, region: RegionName, cursor: int, wait_seconds: float) -> PlatformReport:
-        """What changed in a region since ``cursor``; waits for a change up to ``wait_seconds``.
+        """Return what changed in a region since ``cursor``, waiting up to ``wait_seconds`` for a change.
 
-        From cursor 0 it holds the latest state of every attempt that the platform remembers.
+        With cursor 0, the report contains the latest state of every attempt that the platform still keeps.
         """
--- a/fireflyfork/adapters/_platform_http.py
+++ b/fireflyfork/adapters/_platform_http.py
@@ -1,4 +1,4 @@
-"""The worker platform over HTTP with JSON bodies."""
+"""A client of the worker platform over HTTP with JSON bodies."""
 
 from __future__ import annotations
 
@@ -46,13 +46,13 @@
     """A client of the platform at one address."""
 
     def __init__(self, address: Address, timeout: float = 5.0) -> None:
-        """``timeout`` is in seconds for each call; a report may take that much longer to come."""
+        """``timeout`` is in seconds for each call; for a report, it is added to ``wait_seconds``."""
         self._client = HttpClient(address, timeout)
         self._calls = 0
 
     @property
     def calls(self) -> int:
-        """Calls made so far."""
+        """The number of calls made so far."""
         return self._calls
 
     async def workers(self, region: RegionName) -> tuple[Worker, ...]:
--- a/fireflyfork/adapters/_store_http.py
+++ b/fireflyfork/adapters/_store_http.py
@@ -1,4 +1,4 @@
-"""The platform's store over HTTP: ``/v1/keys/KEY`` with entity tags for compare-and-swap."""
+"""A client of the platform's store over HTTP, with ``/v1/keys/KEY`` and entity tags for compare-and-swap."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
     """A client of the store at one address."""
 
     def __init__(self, address: Address, timeout: float = 1.0) -> None:
-        """``timeout`` is in seconds for each call; a wait may last that much longer than asked."""
+        """``timeout`` is in seconds for each call; for ``wait``, it is added to the requested time."""
         self._client = HttpClient(address, timeout)
         self._calls = 0
 
     @property
     def calls(self) -> int:
-        """Calls made so far, which the platform bills."""
+        """The number of calls made so far. The platform charges for each."""
         return self._calls
 
     async def read(self, key: str) -> StoredValue | None:
