--- a/fireflyfork/platform/__init__.py
+++ b/fireflyfork/platform/__init__.py
@@ -1,6 +1,6 @@
-"""The users' platform: its names, formats and calls, decoded into the product's types.
+"""The users' platform: its names, formats and calls, translated to and from the product's types.
 
-Nothing here decides anything, and nothing outside knows the platform's names.
+This package contains no decision logic, and no other package uses the platform's names.
 """
 
 from ._advisor_client import PlatformAdvisor
--- a/fireflyfork/platform/_advisor_client.py
+++ b/fireflyfork/platform/_advisor_client.py
@@ -1,4 +1,4 @@
-"""The service that tells which executors may run a step."""
+"""A client of the platform's advisor, which decides which executors may run a step."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from ._names import ADVICE_PATH
 
 CALL_TIMEOUT_SECONDS = 2.0
-"""It takes its time for each executor named, and serves one call of an instance after the other."""
+"""The advisor needs time for each executor in a call, and handles the calls of an instance one at a time."""
 
 
 class _Question(msgspec.Struct):
@@ -26,10 +26,10 @@
 
 
 class PlatformAdvisor(Advisor):
-    """A client of the advisor."""
+    """Calls the advisor over HTTP."""
 
     def __init__(self, address: Address) -> None:
-        """Connect to ``address`` when first needed."""
+        """Configure a client, which connects to ``address`` on the first call."""
         self._calls = JsonCalls(address, CALL_TIMEOUT_SECONDS)
 
     async def advise(self, step: str, executors: tuple[ExecutorId, ...]) -> Advice | None:
@@ -38,11 +38,11 @@
         try:
             answer = await self._calls.call("POST", ADVICE_PATH, body)
             if answer.status != 200:
-                logger.info("no advice", step=step, status=answer.status)
+                logger.info("advisor refused a call", step=step, status=answer.status)
                 return None
             found = msgspec.json.decode(answer.body, type=_Answer)
         except (HttpError, msgspec.DecodeError, msgspec.ValidationError) as error:
-            logger.info("no advice", step=step, error=str(error))
+            logger.info("advisor call failed", step=step, error=str(error))
             return None
         tickets = {ExecutorId(name): ticket for name, ticket in found.good}
         return Advice(tickets, found.valid_ms / 1000)
--- a/fireflyfork/platform/_configuration.py
+++ b/fireflyfork/platform/_configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration, decoded into queues."""
+"""Decodes the operator's configuration into queues."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class _Advice(msgspec.Struct):
-    """Figures of the advisor; that there are some says that tickets are needed."""
+    """Settings of the advisor. Their values aren't used; a route that has them requires tickets."""
 
 
 class _Route(msgspec.Struct):
@@ -37,7 +37,7 @@
 
 
 def decode_configuration(value: bytes) -> QueueTable:
-    """The queues of a stored configuration. Raises SettingsError."""
+    """Decode the queues of a stored configuration. Raises SettingsError if it can't be read."""
     try:
         stored = msgspec.json.decode(value, type=_Configuration)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
--- a/fireflyfork/platform/_executor_client.py
+++ b/fireflyfork/platform/_executor_client.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's executors over HTTP."""
+"""A client of the platform's executors over HTTP."""
 
 from __future__ import annotations
 
@@ -33,10 +33,11 @@
 from ._names import EXPECTED_INCARNATION_HEADER, PACE_PATH, POLL_PATH, START_PATH, STOP_PATH
 
 CALL_TIMEOUT_SECONDS = 0.6
-"""Of loop time. An answer takes 1 ms, and some 45 ms from another region; an executor that hangs or is cut off
-should not keep its tasks from others for longer than a caller notices."""
+"""The timeout in loop time. An answer takes 1 ms, and about 45 ms from another region. The tasks of an executor that
+hangs or is disconnected must move to others before callers notice a delay."""
 LONGEST_LIST_OF_ENDS = 500
-"""An executor lists so many ends at most, the oldest; the others once these may be forgotten."""
+"""The maximum number of ended runs in an executor's answer. It lists the oldest ones first, and further ones only
+after these have been acknowledged."""
 
 _REASONS = {
     "fence": CallOutcome.FENCED,
@@ -96,17 +97,17 @@
 
 
 class _NotGreetedError(HttpError):
-    """A new connection leads to another incarnation, or can't be told to lead to the one that is meant."""
+    """A new connection leads to another incarnation, or its incarnation couldn't be verified."""
 
     def __init__(self, outcome: CallOutcome, incarnation: int | None = None) -> None:
-        super().__init__(f"greeted: {outcome.value}, incarnation {incarnation}")
+        super().__init__(f"incarnation check: {outcome.value}, found incarnation {incarnation}")
         self.outcome = outcome
         self.incarnation = incarnation
 
 
 @dataclass(frozen=True, slots=True)
 class _Bound:
-    """Calls over connections that lead to one incarnation of an executor."""
+    """A client whose connections all lead to one incarnation of an executor."""
 
     place: ExecutorPlace
     token: FencingToken
@@ -114,15 +115,15 @@
 
 
 class PlatformExecutors(ExecutorCalls):
-    """A client of all executors.
+    """Calls all executors over HTTP.
 
-    The platform's calls name an executor but not its incarnation. A connection ends with the process that
-    it leads to, so each new one is first asked, by a poll that changes nothing, which incarnation it leads
-    to; nothing else is sent on one that leads to another.
+    The platform's calls identify an executor but not its incarnation. A connection ends together with the
+    process that it leads to. Each new connection is therefore first used for a poll without side effects,
+    whose answer contains the incarnation. Nothing else is sent on a connection to a wrong incarnation.
     """
 
     def __init__(self, loop_time: LoopTime) -> None:
-        """No connection yet; calls time out by ``loop_time``."""
+        """Start without connections. Timeouts are measured in ``loop_time``."""
         self._loop_time = loop_time
         self._bound: dict[ExecutorId, _Bound] = {}
 
@@ -174,7 +175,8 @@
             int(request.wait_seconds * 1000),
         )
         calls = self._calls_to(place, token)
-        # What renews nothing and forgets nothing does no harm in any incarnation, and tells which it is.
+        # A poll that neither renews the lease nor acknowledges ends has no effect on any incarnation, and
+        # its answer shows which one it has reached. It needs no check of the connection before.
         harmless = not request.forget_ends_to and request.lease_until_ms is None
         try:
             answer = await calls.call(
@@ -238,7 +240,7 @@
 
 
 async def _greet(place: ExecutorPlace, token: FencingToken, connection: BoundCall) -> None:
-    """Ask which incarnation a connection leads to. Raises _NotGreetedError if it is another one."""
+    """Poll over a new connection. Raises _NotGreetedError if it doesn't lead to the expected incarnation."""
     if place.incarnation == ANY_INCARNATION:
         return
     body = msgspec.json.encode(_Poll(token, last_seen=0))
@@ -249,7 +251,7 @@
 
 
 def _greeted(place: ExecutorPlace, listed: PollAnswer) -> CallOutcome:
-    """What the answer to a poll says of the connection that it came over."""
+    """Return ACCEPTED if the answer to a poll came from the expected incarnation, or the outcome of the call if not."""
     if listed.outcome is not CallOutcome.ACCEPTED:
         return listed.outcome
     if place.incarnation in (ANY_INCARNATION, listed.incarnation):
@@ -289,12 +291,12 @@
     try:
         return msgspec.json.decode(answer.body, type=shape)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        logger.warning("executor's answer not readable", status=answer.status, error=str(error))
+        logger.warning("cannot decode executor answer", status=answer.status, error=str(error))
         return None
 
 
 def _running_row(row: tuple[Any, ...]) -> RunningRow:
-    # Rows grew a column for the usage figure; an executor without it measures nothing.
+    # The column for the usage figure was added to the format later; older executors don't send it.
     figure = float(row[4]) if len(row) > 4 and row[4] is not None else 0.0
     return RunningRow(
         TaskName(str(row[0])), AttemptNumber(int(row[1])), str(row[2] or ""), int(row[3]), figure
@@ -303,6 +305,6 @@
 
 def _ended_row(row: tuple[int, str, int, str, str]) -> EndedRow:
     number, task, attempt, reason, checkpoint = row
-    # A reason that isn't known counts as a lapse: the run is over and nobody is to blame.
+    # An unknown reason is treated as a lapsed lease: the run has ended, and it isn't a failure of the task.
     known = _END_REASONS.get(reason, EndReason.LAPSED)
     return EndedRow(number, TaskName(task), AttemptNumber(attempt), known, checkpoint)
--- a/fireflyfork/platform/_http_calls.py
+++ b/fireflyfork/platform/_http_calls.py
@@ -1,4 +1,4 @@
-"""JSON calls over kept connections, shared by the clients of the store and of executors."""
+"""JSON calls over pooled connections, shared by the clients of the platform's services."""
 
 from __future__ import annotations
 
@@ -13,33 +13,33 @@
 
 @dataclass(frozen=True, slots=True)
 class CallAnswer:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     body: bytes
 
 
 Greet = Callable[["BoundCall"], Awaitable[None]]
-"""Finds out whether a new connection leads where it should; see HttpClient."""
+"""Checks that a new connection leads to the intended process; see HttpClient."""
 
 
 class BoundCall:
-    """Calls over one connection."""
+    """Makes calls over one given connection."""
 
     def __init__(self, exchange: ClientExchange) -> None:
-        """Use the connection of ``exchange``."""
+        """``exchange`` sends a request over the connection."""
         self._exchange = exchange
 
     async def call(
         self, method: str, target: str, body: bytes, headers: tuple[Header, ...]
     ) -> CallAnswer:
-        """One call. Raises HttpError."""
+        """Make one call. Raises HttpError."""
         head, answer = await self._exchange(method, target, (_JSON, *headers), body)
         return CallAnswer(head.status, answer)
 
 
 class JsonCalls:
-    """Calls to one server."""
+    """Makes calls to one server."""
 
     def __init__(
         self,
@@ -77,12 +77,12 @@
         is_greeting: bool = False,
         fresh: bool = False,
     ) -> CallAnswer:
-        """One call; see HttpClient. Raises HttpError; it may then have taken effect."""
+        """Make one call; see HttpClient. Raises HttpError, after which the call may have taken effect."""
         head, answer = await self._client.call(
             method, target, (_JSON, *headers), body, extra_seconds, is_greeting, fresh
         )
         return CallAnswer(head.status, answer)
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close all idle connections."""
         self._client.close()
--- a/fireflyfork/platform/_jobs.py
+++ b/fireflyfork/platform/_jobs.py
@@ -1,4 +1,4 @@
-"""Bodies of callers' requests for jobs, and the answers to them."""
+"""Decodes the bodies of job requests and encodes the bodies of answers."""
 
 from __future__ import annotations
 
@@ -51,12 +51,12 @@
 
 
 def parse_job_id(text: str) -> JobId | None:
-    """The job id that the rest of a path holds, or None when it is none."""
+    """Return the job id in ``text``, the last part of a path, or None if it isn't a valid one."""
     return JobId(text) if _JOB_ID.fullmatch(text) else None
 
 
 def decode_job(body: bytes, job: JobId, queue: QueueTerms, now_ms: int) -> JobSpec:
-    """The job that a caller hands in. Raises BadRequestError."""
+    """Decode a submitted job and give it the id ``job``. Raises BadRequestError if it is invalid."""
     try:
         request = msgspec.json.decode(body, type=_Job)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
@@ -77,12 +77,12 @@
 
 
 def encode_state(state: JobState) -> bytes:
-    """The body that tells a job's state."""
+    """Encode the answer with a job's state."""
     return msgspec.json.encode({"state": _STATE_WORDS[state]})
 
 
 def encode_pending(pending: int) -> bytes:
-    """The body that tells how many jobs of a queue wait for their first start."""
+    """Encode the answer with the number of jobs in a queue that wait for their first start."""
     return msgspec.json.encode({"pending": pending})
 
 
--- a/fireflyfork/platform/_machines_client.py
+++ b/fireflyfork/platform/_machines_client.py
@@ -1,4 +1,4 @@
-"""The service that lists machines and takes them down for upkeep."""
+"""A client of the platform's machine service, which lists machines and takes them down for upkeep."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 )
 
 CALL_TIMEOUT_SECONDS = 2.0
-"""An answer takes milliseconds; nothing waits for this service but upkeep, which takes seconds."""
+"""An answer takes milliseconds. Only upkeep waits for this service, and upkeep takes seconds anyway."""
 
 _STATES = {
     "up": MachineState.UP,
@@ -41,10 +41,10 @@
 class _Machine(msgspec.Struct):
     machine: str
     pool: str
-    """The service that it belongs to."""
+    """The service that the machine belongs to."""
     state: str
     id: str | None = None
-    """The executor that it is now."""
+    """The executor that currently runs on the machine."""
 
 
 class _Page(msgspec.Struct):
@@ -62,10 +62,10 @@
 
 
 class PlatformMachines(MachineCalls):
-    """A client of the service."""
+    """Calls the machine service over HTTP."""
 
     def __init__(self, address: Address) -> None:
-        """Connect to ``address`` when first needed."""
+        """Configure a client, which connects to ``address`` on the first call."""
         self._calls = JsonCalls(address, CALL_TIMEOUT_SECONDS)
 
     async def list(self) -> tuple[MachineListing, ...] | None:
@@ -126,12 +126,12 @@
     try:
         return msgspec.json.decode(answer.body, type=shape)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        logger.warning("answer about machines not readable", error=str(error))
+        logger.warning("cannot decode machine service answer", error=str(error))
         return None
 
 
 def _listing(row: _Machine) -> MachineListing:
-    # A state that isn't known keeps the machine from being ordered down.
+    # An unknown state is treated as DOWN, so the machine isn't ordered down for upkeep.
     state = _STATES.get(row.state, MachineState.DOWN)
     executor = ExecutorId(row.id) if row.id else None
     return MachineListing(MachineId(row.machine), ServiceName(row.pool), state, executor)
--- a/fireflyfork/platform/_names.py
+++ b/fireflyfork/platform/_names.py
@@ -1,4 +1,4 @@
-"""The platform's names for paths, headers, keys and words."""
+"""The platform's names of paths, headers, keys and environment variables."""
 
 EXPECTED_INCARNATION_HEADER = b"x-fireflyfork-expected-instance"
 
--- a/fireflyfork/platform/_registrations.py
+++ b/fireflyfork/platform/_registrations.py
@@ -1,4 +1,4 @@
-"""What executors write about themselves."""
+"""Decodes the registrations that executors write to the store."""
 
 from __future__ import annotations
 
@@ -31,30 +31,30 @@
     state: str
     room: _Room
     born: Annotated[int, msgspec.Meta(gt=0)]
-    """Without it lives of one executor can't be told apart."""
+    """The start time in Unix milliseconds. Without it, incarnations of an executor can't be told apart."""
     labels: list[str] = []
 
 
 def registered_executor(key: str) -> ExecutorId:
-    """The executor whose registration a key holds."""
+    """Return the executor whose registration is stored under ``key``."""
     return ExecutorId(key.removeprefix(REGISTRATION_PREFIX))
 
 
 def decode_registration(item: StoredItem) -> ExecutorRegistration | None:
-    """The registration, or None for one that names no executor to use.
+    """Decode a registration, or return None if it doesn't describe a usable executor.
 
-    Other writers leave entries there that can't be read; one of them must not keep the rest from
-    being used, so it is logged and passed over.
+    Other programs write invalid entries under the same prefix. Such an entry is logged and skipped, so
+    the other executors can still be used.
     """
     executor = registered_executor(item.key)
     try:
         entry = msgspec.json.decode(item.value, type=_Registration)
         address = Address.parse(entry.address)
     except (msgspec.DecodeError, msgspec.ValidationError, SettingsError) as error:
-        logger.warning("registration not readable", executor=executor, error=str(error)[:200])
+        logger.warning("cannot decode registration", executor=executor, error=str(error)[:200])
         return None
     if entry.state not in (_READY, _DRAINING):
-        logger.warning("registration in unknown state", executor=executor, state=entry.state[:40])
+        logger.warning("registration has unknown state", executor=executor, state=entry.state[:40])
         return None
     return ExecutorRegistration(
         executor=executor,
@@ -64,7 +64,7 @@
         draining=entry.state == _DRAINING,
         room=ExecutorRoom(entry.room.cpu, entry.room.mem_mb, entry.room.gpu),
         labels=frozenset(entry.labels),
-        # The list gives the kind first and then the rack.
+        # The first label is the kind of the executor, the second one its rack.
         rack=entry.labels[1] if len(entry.labels) > 1 else "",
         incarnation=entry.born,
     )
--- a/fireflyfork/platform/_settings.py
+++ b/fireflyfork/platform/_settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform lays for each process: lines of ``a.b=value``."""
+"""Reads the settings file that the platform provides for each process, with lines of ``a.b=value``."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformBounds:
-    """Figures that the platform promises or demands, in seconds."""
+    """Time limits that the platform guarantees or requires, in seconds."""
 
     longest_lease: float
-    """An executor shortens a longer lease to this."""
+    """The maximum duration of a lease; an executor shortens a longer one to this."""
     stop_timeout: float
-    """A stopped run has ended after this."""
+    """The time within which a run ends after it was told to stop."""
     termination_grace: float
-    """From the signal to stop until the process is killed."""
+    """The time between the stop signal and the kill of the process."""
     status_retention: float
-    """A job's state must stay readable for so long after its end."""
+    """The time for which a job's state must remain readable after its end."""
     configuration: float
-    """A change of the configuration has to be in force so long after it was acknowledged."""
+    """The time within which a configuration change must be in force after it was acknowledged."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """What a process learns about itself and the platform."""
+    """The settings of a process, about itself and the platform."""
 
     node: NodeName
     region: RegionName
@@ -38,38 +38,40 @@
     regions: dict[FailureDomainName, RegionName]
     """The region of each failure domain."""
     caller_address: Address
-    """Where callers' requests arrive."""
+    """The address at which requests of callers are served."""
     readiness_address: Address
-    """Where the load balancer asks whether to send new connections."""
+    """The address at which the load balancer checks whether it may send new connections."""
     metrics_address: Address
-    """Where metrics are served: the first port that is free for the system's own use."""
+    """The address at which metrics are served: the first port of the range for internal use."""
     relay_address: Address | None
-    """Where calls to executors are made for other instances: the port after it, if that is free too."""
+    """The address of the relay, which calls executors for other instances: the second port of the range, if any."""
     replica_address: Address | None
-    """Where other instances hear what the operator has written: the one after that."""
+    """The address at which other instances follow the replica of the operator's keys: the third port, if any."""
     store_address: Address
-    """The platform's store."""
+    """The address of the platform's store."""
     advisor_address: Address | None
-    """The service that tells which executors may run a step, where there is one."""
+    """The address of the advisor, which decides which executors may run a step, or None if there is none."""
     machines_address: Address | None
-    """The service that lists machines and takes them down for upkeep, where there is one."""
+    """The address of the machine service, which takes machines down for upkeep, or None if there is none."""
     processors: float
-    """What the platform grants of processor time, in processors of usual speed."""
+    """The processor time that the platform grants, in processors of standard speed."""
     link_mbps: float
-    """What it grants of network bandwidth."""
+    """The network bandwidth that the platform grants, in Mbit/s."""
     bounds: PlatformBounds
 
 
 def settings_path() -> Path:
-    """Where the settings file lies. Raises SettingsError."""
+    """Return the path of the settings file. Raises SettingsError if it isn't set."""
     path = os.environ.get(SETTINGS_VARIABLE)
     if not path:
-        raise SettingsError(f"{SETTINGS_VARIABLE} is not set: it holds the path of the settings")
+        raise SettingsError(
+            f"{SETTINGS_VARIABLE} is not set; it must be the path of the settings file"
+        )
     return Path(path)
 
 
 def load_node_settings(path: Path) -> NodeSettings:
-    """Read the settings. Raises SettingsError, which names the field."""
+    """Read the settings file. Raises SettingsError, which names the invalid field."""
     try:
         text = path.read_text("utf-8")
     except OSError as error:
@@ -78,7 +80,7 @@
 
 
 def parse_node_settings(text: str) -> NodeSettings:
-    """Read the settings from their text; fields that aren't known are ignored."""
+    """Parse the text of a settings file; unknown fields are ignored. Raises SettingsError."""
     fields = dict(_fields(text))
     regions = {
         FailureDomainName(name.removeprefix("zones.")): RegionName(value)
@@ -139,7 +141,7 @@
 
 
 def _ports(fields: dict[str, str]) -> tuple[int, int]:
-    """The first and the last port that are free for the system's own use."""
+    """Return the first and the last port of the range for internal use."""
     value = _text(fields, "port_range")
     first, _, last = value.partition(",")
     try:
--- a/fireflyfork/platform/_store_client.py
+++ b/fireflyfork/platform/_store_client.py
@@ -1,4 +1,4 @@
-"""The platform's store over HTTP."""
+"""A client of the platform's store over HTTP."""
 
 from __future__ import annotations
 
@@ -44,22 +44,23 @@
 )
 
 CALL_TIMEOUT_SECONDS = 0.9
-"""Without a byte. An answer takes 4 ms, and some 50 ms from another region. A store that is sixty times
-slower than usual still answers within it; a connection that has gone silent costs no more than this."""
+"""The maximum time until the first byte of an answer. An answer takes 4 ms, and about 50 ms from another region. A
+store that is sixty times slower than usual still answers in time, and a dead connection costs no more than this."""
 
 ANSWER_PAUSE_SECONDS = 3.0
-"""Between two parts of an answer. When something large changes, all instances of a region are told at once
-over one link, and the first parts of all answers may come before the second part of any. Whoever breaks off
-then has the whole sent again, over the link that is full of it, as does everybody else. A connection that
-falls silent in the middle of an answer is rare, and costs no more than this."""
+"""The maximum time between two parts of an answer. When a large value changes, the answers to all instances of a
+region are sent at once over one link, and the first parts of all answers may arrive before the second part of any.
+Instances that gave up at this point would all have the whole value sent again over the saturated link. A connection
+that dies in the middle of an answer is rare, and costs no more than this."""
 
 PAGE_TRIES = 3
-"""A page that didn't come is asked for again before the whole listing is: a thin link takes seconds for a
-few pages, and each new beginning would take as long as the one that failed."""
+"""The number of attempts for each page of a listing before the whole listing fails. A slow link takes seconds for a
+few pages, and a listing that starts over would take as long as the one that failed."""
 
 FAILURES_TO_DOUBT = 3
-"""One lost answer says nothing. After three in a row callers are better served elsewhere at once than
-after another timeout here; the watches go on asking, and one answer ends the doubt."""
+"""The number of consecutive failures after which the store is considered unresponsive. A single lost answer isn't
+significant. After three in a row, callers are better served by another instance immediately than by this one after
+another timeout. The watches continue to call the store, and one answer resets the count."""
 
 _Body = TypeVar("_Body")
 
@@ -117,10 +118,10 @@
 
 
 class PlatformStore(CoordinationStore):
-    """A client of the store."""
+    """Calls the store over HTTP."""
 
     def __init__(self, address: Address) -> None:
-        """Connect to ``address`` when first needed."""
+        """Configure a client, which connects to ``address`` on the first call."""
         self._calls = JsonCalls(address, CALL_TIMEOUT_SECONDS, ANSWER_PAUSE_SECONDS)
         self._failures = 0
         self._counted: Counter[str] = Counter()
@@ -144,7 +145,7 @@
 
     @property
     def answers(self) -> bool:
-        """Whether the store has answered lately: one of the last calls did."""
+        """Whether the store has answered at least one of the last calls."""
         return self._failures < FAILURES_TO_DOUBT
 
     async def read(self, key: str) -> StoredItem | None:
@@ -177,7 +178,7 @@
             try:
                 return await self._call(purpose, "GET", target)
             except StoreUnavailableError as error:
-                logger.debug("page asked for again", error=str(error))
+                logger.debug("retrying page of a listing", error=str(error))
         return await self._call(purpose, "GET", target)
 
     async def changes(self, prefix: str, after: Revision, wait_seconds: float) -> StoreChanges:
@@ -189,7 +190,9 @@
         purpose = _purpose("watch", prefix)
         answer = await self._call(purpose, "GET", target, extra_seconds=wait_seconds)
         if answer.status == 410:
-            raise StoreHistoryLostError(f"the changes of {prefix} after {after} are gone")
+            raise StoreHistoryLostError(
+                f"the store no longer has the changes of {prefix} after {after}"
+            )
         watch = _decoded(answer, _Watch)
         return StoreChanges(tuple(map(_change, watch.events)), Revision(watch.as_of))
 
@@ -262,7 +265,8 @@
             self._failures += 1
             raise StoreRefusedError(str(error)) from error
         except HttpError as error:
-            # Questions that wait are cut now and then, several at once, by a store that is well.
+            # A healthy store occasionally closes the connections of several waiting calls at once, so
+            # their failures don't count.
             self._failures += not extra_seconds
             raise StoreUnavailableError(str(error)) from error
         self._received[purpose] += len(answer.body)
@@ -274,7 +278,10 @@
 
 
 def _purpose(verb: str, key: str) -> str:
-    """The verb and the kind of key or prefix: its last segment and numbers tell which one of a kind it is."""
+    """Return the verb and the kind of a key or prefix, under which a call is counted.
+
+    The last segment and numeric segments are omitted: they identify one key among many of the same kind.
+    """
     kind = (one for one in key.split("/")[:-1] if not one.isdigit())
     return f"{verb} {'/'.join(kind)}"
 
--- a/fireflyfork/platform/_waves.py
+++ b/fireflyfork/platform/_waves.py
@@ -1,4 +1,4 @@
-"""Waves of upkeep as operators write them, and what is reported of them."""
+"""Decodes the waves of upkeep that operators write, and encodes their status."""
 
 from __future__ import annotations
 
@@ -25,35 +25,35 @@
 
 
 def decode_wave(item: StoredItem) -> UpkeepWave | None:
-    """The wave, or None for one that can't be read, which is logged and passed over."""
+    """Decode a wave, or log it and return None if it can't be read."""
     try:
         stored = msgspec.json.decode(item.value, type=_Wave)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        logger.error("upkeep wave not readable", key=item.key, error=str(error)[:200])
+        logger.error("cannot decode upkeep wave", key=item.key, error=str(error)[:200])
         return None
     machines = tuple(map(MachineId, stored.machines))
     return UpkeepWave(stored.wave, machines, max(1, stored.maximum))
 
 
 def is_wave(key: str) -> bool:
-    """Whether a key holds a wave."""
+    """Return whether ``key`` is the key of a wave."""
     return key.startswith(WAVE_PREFIX)
 
 
 def wave_status_key(wave: int) -> str:
-    """Where operators look for the state of a wave."""
+    """Return the key under which operators read the status of a wave."""
     return f"{WAVE_STATUS_PREFIX}{wave}"
 
 
 def encode_wave_status(over: bool) -> bytes:
-    """What operators are told of a wave."""
+    """Encode the status of a wave."""
     return msgspec.json.encode(_Status(_COMPLETED if over else _RUNNING))
 
 
 def reports_over(value: bytes) -> bool:
-    """Whether a stored report says that its wave is over; one that can't be read does not."""
+    """Return whether a stored status says that its wave is completed; False if it can't be read."""
     try:
         return msgspec.json.decode(value, type=_Status).state == _COMPLETED
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        logger.error("wave report not readable", error=str(error)[:200])
+        logger.error("cannot decode upkeep wave status", error=str(error)[:200])
         return False
