--- a/fireflyfork/adapters/_http_server.py
+++ b/fireflyfork/adapters/_http_server.py
@@ -257,7 +257,7 @@
             with trio.fail_after(seconds):
                 return await read_event(self._http, self._stream)
         except trio.TooSlowError as error:
-            raise HttpError("timed out waiting for the client") from error
+            raise HttpError("the client fell silent") from error
 
     async def _refuse(self, status: int, reason: str) -> None:
         if self._http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
--- a/fireflyfork/adapters/tests/builders_executor_calls.py
+++ b/fireflyfork/adapters/tests/builders_executor_calls.py
@@ -1,4 +1,4 @@
-"""Builds clients of executors that are made up."""
+"""Builds clients of simulated executors."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class AcceptingExecutors(ExecutorCalls):
-    """Executors that accept everything and list nothing."""
+    """Simulated executors that accept every call and list no runs."""
 
     async def start(
         self, place: ExecutorPlace, token: FencingToken, order: StartRequest
--- a/fireflyfork/adapters/tests/builders_http.py
+++ b/fireflyfork/adapters/tests/builders_http.py
@@ -1,4 +1,4 @@
-"""Builds HTTP clients whose connections are streams in memory."""
+"""Builds HTTP clients whose connections are in-memory streams."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 
 
 class NoSocket:
-    """What a connection asks of its socket; this one has none that could be used again."""
+    """A stand-in for the socket of a connection, which prevents that the connection is reused."""
 
     def fileno(self) -> int:
-        """None that could be polled."""
+        """Return -1: no descriptor can be polled."""
         return -1
 
     def close(self) -> None:
-        """Nothing to close."""
+        """Do nothing."""
 
 
 @asynccontextmanager
 async def served_by(server: Server) -> AsyncIterator[None]:
-    """All clients connect to ``server``, which is called for each request of theirs."""
+    """Let all clients connect to ``server``, which is called for each connection after its first request."""
     async with trio.open_nursery() as nursery:
 
         async def opened(*_: object) -> HttpClientConnection:
@@ -52,14 +52,14 @@
 
 
 class IdleSocket(NoSocket):
-    """Has nothing to read, so its connection may be used again."""
+    """A stand-in for a socket with nothing to read, so the connection can be reused."""
 
     def __init__(self) -> None:
-        """A pipe that nobody writes to."""
+        """Open a pipe that is never written to."""
         self._ends = os.pipe()
 
     def fileno(self) -> int:
-        """Never readable."""
+        """Return the reading end of the pipe, which never becomes readable."""
         return self._ends[0]
 
     def close(self) -> None:
@@ -69,16 +69,16 @@
 
 
 class Links:
-    """Connections to a server that answers each request at once, unless told otherwise."""
+    """Connections to a server that answers each request immediately, unless it is silent or refuses connections."""
 
     def __init__(self) -> None:
-        """All is well."""
+        """Start with a server that works."""
         self.tried = 0
         self.silent = False
         self.refused = False
 
     async def open(self, nursery: trio.Nursery, *_: object) -> HttpClientConnection:
-        """Connect, in place of HttpClientConnection.open. Raises ConnectError."""
+        """Connect; replaces HttpClientConnection.open. Raises ConnectError."""
         self.tried += 1
         if self.refused:
             raise ConnectError("refused")
--- a/fireflyfork/adapters/tests/builders_peers.py
+++ b/fireflyfork/adapters/tests/builders_peers.py
@@ -1,4 +1,4 @@
-"""Builds two peers on loopback sockets, the second with a handler that tests program."""
+"""Builds two peers on loopback sockets. Tests program the handler of the second one."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @dataclass
 class ProgrammedHandler(PeerHandler):
-    """Serves calls as a test says."""
+    """Serves calls with a function of the test."""
 
     serve: Serve | None = None
     pongs: list[MemberId] = field(default_factory=list)
@@ -71,7 +71,7 @@
     address: Address
 
     async def call(self) -> tuple[PeerConnection, OutgoingCall]:
-        """Open a call without a body."""
+        """Start a call without a body, and return it with its stream."""
         stream = await self.one.stream(TWO)
         number, call = stream.open_call()
         stream.send(Forward(number, Role.OWNER, "r", "desk", "GET", "/", [], 1000, "", ""))
@@ -81,7 +81,7 @@
 
 @asynccontextmanager
 async def peer_pair(serve: Serve, key_of_two: bytes = KEY) -> AsyncIterator[PeerPair]:
-    """Start both. ``serve`` is what the second does with calls."""
+    """Run two peers. The second one serves calls with ``serve`` and uses the peer key ``key_of_two``."""
     handler = ProgrammedHandler(serve)
     addresses: dict[MemberId, Address] = {}
     one = Peers(lambda: ONE, KEY, ProgrammedHandler(), addresses.get)
--- a/fireflyfork/adapters/tests/builders_relays.py
+++ b/fireflyfork/adapters/tests/builders_relays.py
@@ -1,4 +1,4 @@
-"""Builds relays that answer only what a test has them answer, on streams in memory."""
+"""Builds relays on in-memory streams that answer only as a test tells them to."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
 
 
 class _Socket:
-    """Closes a stream in memory as a socket is closed."""
+    """A stand-in for a socket that closes an in-memory stream."""
 
     def __init__(self, stream: MemoryStream) -> None:
-        """Nothing else of a socket is there."""
+        """``stream`` is the stream to close."""
         self._stream = stream
 
     def close(self) -> None:
@@ -46,31 +46,31 @@
 
 
 class MutedRelay:
-    """Greets each owner that connects; says nothing else unless told to."""
+    """A relay that sends only a Hello to each owner that connects, unless told otherwise."""
 
     def __init__(self, answer: PollAnswer | None = None) -> None:
-        """Nobody has connected. With an ``answer`` it isn't mute until ``mute`` is called: it answers pings at
-        once, and polls after their wait."""
+        """With an ``answer``, the relay responds until ``mute`` is called: immediately to pings, and to polls after
+        their wait."""
         self.connected = 0
         self.heard: list[AnyMessage] = []
         self.link_full = False
-        """While it is, owners can send nothing after what they are sending."""
+        """While True, owners can't send anything after the message that they are currently sending."""
         self._answer = answer
         self._one_at_a_time = trio.Lock()
         self._stream: MemoryStream | None = None
 
     def mute(self) -> None:
-        """Say nothing from now on."""
+        """Stop responding."""
         self._answer = None
 
     @property
     def polls(self) -> list[PollCall]:
-        """The polls that have come, in order."""
+        """The polls received so far, in order."""
         return [message for message in self.heard if isinstance(message, PollCall)]
 
     @asynccontextmanager
     async def reachable(self) -> AsyncIterator[None]:
-        """All streams that are opened lead here."""
+        """Let all streams that are opened lead to this relay."""
         async with trio.open_nursery() as nursery:
 
             async def opened(*_: object) -> MemoryStream:
@@ -89,14 +89,14 @@
             nursery.cancel_scope.cancel()
 
     async def say(self, message: RelayMessage) -> None:
-        """Send a message on the newest stream, if the owner holds it still."""
+        """Send a message on the newest stream, unless the owner has closed it."""
         assert self._stream is not None
         async with self._one_at_a_time:
             with suppress(trio.BrokenResourceError):
                 await self._stream.send_all(encode_frame([message]))
 
     async def answer_polls(self, answer: PollAnswer) -> None:
-        """Send this answer to each poll that has come."""
+        """Send ``answer`` to each poll received so far."""
         for poll in self.polls:
             await self.say(PollReply.of(poll.number, answer))
 
--- a/fireflyfork/adapters/tests/test_http_client.py
+++ b/fireflyfork/adapters/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""The client side of HTTP, on a stream in memory and a virtual clock."""
+"""Tests of the HTTP client, with an in-memory stream and a virtual clock."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -22,7 +22,7 @@
 
 
 def _call(server: Server) -> bytes:
-    """One call to a server that does this once the request has come."""
+    """Return the answer of a call to a server that runs ``server`` after it has received the request."""
 
     async def main() -> bytes:
         here, there = memory_stream_pair()
@@ -48,8 +48,10 @@
     """Answers that take longer than the timeout."""
 
     def test_an_answer_that_keeps_coming_is_waited_for(self) -> None:
-        """A page of a listing is a megabyte, and a thin link brings it in two seconds. Broken off after
-        nine tenths of a second, it never arrived, and a new owner that needed it placed no task.
+        """Guards against a limit on the duration of a whole response.
+
+        A page of a listing is a megabyte, which takes two seconds on a slow link. With a limit of 0.9
+        seconds it never arrived, and a new owner that needed it placed no task.
         """
 
         async def server(
@@ -63,8 +65,10 @@
         self.assertEqual(_call(server), b"x" * PARTS)
 
     def test_an_answer_that_stops_coming_is_not(self) -> None:
-        """A firewall forgets a connection in the middle of an answer. Nothing more comes, and nothing
-        tells so; whoever asked has to hear of it and ask again.
+        """Guards against a call that waits forever in the middle of a response.
+
+        A firewall loses the state of a connection and drops the rest of the response without a reset. The
+        caller must get an error, so it can retry.
         """
 
         async def server(
@@ -79,15 +83,15 @@
 
 
 class DoubtTest(unittest.TestCase):
-    """Kept connections after a call that failed."""
+    """The use of idle connections after a failed call."""
 
     def test_a_refused_connection_does_not_end_the_doubt(self) -> None:
-        """Guards against calls sent into connections that fell silent with the one that failed."""
+        """Guards against calls on idle connections that died together with the one that failed."""
         self.assertEqual(trio.run(_opened_after_doubt, clock=MockClock(autojump_threshold=0)), 4)
 
 
 async def _opened_after_doubt() -> int:
-    """How often a client connects: two calls at once, one without answer, one refused, one more."""
+    """Return how often a client connects for two concurrent calls, an unanswered, a refused and a successful one."""
     links = Links()
     async with trio.open_nursery() as nursery:
         with patch.object(HttpClientConnection, "open", partial(links.open, nursery)):
--- a/fireflyfork/adapters/tests/test_http_server.py
+++ b/fireflyfork/adapters/tests/test_http_server.py
@@ -1,4 +1,4 @@
-"""The server side of HTTP on a real socket."""
+"""Tests of the HTTP server on a loopback socket."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -8,7 +8,7 @@
 from .. import Exchange, HttpHandler, HttpServer, collect
 
 STUCK_SECONDS = 30.0
-"""Only so that a test that hangs ends."""
+"""The timeout of a test that hangs."""
 
 
 class _Handler(HttpHandler):
@@ -47,12 +47,13 @@
 
 
 class EarlyAnswerTest(unittest.TestCase):
-    """Answers that are sent before the whole request has come."""
+    """Responses that are sent before the whole request has arrived."""
 
     def test_an_answer_that_overtakes_the_body_says_that_the_connection_ends(self) -> None:
-        """A caller's job comes in two packets, and its queue doesn't exist. It was told so before the
-        second packet came, and the connection was closed without a word. The caller's next request on
-        it was read and never answered.
+        """Guards against closing a connection without announcing it in the response.
+
+        A job for an unknown queue arrives in two packets, and is refused before the second one. The server
+        then closes the connection. The client's next request on it would be read and never answered.
         """
 
         async def talk(stream: trio.SocketStream) -> None:
--- a/fireflyfork/adapters/tests/test_loop_profile.py
+++ b/fireflyfork/adapters/tests/test_loop_profile.py
@@ -1,4 +1,4 @@
-"""Processor time of the event loop by activity."""
+"""Tests of the profile of the event loop's processor time."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class _Worker:
-    """Uses up a processor that belongs to the test."""
+    """Uses processor time of a simulated clock."""
 
     def __init__(self) -> None:
         self.used = 0.0
@@ -40,7 +40,7 @@
 
 
 class LoopProfileTest(unittest.TestCase):
-    """Who is charged for which time."""
+    """Which activity each period of time is charged to."""
 
     def setUp(self) -> None:
         self.worker = _Worker()
@@ -58,12 +58,12 @@
         self.assertEqual(sum(self.worker.profile.spent.values()), self.worker.used - unwatched)
 
     def test_time_is_charged_only_while_it_looks(self) -> None:
-        """Guards against the cost of looking at each step all the time."""
+        """Guards against the overhead of recording each step permanently."""
         self.assertEqual(self.worker.profile.spent["_Worker.place"], 5.0)
         self.assertEqual(self.worker.profile.spent["_run_all"], 0.0)
 
     def test_waiting_is_charged_to_nobody(self) -> None:
-        """Guards against an idle instance that looks busy where its clock goes on while it waits."""
+        """Guards against an idle instance that appears busy with a clock that advances while it waits."""
 
         before = sum(self.worker.profile.spent.values())
 
@@ -77,7 +77,7 @@
         self.assertEqual(sum(self.worker.profile.spent.values()), before)
 
     def test_a_section_that_fails_is_charged_and_left(self) -> None:
-        """Guards against one error that has all later time charged to the wrong activity."""
+        """Guards against an error after which all later time is charged to the wrong activity."""
 
         async def main() -> None:
             with self.worker.profile.looking():
--- a/fireflyfork/adapters/tests/test_loop_time.py
+++ b/fireflyfork/adapters/tests/test_loop_time.py
@@ -1,4 +1,4 @@
-"""Timeouts in a process whose event loop is late."""
+"""Tests of timeouts in a process whose event loop lags."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -22,10 +22,10 @@
 
 
 class LoopTimeTest(unittest.TestCase):
-    """What is late, and by whose fault."""
+    """Timeouts with and without a lag of the event loop."""
 
     def test_a_silent_peer_is_given_up_in_time(self) -> None:
-        """Guards against a timeout that never comes: callers would wait for a peer that is gone."""
+        """Guards against a timeout that never fires: callers would wait for a peer that is gone."""
 
         async def main(_: MockClock) -> float:
             with self.assertRaises(trio.TooSlowError), LoopTime().fail_after(TIMEOUT_SECONDS):
@@ -35,7 +35,7 @@
         self.assertAlmostEqual(_run(main), TIMEOUT_SECONDS, delta=0.2)
 
     def test_an_answer_that_came_during_a_stall_is_taken(self) -> None:
-        """Guards against blaming a peer whose answer lay in the socket while the loop stood still."""
+        """Guards against a timeout for a peer whose answer waited in the socket while the loop was stalled."""
 
         async def main(clock: MockClock) -> float:
             answer = trio.Event()
@@ -48,7 +48,7 @@
         self.assertGreater(_run(main), STALL_SECONDS)
 
     def test_a_loop_that_is_always_late_gives_calls_of_several_steps_their_time(self) -> None:
-        """Guards against an overloaded process that breaks off punctual calls and makes them again."""
+        """Guards against an overloaded process that times out calls that are on time, and repeats them."""
 
         async def main(clock: MockClock) -> float:
             async with trio.open_nursery() as nursery:
@@ -62,7 +62,7 @@
         self.assertGreater(_run(main), 2 * TIMEOUT_SECONDS)
 
     def test_bytes_that_come_put_the_timeout_off(self) -> None:
-        """Guards against breaking off a long answer that keeps coming."""
+        """Guards against a timeout of a long answer that is still arriving."""
 
         async def main(_: MockClock) -> float:
             with LoopTime().fail_after(TIMEOUT_SECONDS) as put_off:
@@ -74,7 +74,7 @@
         self.assertGreater(_run(main), 4 * TIMEOUT_SECONDS)
 
     def test_the_lag_of_the_loop_is_told(self) -> None:
-        """Guards against an owner that falls behind silently."""
+        """Guards against an owner whose event loop lags without being reported."""
 
         async def main(clock: MockClock) -> float:
             loop_time = LoopTime()
@@ -91,7 +91,7 @@
     async def _stall(clock: MockClock, answer: trio.Event) -> None:
         await trio.sleep(0.3)
         clock.jump(STALL_SECONDS)
-        # The loop delivers what lies in the sockets with its next pass.
+        # The event loop delivers data that waits in the sockets with its next pass.
         await trio.lowlevel.checkpoint()
         answer.set()
 
--- a/fireflyfork/adapters/tests/test_peers.py
+++ b/fireflyfork/adapters/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Streams between entries: who may speak, and what happens when one side stops."""
+"""Tests of streams between entries: authentication, concurrent calls and lost streams."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -18,7 +18,7 @@
 
 
 def run_pair(body: Body, serve: Serve = answer_ok, key_of_two: bytes | None = None) -> None:
-    """Run ``body`` with two peers."""
+    """Run ``body`` with two peers, the second of which serves calls with ``serve``."""
 
     async def main() -> None:
         with trio.fail_after(GENEROUS_SECONDS):
@@ -30,17 +30,17 @@
 
 
 async def read_all(call: object) -> bytes:
-    """The whole answer of a call."""
+    """Return the whole body of the answer to a call."""
     event = await call.receive()  # type: ignore[attr-defined]
     assert isinstance(event, AnswerHead), event
     return b"".join([part async for part in call.body()])  # type: ignore[attr-defined]
 
 
 class HandshakeTest(unittest.TestCase):
-    """Only a process that knows the key and bears the right name is spoken to."""
+    """A stream is opened only to a process that has the key and the expected member id."""
 
     def test_a_peer_with_another_key_is_refused(self) -> None:
-        """An instance of another fleet has this address now; bookings must not go there."""
+        """Guards against sending bookings to an instance of another fleet that now has the address."""
 
         async def body(pair: PeerPair) -> None:
             with self.assertRaises(PeerError):
@@ -49,7 +49,7 @@
         run_pair(body, key_of_two=b"another key, as long")
 
     def test_another_member_at_the_address_is_refused(self) -> None:
-        """The peer was restarted and has a new member id; the old one owns nothing any more."""
+        """Guards against calls to a restarted peer under its old member id, which no longer owns anything."""
 
         async def body(pair: PeerPair) -> None:
             pair.two._own = lambda: TWO.__class__("two-restarted")
@@ -59,7 +59,7 @@
         run_pair(body)
 
     def test_garbage_ends_the_connection_and_nothing_else(self) -> None:
-        """A port scanner connects to the peer port; calls of true peers go on."""
+        """Guards against a port scanner on the peer port that disturbs the calls of authenticated peers."""
 
         async def body(pair: PeerPair) -> None:
             stranger = await trio.open_tcp_stream(pair.address.host, pair.address.port)
@@ -76,7 +76,7 @@
     """Calls that share a stream."""
 
     def test_a_slow_reader_does_not_hold_up_others(self) -> None:
-        """One caller takes its large answer slowly; a clerk's short answer overtakes it."""
+        """Guards against a large answer that is read slowly and blocks a short one on the same stream."""
 
         async def serve(call: IncomingCall) -> None:
             call.start(200, (), FIGURES)
@@ -92,7 +92,7 @@
         run_pair(body, serve)
 
     def test_a_call_that_was_given_up_is_cancelled_at_the_peer(self) -> None:
-        """The caller has gone; the peer must not go on waiting for a slot on its behalf."""
+        """Guards against a peer that still waits for a slot after the caller has gone."""
 
         async def body(pair: PeerPair) -> None:
             _, call = await pair.call()
@@ -104,7 +104,7 @@
         run_pair(body, lambda call: trio.sleep_forever())
 
     def test_a_lost_stream_ends_its_calls_and_is_replaced(self) -> None:
-        """The connection to a peer breaks; who waits on it hears so, and the next call works."""
+        """Guards against calls that wait forever on a broken connection, and against using it again."""
 
         async def serve(call: IncomingCall) -> None:
             if call.forward.call == 1 and not pair_stream_lost:
@@ -126,7 +126,7 @@
         run_pair(body, serve)
 
     def test_a_silent_peer_is_given_up(self) -> None:
-        """Guards against requests that wait for their deadlines on a stream whose peer stands still."""
+        """Guards against requests that wait until their deadlines on a stream to a stalled peer."""
 
         async def body(pair: PeerPair) -> None:
             stream, call = await pair.call()
--- a/fireflyfork/adapters/tests/test_relay_traffic.py
+++ b/fireflyfork/adapters/tests/test_relay_traffic.py
@@ -1,4 +1,4 @@
-"""What is counted of the bytes between an owner and its relays, over streams on the loopback interface."""
+"""Tests of the count of bytes between an owner and its relays, over streams on the loopback interface."""
 
 import unittest
 
@@ -18,7 +18,7 @@
 PAYLOAD = "x" * 4_000
 ORDER = StartRequest(TaskName("t"), AttemptNumber(1), PAYLOAD, 486_000, "", "")
 STUCK_SECONDS = 30.0
-"""Only so that a test that hangs ends."""
+"""The timeout of a test that hangs."""
 
 
 def _place(domain: FailureDomainName) -> ExecutorPlace:
@@ -34,7 +34,7 @@
 
 
 async def _start_in(domain: FailureDomainName, traffic: RelayTraffic) -> None:
-    """Start a task over a relay in one failure domain, beside a relay in the other."""
+    """Start a task through the relay in ``domain``, with a second relay in the other failure domain."""
     before = traffic.received
     async with trio.open_nursery() as nursery:
         owner = RelayedExecutors(AcceptingExecutors(), LoopTime(), traffic)
@@ -46,7 +46,7 @@
             port = listener.socket.getsockname()[1]
             places.append(RelayPlace(NodeName(f"n-{number}"), there, Address("127.0.0.1", port)))
         owner.use(places)
-        # Either relay's first word makes it usable; before that calls go directly.
+        # A relay is usable after its first message. Before that, calls are made directly.
         while any(traffic.received.get(one, 0) == before.get(one, 0) for one in (NEAR, FAR)):
             await trio.sleep(0.01)
         await owner.start(_place(domain), TOKEN, ORDER)
@@ -54,10 +54,10 @@
 
 
 class RelayTrafficTest(unittest.TestCase):
-    """Bytes by failure domain."""
+    """The counts of bytes by failure domain."""
 
     def test_an_order_counts_for_the_domain_that_it_goes_to(self) -> None:
-        """Guards against a full link between regions of which nobody can say what fills it."""
+        """Guards against a saturated link between regions whose traffic can't be attributed."""
         traffic = RelayTraffic()
 
         async def main() -> None:
@@ -69,7 +69,7 @@
         self.assertLess(traffic.sent[NEAR], len(PAYLOAD))
 
     def test_both_sides_count_the_same(self) -> None:
-        """Guards against frames that are counted as they were before they were encoded."""
+        """Guards against counting the size of messages before they are encoded."""
         here_traffic, there_traffic = StreamTraffic(), StreamTraffic()
 
         async def main() -> None:
@@ -92,7 +92,7 @@
         self.assertEqual((here_traffic.received, there_traffic.sent), (0, 0))
 
     def test_a_new_term_goes_on_counting(self) -> None:
-        """Guards against counters that fall back to zero with each change of owner."""
+        """Guards against counters that are reset to zero with each change of owner."""
         traffic = RelayTraffic()
 
         async def main() -> None:
--- a/fireflyfork/adapters/tests/test_relays.py
+++ b/fireflyfork/adapters/tests/test_relays.py
@@ -1,7 +1,7 @@
-"""Calls to executors that are made by other instances.
+"""Tests of calls to executors through relays.
 
-The pattern: hundreds of executors in several failure domains, and hundreds of calls a second to them from one
-owner. Streams are real ones on the loopback interface; executors are made up.
+The load: one owner makes hundreds of calls a second to hundreds of executors in several failure domains. The
+streams use the loopback interface or memory, and the executors are simulated.
 """
 
 import unittest
@@ -45,27 +45,27 @@
     ends_may_be_cut=True,
 )
 STUCK_SECONDS = 30.0
-"""Only so that a test that hangs ends."""
+"""The timeout of a test that hangs."""
 
 
 class Recorder(ExecutorCalls):
-    """Executors that accept everything, after ``delay`` seconds."""
+    """Simulated executors that record all calls, and accept orders after ``delay`` seconds."""
 
     def __init__(self, delay: float = 0.0) -> None:
-        """Nothing was called."""
+        """Start without recorded calls."""
         self.called: list[tuple[object, ...]] = []
         self.delay = delay
 
     async def start(
         self, place: ExecutorPlace, token: FencingToken, order: StartRequest
     ) -> OrderAnswer:
-        """Record."""
+        """Record the call and answer it."""
         return await self._order("start", place.executor, token, order)
 
     async def stop(
         self, place: ExecutorPlace, token: FencingToken, task: TaskName, attempt: AttemptNumber
     ) -> OrderAnswer:
-        """Record."""
+        """Record the call and answer it."""
         return await self._order("stop", place.executor, token, task, attempt)
 
     async def pace(
@@ -76,18 +76,18 @@
         attempt: AttemptNumber,
         percent: int,
     ) -> OrderAnswer:
-        """Record."""
+        """Record the call and answer it."""
         return await self._order("pace", place.executor, token, task, attempt, percent)
 
     async def poll(
         self, place: ExecutorPlace, token: FencingToken, request: PollRequest, fresh: bool = False
     ) -> PollAnswer:
-        """Record."""
+        """Record the call and answer it."""
         self.called.append(("poll", place.executor, token, request, fresh))
         return LISTED
 
     def forget(self, executor: ExecutorId) -> None:
-        """Record."""
+        """Record the call."""
         self.called.append(("forget", executor))
 
     async def _order(self, *called: object) -> OrderAnswer:
@@ -99,7 +99,7 @@
 async def listening(
     nursery: trio.Nursery, serve: Callable[[list[trio.SocketListener]], Awaitable[None]]
 ) -> int:
-    """Have something served on a port of the loopback interface, which is returned."""
+    """Run ``serve`` on a free port of the loopback interface, and return the port."""
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
     nursery.start_soon(serve, listeners)
     port: int = listeners[0].socket.getsockname()[1]
@@ -107,29 +107,29 @@
 
 
 class StoppedClock:
-    """A clock that the test moves."""
+    """A clock that only the test advances."""
 
     def __init__(self) -> None:
-        """At 0."""
+        """Start at 0."""
         self.seconds = 0.0
 
     def __call__(self) -> float:
-        """The time."""
+        """Return the current time in seconds."""
         return self.seconds
 
 
 class RelayWorld:
-    """An owner and one relay beside it."""
+    """An owner and a relay, with simulated executors behind both."""
 
     def __init__(self, delay: float = 0.0) -> None:
-        """Nothing runs yet; the relay's executors answer after ``delay`` seconds."""
+        """Create owner and relay without running them; the relay's executors answer after ``delay`` seconds."""
         self.direct, self.relayed = Recorder(), Recorder(delay)
         self.server = RelayServer(lambda: self.relayed)
         self.owner = RelayedExecutors(self.direct, LoopTime())
         self.relay_life = trio.CancelScope()
 
     async def run(self, play: Callable[["RelayWorld"], Awaitable[None]]) -> None:
-        """Start both, wait until the owner uses the relay, and play."""
+        """Run owner and relay, wait until the owner uses the relay, and call ``play``."""
         with trio.fail_after(STUCK_SECONDS):
             async with trio.open_nursery() as nursery:
                 port = await listening(nursery, self._serve)
@@ -141,13 +141,13 @@
                 nursery.cancel_scope.cancel()
 
     async def until(self, relayed: bool) -> None:
-        """Wait until calls go through the relay, or no longer do."""
+        """Wait until calls go through the relay, or directly if ``relayed`` is False."""
         while (self.owner._relay_for(EXECUTOR) is not None) is not relayed:
             await trio.sleep(0.01)
 
     @asynccontextmanager
     async def start_under_way(self) -> AsyncIterator[list[OrderAnswer]]:
-        """An order that the relay has got; its answer is in the list in the end."""
+        """Run the block after the relay has received an order; its answer is added to the list afterwards."""
         answers: list[OrderAnswer] = []
 
         async def start() -> None:
@@ -165,10 +165,10 @@
 
 
 class RelayTest(unittest.TestCase):
-    """What becomes of calls on their way over a relay."""
+    """Calls through a relay, and the loss of a relay."""
 
     def test_calls_and_answers_come_through_unchanged(self) -> None:
-        """Guards against an order or an end that is altered or lost on its way."""
+        """Guards against an order or an end that is altered or lost in transit."""
 
         async def play(world: RelayWorld) -> None:
             started = await world.owner.start(EXECUTOR, TOKEN, ORDER)
@@ -191,7 +191,7 @@
         trio.run(RelayWorld().run, play)
 
     def test_a_fresh_poll_goes_past_the_relay(self) -> None:
-        """Guards against executors that are taken for silent since their relay is."""
+        """Guards against executors that are considered silent because their relay is."""
 
         async def play(world: RelayWorld) -> None:
             await world.owner.poll(EXECUTOR, TOKEN, POLL, fresh=True)
@@ -200,7 +200,7 @@
         trio.run(RelayWorld().run, play)
 
     def test_an_executor_elsewhere_is_called_directly(self) -> None:
-        """Guards against a detour over another failure domain."""
+        """Guards against calling an executor through a relay in another failure domain."""
 
         async def play(world: RelayWorld) -> None:
             elsewhere = ExecutorPlace(
@@ -212,7 +212,7 @@
         trio.run(RelayWorld().run, play)
 
     def test_what_a_dying_relay_was_asked_may_have_run(self) -> None:
-        """Guards against a start that is taken for not carried out, and goes out a second time."""
+        """Guards against reporting a start as not executed, after which it would be sent a second time."""
 
         async def play(world: RelayWorld) -> None:
             async with world.start_under_way() as answers:
@@ -225,7 +225,7 @@
         trio.run(RelayWorld(delay=60.0).run, play)
 
     def test_a_stopping_relay_gets_nothing_new_and_answers_what_it_has(self) -> None:
-        """Guards against orders that a planned stop cuts off."""
+        """Guards against orders that are lost when a relay is stopped as planned."""
 
         async def play(world: RelayWorld) -> None:
             async with world.start_under_way() as answers:
@@ -236,7 +236,7 @@
         trio.run(RelayWorld(delay=0.2 * ORDER_SECONDS).run, play)
 
     def test_a_relay_that_falls_silent_is_left(self) -> None:
-        """Guards against executors that nobody reaches while their relay is frozen."""
+        """Guards against executors that can't be reached while their relay is frozen."""
 
         async def freeze(stream: trio.SocketStream) -> None:
             await stream.send_all(encode_frame([Hello(1)]))
@@ -258,7 +258,11 @@
         trio.run(main)
 
     def test_a_relay_that_stood_still_carries_out_nothing_of_before(self) -> None:
-        """Guards against a pace order of seconds ago that comes after the one that replaced it."""
+        """Guards against an outdated pace order that reaches the executor after a newer one.
+
+        A relay that was stalled for seconds reads orders that the owner has since replaced through
+        another relay.
+        """
         clock = StoppedClock()
         relayed = Recorder()
 
@@ -281,7 +285,7 @@
         self.assertEqual(relayed.called, [])
 
     def test_an_owner_of_another_version_is_not_served(self) -> None:
-        """Guards against instances of two versions that take each other's messages for something else."""
+        """Guards against instances of different versions that misinterpret each other's messages."""
 
         async def main() -> bytes:
             server = RelayServer(Recorder)
@@ -300,10 +304,10 @@
 
 
 class SilentRelayTest(unittest.TestCase):
-    """A relay whose words are on their way over a full link, or that has gone for good."""
+    """A relay whose messages are delayed by a saturated link, or that has failed."""
 
     def test_an_answer_that_comes_after_a_silence_is_taken(self) -> None:
-        """Guards against ends that are lost with their poll, so that tasks which ended well run again."""
+        """Guards against ends that are lost with the reply to a poll: completed tasks would run again."""
 
         async def play(owner: RelayedExecutors, relay: MutedRelay, direct: Recorder) -> None:
             answers: list[PollAnswer] = []
@@ -321,7 +325,7 @@
         _play_muted(play)
 
     def test_a_silent_relay_gets_nothing_new_until_it_is_heard_again(self) -> None:
-        """Guards against orders that wait behind a full link, and against a relay that is left for good."""
+        """Guards against orders that are queued behind a saturated link, and a relay that is never used again."""
 
         async def play(owner: RelayedExecutors, relay: MutedRelay, direct: Recorder) -> None:
             await trio.sleep(2 * SILENT_SECONDS)
@@ -338,7 +342,7 @@
         _play_muted(play)
 
     def test_a_relay_that_is_replaced_still_brings_the_answers_it_owes(self) -> None:
-        """Guards against ends that are lost with their polls, since another relay has become the better one."""
+        """Guards against ends that are lost with the replies to polls when another relay is configured."""
 
         async def play(owner: RelayedExecutors, relay: MutedRelay, direct: Recorder) -> None:
             answers: list[PollAnswer] = []
@@ -359,7 +363,7 @@
         _play_muted(play)
 
     def test_a_relay_that_stays_silent_is_connected_anew(self) -> None:
-        """Guards against a relay that is never used again, since its stream ended without a word."""
+        """Guards against a relay that is never used again because its stream was lost without being closed."""
 
         async def play(owner: RelayedExecutors, relay: MutedRelay, direct: Recorder) -> None:
             longest_call = POLL.wait_seconds + POLL.patience_seconds
@@ -369,7 +373,7 @@
         _play_muted(play)
 
     def test_a_call_that_was_given_up_is_not_sent_afterwards(self) -> None:
-        """Guards against a pace order that waits behind a full link and undoes the one that replaced it."""
+        """Guards against a pace order that is queued behind a saturated link and undoes a newer one."""
 
         async def play(owner: RelayedExecutors, relay: MutedRelay, direct: Recorder) -> None:
             relay.link_full = True
@@ -390,7 +394,7 @@
 def _play_muted(
     play: Callable[[RelayedExecutors, MutedRelay, Recorder], Awaitable[None]],
 ) -> None:
-    """Play with an owner that has just come to use a relay, on a virtual clock."""
+    """Call ``play`` with an owner that has just begun to use a mute relay, on a virtual clock."""
 
     async def main() -> None:
         relay, direct = MutedRelay(), Recorder()
@@ -407,10 +411,10 @@
 
 
 class ReasonsTest(unittest.TestCase):
-    """Why a poll got no answer, for logs."""
+    """The reason of a failed poll, which is logged."""
 
     def test_a_relay_that_says_nothing_is_named(self) -> None:
-        """Guards against silent executors of which nobody can say over which way they were asked."""
+        """Guards against failed polls whose log line doesn't show which relay was used."""
 
         async def play(owner: RelayedExecutors, relay: MutedRelay, direct: Recorder) -> None:
             answer = await owner.poll(EXECUTOR, TOKEN, POLL)
@@ -420,6 +424,6 @@
         _play_muted(play)
 
     def test_an_error_at_a_relay_is_passed_on(self) -> None:
-        """Guards against errors that only the relay's log knows."""
+        """Guards against errors that appear only in the relay's log."""
         failed = PollAnswer(CallOutcome.UNKNOWN, why="can't connect")
         self.assertEqual(PollReply.of(1, failed).answer(), failed)
--- a/fireflyfork/adapters/tests/test_replicas.py
+++ b/fireflyfork/adapters/tests/test_replicas.py
@@ -1,4 +1,4 @@
-"""What the operator has written, passed on between instances over real streams on the loopback interface."""
+"""Tests of the replication of the operator's keys between instances, over streams on the loopback interface."""
 
 import unittest
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -32,7 +32,7 @@
     [{"prefix": f"/q{number * 7919 % 100_003}/", "timeout_ms": 3000} for number in range(8_000)]
 )
 STUCK_SECONDS = 30.0
-"""Only so that a test that hangs ends."""
+"""The timeout of a test that hangs."""
 
 
 def _item(value: bytes) -> StoredItem:
@@ -40,16 +40,16 @@
 
 
 class Made(ReplicaSource):
-    """Answers with one item, after ``delay`` seconds."""
+    """A replica that records queries and answers each with one item after ``delay`` seconds."""
 
     def __init__(self, value: bytes = b"", delay: float = 0.0) -> None:
-        """Nothing was asked."""
+        """Start without recorded queries."""
         self.asked: list[ReplicaQuestion] = []
         self._value = value
         self._delay = delay
 
     async def answer(self, question: ReplicaQuestion) -> ReplicaAnswer:
-        """Record and answer."""
+        """Record the query and answer it."""
         self.asked.append(question)
         await trio.sleep(self._delay)
         item = _item(self._value)
@@ -87,7 +87,7 @@
 
 
 class ReplicasTest(unittest.TestCase):
-    """Questions and answers."""
+    """Queries and answers."""
 
     def test_a_large_value_arrives_as_it_is_in_the_store(self) -> None:
         async def body() -> None:
@@ -99,7 +99,10 @@
         _play(body)
 
     def test_a_large_value_is_sent_compressed(self) -> None:
-        """Sent as it is, it would fill the link between two regions for several times as long."""
+        """Guards against a large configuration that saturates the link between regions.
+
+        Uncompressed, it would occupy the link several times as long.
+        """
         sent = len(msgspec.msgpack.encode(Item.of(_item(LARGE))))
         self.assertLess(sent, len(LARGE) / 4)
 
@@ -118,7 +121,7 @@
 
 
 class BadUpstreamsTest(unittest.TestCase):
-    """An upstream that can't be relied upon is noticed; nothing of what it says is taken in."""
+    """An unreliable upstream is detected, and none of its data is used."""
 
     def _fails(self, serve: Callable[[trio.SocketStream], Awaitable[None]], why: str) -> None:
         async def body() -> None:
@@ -137,12 +140,12 @@
         return serve
 
     def test_one_that_accepts_connections_and_stands_still(self) -> None:
-        """A frozen instance keeps its connections open, and whoever follows it would wait for ever."""
+        """Guards against a frozen upstream: its connections stay open, and followers would wait forever."""
         with patch.object(client, "SILENT_SECONDS", 0.1):
             self._fails(self._says(Hello(1)), "silent")
 
     def test_one_that_is_asked_in_a_hurry_and_stands_still(self) -> None:
-        """Guards against a second upstream that is borne for as long as the first one was."""
+        """Guards against a second silent upstream that is awaited for as long as the first one."""
 
         async def body() -> None:
             async with _listening(self._says(Hello(1))) as place:
@@ -170,7 +173,7 @@
         self._fails(serve, "too long|not a frame")
 
     def test_a_value_that_was_changed_on_its_way(self) -> None:
-        """A configuration that isn't whole would be in force here and nowhere else."""
+        """Guards against a corrupt configuration that would be in force on this instance only."""
         for compressed, content in ((False, b"other"), (True, b"other"), (True, b"")):
             with self.subTest(compressed=compressed, content=content):
                 item = Item("op/config", 7, 3, 1, compressed, content)
@@ -188,7 +191,9 @@
         _play(body)
 
     def test_a_slow_answer_that_goes_on_coming_is_waited_for(self) -> None:
-        """A large value takes longer over a full link than silence is borne."""
+        """Guards against a timeout of a large value, whose transfer over a saturated link takes longer than the
+        maximum silence.
+        """
 
         async def serve(stream: trio.SocketStream) -> None:
             update = Update(9, 0.0, 0.0, 1.0, {"op/config": 7}, [Item.of(_item(LARGE))])
@@ -212,10 +217,10 @@
 
 
 class SilentFollowersTest(unittest.TestCase):
-    """Followers that have gone without a word."""
+    """Followers that have gone without closing their connections."""
 
     def test_a_connection_without_questions_is_closed(self) -> None:
-        """Guards against descriptors that are used up one after the other by connections that went silent."""
+        """Guards against file descriptors that are exhausted by dead connections."""
 
         async def body() -> None:
             async with _listening(ReplicaServer(Made())._serve) as place:
--- a/fireflyfork/platform/_advisor_client.py
+++ b/fireflyfork/platform/_advisor_client.py
@@ -38,7 +38,7 @@
         try:
             answer = await self._calls.call("POST", ADVICE_PATH, body)
             if answer.status != 200:
-                logger.info("advisor refused a call", step=step, status=answer.status)
+                logger.info("advisor call failed", step=step, status=answer.status)
                 return None
             found = msgspec.json.decode(answer.body, type=_Answer)
         except (HttpError, msgspec.DecodeError, msgspec.ValidationError) as error:
--- a/fireflyfork/platform/tests/__init__.py
+++ b/fireflyfork/platform/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the formats of the platform."""
+"""Tests of fireflyfork.platform."""
--- a/fireflyfork/platform/tests/test_end_lists.py
+++ b/fireflyfork/platform/tests/test_end_lists.py
@@ -1,4 +1,4 @@
-"""Whether a list of ends may be cut, as executors answer over HTTP."""
+"""Tests of the detection of truncated lists of ends in the answers of executors."""
 
 import unittest
 from unittest.mock import patch
@@ -15,7 +15,7 @@
 
 
 def _poll(ends: int) -> PollAnswer:
-    """What a poll tells whose answer lists so many ends."""
+    """Return the decoded answer to a poll that lists the given number of ends."""
     rows = [[number + 1, f"a.0.0.{number}", 1, "done", ""] for number in range(ends)]
     body = msgspec.json.encode({"clock_ms": 5, "running": [], "ended": rows})
 
@@ -34,11 +34,12 @@
 
 
 class EndListsTest(unittest.TestCase):
-    """Executors list five hundred ends at most."""
+    """Executors list at most 500 ends."""
 
     def test_a_list_of_the_greatest_length_may_be_cut(self) -> None:
-        """The five hundred and first end isn't on the list, and its task is over all the same. An owner
-        that took the list for whole would start it again.
+        """Guards against an owner that treats a truncated list of ends as complete.
+
+        The list doesn't contain the 501st end, although its run is over. The owner would start that task again.
         """
         for ends, cut in ((0, False), (499, False), (500, True)):
             with self.subTest(ends):
--- a/fireflyfork/platform/tests/test_formats.py
+++ b/fireflyfork/platform/tests/test_formats.py
@@ -1,4 +1,4 @@
-"""What other programs wrote, decoded or refused."""
+"""Tests of decoding what other programs have written, including invalid values."""
 
 import unittest
 
@@ -83,7 +83,7 @@
 
 
 class RegistrationTest(unittest.TestCase):
-    """What stands in the store about executors."""
+    """The registrations of executors in the store."""
 
     def test_an_entry_is_decoded(self) -> None:
         found = decode_registration(_item(msgspec.json.encode(ENTRY)))
@@ -93,8 +93,10 @@
         self.assertFalse(found.draining)
 
     def test_an_entry_that_can_not_be_read_names_no_executor(self) -> None:
-        """Another program writes where executors register. If one entry that can't be read stopped
-        the reading, nothing would be placed any more.
+        """Guards against an invalid entry that prevents the other executors from being used.
+
+        Other programs write under the prefix of the registrations. If an invalid entry raised an error, no
+        task would be placed any more.
         """
         for name, value in (
             ("bytes", b"\xff\x00"),
@@ -107,9 +109,10 @@
                 self.assertIsNone(decode_registration(_item(value)))
 
     def test_an_entry_that_does_not_say_when_its_executor_began_names_none(self) -> None:
-        """Another program writes over an executor's entry and leaves its birth out. Taken for a life that began
-        before all others, it made the executor's own next entry look like a new start, and all that ran
-        there was started a second time.
+        """Guards against an entry without ``born`` that is treated as a very old incarnation.
+
+        Another program overwrites an executor's entry and omits the field. The executor's own next entry
+        would then look like a restart, and all its runs would be started a second time.
         """
         for born in ({}, {"born": 0}, {"born": 1.5}):
             with self.subTest(born):
@@ -140,7 +143,7 @@
 
 
 class JobTest(unittest.TestCase):
-    """What callers hand in."""
+    """The jobs that callers submit."""
 
     def test_an_id_is_sixteen_hexadecimal_digits(self) -> None:
         self.assertEqual(parse_job_id("5c0e7a21d94b36f8"), "5c0e7a21d94b36f8")
@@ -162,7 +165,7 @@
 
 
 class WaveTest(unittest.TestCase):
-    """Waves of upkeep as operators write and read them."""
+    """Waves of upkeep and their status, in the format of the operators."""
 
     def test_a_wave_is_read(self) -> None:
         wave = decode_wave(
@@ -172,8 +175,9 @@
         self.assertEqual((wave.number, wave.machines, wave.most_at_once), (3, ("m-1", "m-2"), 2))
 
     def test_a_wave_that_can_not_be_read_is_passed_over(self) -> None:
-        """An operator's tool writes half a wave. If reading it failed, the configuration under the same
-        prefix would not be followed any more.
+        """Guards against an incomplete wave, written by an operator's tool, that stops the watch.
+
+        If decoding it raised an error, changes of the configuration under the same prefix would be missed.
         """
         for value in (b"", b'{"wave":3}', b'{"wave":"x","machines":[]}'):
             with self.subTest(value):
--- a/fireflyfork/platform/tests/test_late_connections.py
+++ b/fireflyfork/platform/tests/test_late_connections.py
@@ -1,6 +1,6 @@
-"""Polls that need a new connection over a link that is full.
+"""Tests of polls that need a new connection over a saturated link.
 
-The pattern: an owner that has just taken over has no connection yet to the executors of the other region.
+An owner that has just taken over has no connections yet to the executors of the other region.
 """
 
 import unittest
@@ -25,7 +25,7 @@
 PLACE = ExecutorPlace(ExecutorId("i-0"), Address("10.0.0.1", 80), ANY_INCARNATION)
 POLL = PollRequest(0, None, 0.0, 5.0)
 WAY_SECONDS = 2 * CALL_TIMEOUT_SECONDS
-"""There and back; twice that is well within the patience of the poll."""
+"""The round-trip time. Twice this is well within the timeout of the poll."""
 LISTED = b'{"clock_ms":1,"running":[],"ended":[]}'
 ANSWER = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % len(LISTED) + LISTED
 
@@ -37,7 +37,7 @@
 
 
 async def _poll() -> CallOutcome:
-    """The outcome of a first poll where everything takes its time."""
+    """Return the outcome of a first poll when connecting and answering each take ``ROUND_TRIP_SECONDS``."""
     async with trio.open_nursery() as nursery:
 
         async def opened(_: Address, timeout: float, *__: object) -> HttpClientConnection:
@@ -56,8 +56,11 @@
 
 
 class LateConnectionTest(unittest.TestCase):
-    """A poll's patience and the time that its connection takes."""
+    """The timeout of a poll that needs a new connection."""
 
     def test_a_poll_is_as_patient_with_its_connection_as_with_its_answer(self) -> None:
-        """Guards against a new owner that hears no far executor while a link is full, and starts all anew."""
+        """Guards against a new owner that reaches no executor of the other region while the link is saturated.
+
+        It would start all their tasks a second time.
+        """
         self.assertIs(trio.run(_poll, clock=MockClock(autojump_threshold=0)), CallOutcome.ACCEPTED)
--- a/fireflyfork/platform/tests/test_store_client.py
+++ b/fireflyfork/platform/tests/test_store_client.py
@@ -1,6 +1,4 @@
-"""How long the client of the store waits for answers, and what it counts, on streams in memory and a virtual
-clock.
-"""
+"""Tests of the timeouts and counters of the store client, with in-memory streams and a virtual clock."""
 
 import unittest
 from base64 import b64encode
@@ -22,7 +20,7 @@
 
 
 def _large_answer() -> tuple[bytes, bytes]:
-    """The two halves of a watch's answer that tells of one large value."""
+    """Return the two halves of the answer to a watch that contains one large value."""
     item = {"key": "op/config", "revision": 8, "value": b64encode(VALUE).decode("ascii")}
     body = msgspec.json.encode({"events": [item], "as_of": 8})
     answer = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % len(body) + body
@@ -30,7 +28,7 @@
 
 
 def _watch(server: Server) -> StoreChanges:
-    """What one watch on a store that does this is told."""
+    """Return the result of a watch on a store that behaves like ``server``."""
 
     async def main() -> StoreChanges:
         async with served_by(server):
@@ -41,14 +39,16 @@
 
 
 class LargeAnswersTest(unittest.TestCase):
-    """Answers that many instances get at the same time."""
+    """Large answers that many instances receive at the same time."""
 
     def test_one_that_pauses_is_not_asked_for_again(self) -> None:
-        """All instances of a region are told of a large configuration at once, over one link. The first
-        parts of all their answers come before the second part of any, which takes longer than a call may
-        stay without an answer. Each instance broke off, and had the whole value sent again, over the
-        link that was full of it: for four seconds and more callers were told that new queues don't
-        exist.
+        """Guards against giving up a large answer between two of its parts.
+
+        The answers with a new large configuration are sent to all instances of a region at once, over one
+        link. The first parts of all answers arrive before the second part of any, and the pause is longer
+        than the timeout for the beginning of an answer. When every instance gave up and requested the whole
+        value again over the saturated link, callers were told for more than four seconds that new queues
+        don't exist.
         """
 
         async def server(stream: ServerStream) -> None:
@@ -63,8 +63,10 @@
         self.assertEqual(change.item.value, VALUE)
 
     def test_one_that_stops_is_given_up(self) -> None:
-        """A firewall forgets a connection in the middle of an answer. An instance that waited on would
-        never hear of another change.
+        """Guards against waiting forever in the middle of an answer.
+
+        A firewall loses the state of a connection and drops the rest of the answer. The instance would
+        never receive another change.
         """
 
         async def server(stream: ServerStream) -> None:
@@ -100,7 +102,7 @@
 
 
 class CountedBytesTest(unittest.TestCase):
-    """What crosses to the store and back, by purpose."""
+    """The counts of calls and bytes by purpose."""
 
     def _after(self, server: Server, call: Callable[[PlatformStore], Awaitable[object]]) -> None:
         async def main() -> None:
@@ -113,7 +115,7 @@
         self.store = PlatformStore(Address("10.0.0.1", 80))
 
     def test_each_answer_counts_for_what_was_asked(self) -> None:
-        """Guards against a full link of which nobody can say what fills it."""
+        """Guards against a saturated link whose traffic can't be attributed."""
         body = msgspec.json.encode({"events": [], "as_of": 8})
         for prefix in ("op/", "fireflyfork/work/", "op/"):
             self._after(_answering(body), partial(_changes, prefix))
@@ -122,7 +124,7 @@
         self.assertEqual(self.store.calls, {"watch op": 2, "watch fireflyfork/work": 1})
 
     def test_a_write_counts_as_encoded(self) -> None:
-        """Guards against sizes of values that are a third less than what is sent of them."""
+        """Guards against counting values before their base64 encoding, which adds a third to their size."""
         body = msgspec.json.encode({"revision": 9})
         put = Put("fireflyfork/work/job/1", VALUE)
         self._after(_answering(body), lambda store: store.commit({}, (put,)))
@@ -131,7 +133,7 @@
         self.assertEqual(self.store.bytes_received, {"commit fireflyfork/work/job": len(body)})
 
     def test_a_refusal_counts(self) -> None:
-        """Guards against refused calls that look as if they had cost nothing."""
+        """Guards against not counting the bytes of refused calls."""
 
         async def refused(store: PlatformStore) -> None:
             with self.assertRaises(StoreRefusedError):
@@ -141,7 +143,7 @@
         self.assertEqual(self.store.bytes_received, {"read op": 5})
 
     def test_an_answer_that_broke_off_is_a_call_without_bytes(self) -> None:
-        """Guards against a call that vanishes from the counts with its answer."""
+        """Guards against not counting a call whose answer was truncated."""
 
         async def broken(stream: ServerStream) -> None:
             await stream.send_all(_large_answer()[0])
@@ -156,7 +158,7 @@
         self.assertEqual(self.store.bytes_received, {})
 
     def test_the_owner_key_is_counted_apart_from_the_jobs(self) -> None:
-        """Guards against small questions of all instances that can't be told from one owner's large reads."""
+        """Guards against counting the small reads of all instances together with the large reads of one owner."""
         body = msgspec.json.encode({"items": [], "has_more": False, "as_of": 8})
         for prefix in ("fireflyfork/work/", "fireflyfork/work/owner/desk"):
             self._after(_answering(body), partial(_listing, prefix))
@@ -164,7 +166,7 @@
         self.assertEqual(self.store.calls, expected)
 
     def test_numbers_in_keys_make_no_purposes(self) -> None:
-        """Guards against counters that become more with each wave of upkeep."""
+        """Guards against a new counter for each wave of upkeep."""
         body = msgspec.json.encode({"items": [], "has_more": False, "as_of": 8})
         for prefix in ("fireflyfork/upkeep/3/", "fireflyfork/upkeep/4/"):
             self._after(_answering(body), partial(_listing, prefix))
