--- a/fireflyfork/adapters/_peer_connection.py
+++ b/fireflyfork/adapters/_peer_connection.py
@@ -29,9 +29,13 @@
 )
 
 WINDOW_BYTES = 256 * 1024
+"""The number of bytes of a call's body that may be sent before the receiver grants more."""
 CHUNK_BYTES = 32 * 1024
+"""The maximum size of one part of a body, which bounds how long it delays the messages of other calls."""
 HEARTBEAT_SECONDS = 1.0
+"""The interval of pings, which only the initiator of a stream sends."""
 SILENCE_SECONDS = 2.5
+"""The time without received data after which a stream is closed."""
 RECEIVE_BYTES = 65536
 
 CallEvent = Chunk | AnswerHead | Refusal
--- a/fireflyfork/adapters/_peer_handshake.py
+++ b/fireflyfork/adapters/_peer_handshake.py
@@ -22,6 +22,7 @@
 )
 
 HANDSHAKE_SECONDS = 2.0
+"""The time limit for the whole handshake."""
 _NONCE_BYTES = 16
 
 
--- a/fireflyfork/adapters/_relay_messages.py
+++ b/fireflyfork/adapters/_relay_messages.py
@@ -32,7 +32,7 @@
 
 
 class Place(msgspec.Struct, frozen=True, array_like=True):
-    """The executor process that a call is addressed to; see ExecutorPlace."""
+    """The executor process that a call is addressed to; see ExecutorEndpoint."""
 
     executor: str
     host: str
