--- a/bench/_link_objects.py
+++ b/bench/_link_objects.py
@@ -22,7 +22,7 @@
     ServiceName,
     TaskName,
 )
-from fireflyfork.adapters import ExecutorPlace, Header
+from fireflyfork.adapters import ExecutorEndpoint, Header
 from fireflyfork.adapters._message_stream import encode_frame
 from fireflyfork.adapters._relay_messages import (
     OrderReply,
@@ -64,7 +64,7 @@
 TOKEN = 7_690
 _HOST = (b"host", b"10.200.1.7:8361")
 _ANSWER_HEAD = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: 1000\r\n\r\n"
-_PLACE = ExecutorPlace(ExecutorId("i-6a8e5c8fbd"), Address("10.104.0.117", 9_204), BORN)
+_PLACE = ExecutorEndpoint(ExecutorId("i-6a8e5c8fbd"), Address("10.104.0.117", 9_204), BORN)
 
 
 def request(method: str, target: str, body: bytes = b"", *more: Header) -> int:
--- a/bench/executor_call_cost.py
+++ b/bench/executor_call_cost.py
@@ -25,10 +25,10 @@
 )
 from fireflyfork.adapters import (
     ExecutorCalls,
-    ExecutorPlace,
+    ExecutorEndpoint,
     LoopTime,
     RelayedExecutors,
-    RelayPlace,
+    RelayEndpoint,
     RelayServer,
 )
 from fireflyfork.decisions.jobs import CallOutcome, PollRequest, StartRequest
@@ -102,7 +102,7 @@
 
 async def _main(port: int, relay_port: int) -> None:
     domain = FailureDomainName("suva")
-    place = ExecutorPlace(ExecutorId("i-0"), Address("127.0.0.1", port), BORN, domain)
+    place = ExecutorEndpoint(ExecutorId("i-0"), Address("127.0.0.1", port), BORN, domain)
 
     async def start(client: ExecutorCalls, number: int) -> CallOutcome:
         name = TaskName(f"5c0e7a21d94b36f8.0.1.{number}")
@@ -114,10 +114,10 @@
 
     direct = PlatformExecutors(LoopTime())
     relayed = RelayedExecutors(direct, LoopTime())
-    relay = RelayPlace(NodeName("n-1"), domain, Address("127.0.0.1", relay_port))
+    relay = RelayEndpoint(NodeName("n-1"), domain, Address("127.0.0.1", relay_port))
     async with trio.open_nursery() as nursery:
         nursery.start_soon(relayed.run)
-        relayed.use([relay])
+        relayed.set_relays([relay])
         await trio.sleep(CONNECTED_SECONDS)
         print("call   us directly  us over a relay (least of some rounds)")
         for name, call in (("start", start), ("poll", poll)):
--- a/fireflyfork/adapters/__init__.py
+++ b/fireflyfork/adapters/__init__.py
@@ -10,7 +10,7 @@
     StoredItem,
     StoreListing,
 )
-from ._executor_calls import ANY_INCARNATION, LONGEST_CALL_SECONDS, ExecutorCalls, ExecutorPlace
+from ._executor_calls import ANY_INCARNATION, MAX_CALL_SECONDS, ExecutorCalls, ExecutorEndpoint
 from ._http import (
     ConnectError,
     Header,
@@ -18,7 +18,7 @@
     RequestHead,
     ResponseHead,
     collect,
-    end_to_end,
+    end_to_end_headers,
     find_header,
 )
 from ._http_client import UNACKNOWLEDGED_SECONDS, ClientExchange, HttpClient, HttpClientConnection
@@ -33,22 +33,29 @@
 from ._loop_profile import LoopProfile
 from ._loop_time import LoopTime
 from ._machines import MachineCalls, NoMachines
-from ._peer_connection import Call, IncomingCall, OutgoingCall, PeerConnection, PeerHandler, refused
+from ._peer_connection import (
+    Call,
+    IncomingCall,
+    OutgoingCall,
+    PeerConnection,
+    PeerHandler,
+    refusal_error,
+)
 from ._peer_messages import AnswerHead, Chunk, Control, Forward, Pong, Refusal, Role, ServiceFigures
 from ._peers import Peers
 from ._platform import PlatformReport, RunReport, RunState, StartOrder, WorkerPlatform
 from ._platform_http import HttpPlatform, RenewCall, StopCall, ThrottleCall
-from ._relay_client import RelayedExecutors, RelayPlace
+from ._relay_client import RelayedExecutors, RelayEndpoint
 from ._relay_server import RelayServer
 from ._relay_traffic import RelayTraffic
 from ._replica_client import SocketReplicaPeers
 from ._replica_server import ReplicaServer
 from ._replicas import (
     ReplicaAnswer,
+    ReplicaEndpoint,
     ReplicaPeer,
     ReplicaPeers,
-    ReplicaPlace,
-    ReplicaQuestion,
+    ReplicaQuery,
     ReplicaSource,
 )
 from ._store import Store, StoredValue
@@ -56,7 +63,7 @@
 
 __all__ = [
     "ANY_INCARNATION",
-    "LONGEST_CALL_SECONDS",
+    "MAX_CALL_SECONDS",
     "UNACKNOWLEDGED_SECONDS",
     "Advice",
     "Advisor",
@@ -69,7 +76,7 @@
     "CoordinationStore",
     "Exchange",
     "ExecutorCalls",
-    "ExecutorPlace",
+    "ExecutorEndpoint",
     "Forward",
     "Header",
     "HttpClient",
@@ -98,16 +105,16 @@
     "Pong",
     "Put",
     "Refusal",
-    "RelayPlace",
+    "RelayEndpoint",
     "RelayServer",
     "RelayTraffic",
     "RelayedExecutors",
     "RenewCall",
     "ReplicaAnswer",
+    "ReplicaEndpoint",
     "ReplicaPeer",
     "ReplicaPeers",
-    "ReplicaPlace",
-    "ReplicaQuestion",
+    "ReplicaQuery",
     "ReplicaServer",
     "ReplicaSource",
     "RequestHead",
@@ -131,8 +138,8 @@
     "collect",
     "decode_content",
     "encode_content",
-    "end_to_end",
+    "end_to_end_headers",
     "find_header",
     "listen",
-    "refused",
+    "refusal_error",
 ]
--- a/fireflyfork/adapters/_coordination.py
+++ b/fireflyfork/adapters/_coordination.py
@@ -68,7 +68,7 @@
 
     @property
     @abstractmethod
-    def answers(self) -> bool:
+    def is_responsive(self) -> bool:
         """Whether the store has answered recent calls of this instance."""
 
     @property
--- a/fireflyfork/adapters/_executor_calls.py
+++ b/fireflyfork/adapters/_executor_calls.py
@@ -10,15 +10,15 @@
 from ..decisions.jobs import OrderAnswer, PollAnswer, PollRequest, StartRequest
 
 ANY_INCARNATION = 0
-"""Used in place of an incarnation if the call may reach any incarnation."""
+"""Used in endpoint of an incarnation if the call may reach any incarnation."""
 
-LONGEST_CALL_SECONDS = 7.5
+MAX_CALL_SECONDS = 7.5
 """The maximum time that a call waits for its answer. Polls take the longest: they wait at the executor, and a
 late answer is then awaited for as long as a lease lasts."""
 
 
 @dataclass(frozen=True, slots=True)
-class ExecutorPlace:
+class ExecutorEndpoint:
     """The executor process that a call is addressed to."""
 
     executor: ExecutorId
@@ -42,14 +42,14 @@
 
     @abstractmethod
     async def start(
-        self, place: ExecutorPlace, token: FencingToken, order: StartRequest
+        self, endpoint: ExecutorEndpoint, token: FencingToken, order: StartRequest
     ) -> OrderAnswer:
         """Start a run."""
 
     @abstractmethod
     async def stop(
         self,
-        place: ExecutorPlace,
+        endpoint: ExecutorEndpoint,
         token: FencingToken,
         task: TaskName,
         attempt: AttemptNumber,
@@ -59,7 +59,7 @@
     @abstractmethod
     async def pace(
         self,
-        place: ExecutorPlace,
+        endpoint: ExecutorEndpoint,
         token: FencingToken,
         task: TaskName,
         attempt: AttemptNumber,
@@ -69,7 +69,11 @@
 
     @abstractmethod
     async def poll(
-        self, place: ExecutorPlace, token: FencingToken, request: PollRequest, fresh: bool = False
+        self,
+        endpoint: ExecutorEndpoint,
+        token: FencingToken,
+        request: PollRequest,
+        fresh: bool = False,
     ) -> PollAnswer:
         """Renew the lease of all runs on the executor, and list the current runs and the ended ones.
 
--- a/fireflyfork/adapters/_http.py
+++ b/fireflyfork/adapters/_http.py
@@ -16,7 +16,7 @@
 HttpEvent = h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]
 
 RECEIVE_BYTES = 65536
-LONGEST_HEAD_BYTES = 32768
+MAX_HEAD_BYTES = 32768
 
 _HOP_BY_HOP = frozenset(
     {
@@ -74,7 +74,7 @@
     return next((value.decode("latin-1") for key, value in headers if key == name), None)
 
 
-def end_to_end(headers: Iterable[Header]) -> tuple[Header, ...]:
+def end_to_end_headers(headers: Iterable[Header]) -> tuple[Header, ...]:
     """Return the headers that a proxy forwards: all except the hop-by-hop headers."""
     headers = tuple(headers)
     connection = find_header(headers, b"connection") or ""
@@ -117,13 +117,13 @@
         raise HttpError(f"receiving failed: {error!r}") from error
 
 
-async def collect(chunks: AsyncIterator[bytes], longest: int) -> bytes:
+async def collect(chunks: AsyncIterator[bytes], max_bytes: int) -> bytes:
     """Return the whole body. Raises HttpError if it is longer than ``max_bytes``."""
     parts: list[bytes] = []
     length = 0
     async for chunk in chunks:
         length += len(chunk)
-        if length > longest:
-            raise HttpError(f"body longer than {longest} bytes")
+        if length > max_bytes:
+            raise HttpError(f"body longer than {max_bytes} bytes")
         parts.append(chunk)
     return b"".join(parts)
--- a/fireflyfork/adapters/_http_client.py
+++ b/fireflyfork/adapters/_http_client.py
@@ -13,7 +13,7 @@
 
 from .._links import Address
 from ._http import (
-    LONGEST_HEAD_BYTES,
+    MAX_HEAD_BYTES,
     ConnectError,
     Header,
     HttpError,
@@ -39,7 +39,7 @@
     def __init__(self, stream: trio.SocketStream) -> None:
         """Take ownership of a connected stream. Use ``open`` to connect."""
         self._stream = stream
-        self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=LONGEST_HEAD_BYTES)
+        self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._sent_anything = False
         self.received: Callable[[], None] = lambda: None
         """A callback that is called whenever bytes arrive."""
@@ -63,7 +63,10 @@
 
     @classmethod
     async def open(
-        cls, address: Address, timeout: float, unacknowledged: float = UNACKNOWLEDGED_SECONDS
+        cls,
+        address: Address,
+        timeout: float,
+        unacknowledged_seconds: float = UNACKNOWLEDGED_SECONDS,
     ) -> HttpClientConnection:
         """Connect within ``timeout`` seconds. Raises ConnectError.
 
@@ -76,7 +79,7 @@
             raise ConnectError(f"can't connect to {address}: {error!r}") from error
         # A peer that disappears without closing the connection is noticed only because sent data stays
         # unacknowledged. Without this limit the kernel retransmits for a quarter of an hour.
-        milliseconds = int(unacknowledged * 1000)
+        milliseconds = int(unacknowledged_seconds * 1000)
         stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, milliseconds)
         return cls(stream)
 
@@ -114,13 +117,13 @@
                 raise HttpError("the connection ended inside a response")
 
     async def request(
-        self, head: RequestHead, body: bytes, longest_answer: int
+        self, head: RequestHead, body: bytes, max_response_bytes: int
     ) -> tuple[ResponseHead, bytes]:
         """Send a small request in one write and read its whole response. Raises HttpError."""
         content = (h11.Data(data=body),) if body else ()
         await self._send(self._begin(head), *content, _END)
         response = await self.receive_head()
-        return response, await collect(self.receive_body(), longest_answer)
+        return response, await collect(self.receive_body(), max_response_bytes)
 
     def close(self) -> None:
         """Close the connection immediately."""
@@ -171,12 +174,12 @@
         self,
         address: Address,
         timeout: float,
-        longest_answer: int = 1 << 24,
-        pause: float | None = None,
-        greet: Callable[[ClientExchange], Awaitable[None]] | None = None,
+        max_response_bytes: int = 1 << 24,
+        read_timeout: float | None = None,
+        verify: Callable[[ClientExchange], Awaitable[None]] | None = None,
         loop_time: LoopTime | None = None,
-        unacknowledged: float = UNACKNOWLEDGED_SECONDS,
-        connects_patiently: bool = False,
+        unacknowledged_seconds: float = UNACKNOWLEDGED_SECONDS,
+        connect_within_call: bool = False,
     ) -> None:
         """Configure a client; connections are opened when needed.
 
@@ -194,14 +197,14 @@
         """
         self._address = address
         self._timeout = timeout
-        self._pause = timeout if pause is None else pause
-        self._longest_answer = longest_answer
-        self._greet = greet
+        self._read_timeout = timeout if read_timeout is None else read_timeout
+        self._max_response_bytes = max_response_bytes
+        self._verify = verify
         self._loop_time = loop_time
-        self._unacknowledged = unacknowledged
-        self._connects_patiently = connects_patiently
+        self._unacknowledged_seconds = unacknowledged_seconds
+        self._connect_within_call = connect_within_call
         self._idle: list[HttpClientConnection] = []
-        self._doubtful = False
+        self._last_call_failed = False
         """Whether the last call failed on its connection: the idle connections may be dead as well."""
 
     async def call(
@@ -211,7 +214,7 @@
         headers: tuple[Header, ...] = (),
         body: bytes = b"",
         extra_seconds: float = 0.0,
-        is_greeting: bool = False,
+        is_verification: bool = False,
         fresh: bool = False,
     ) -> tuple[ResponseHead, bytes]:
         """Make one call. Raises HttpError.
@@ -227,32 +230,34 @@
         After any error except ConnectError, the call may have taken effect.
         """
         connection: HttpClientConnection | None = None
-        fresh = fresh or self._doubtful
+        fresh = fresh or self._last_call_failed
         try:
-            with self._limit(self._timeout + extra_seconds) as put_off:
-                patience = extra_seconds if self._connects_patiently else 0.0
-                connection = await self._connection(is_greeting, fresh, self._timeout + patience)
-                connection.received = lambda: put_off(self._pause)
+            with self._limit(self._timeout + extra_seconds) as postpone:
+                extra_connect_seconds = extra_seconds if self._connect_within_call else 0.0
+                connection = await self._acquire(
+                    is_verification, fresh, self._timeout + extra_connect_seconds
+                )
+                connection.received = lambda: postpone(self._read_timeout)
                 answer = await self._exchange(connection, method, target, headers, body)
         except trio.TooSlowError as error:
             if connection is None:
                 raise ConnectError(f"can't connect to {self._address} in time") from error
-            self._doubtful = True
+            self._last_call_failed = True
             raise HttpError(f"no answer from {self._address} in time") from error
         except HttpError:
             # A refused connection says nothing about the state of the idle connections.
-            self._doubtful = self._doubtful or connection is not None
+            self._last_call_failed = self._last_call_failed or connection is not None
             raise
         else:
             if fresh:
                 # A firewall that loses its connection table drops all existing connections at once, while
                 # new ones work. Each idle connection that is kept would cost a caller another timeout.
                 self.close()
-            self._doubtful = False
+            self._last_call_failed = False
             return answer
         finally:
             if connection is not None:
-                self._keep(connection)
+                self._release(connection)
 
     def close(self) -> None:
         """Close all idle connections."""
@@ -264,8 +269,8 @@
             return self._loop_time.fail_after(seconds)
         return _fail_after(seconds)
 
-    async def _connection(
-        self, is_greeting: bool, fresh: bool, connect_seconds: float
+    async def _acquire(
+        self, is_verification: bool, fresh: bool, connect_seconds: float
     ) -> HttpClientConnection:
         while self._idle and not fresh:
             connection = self._idle.pop()
@@ -273,12 +278,12 @@
                 return connection
             connection.close()
         connection = await HttpClientConnection.open(
-            self._address, connect_seconds, self._unacknowledged
+            self._address, connect_seconds, self._unacknowledged_seconds
         )
-        if self._greet is None or is_greeting:
+        if self._verify is None or is_verification:
             return connection
         try:
-            await self._greet(partial(self._exchange, connection))
+            await self._verify(partial(self._exchange, connection))
         except BaseException:
             connection.close()
             raise
@@ -296,9 +301,9 @@
             headers = ((b"host", str(self._address).encode("ascii")), *headers)
         all_headers = (*headers, (b"content-length", str(len(body)).encode("ascii")))
         head = RequestHead(method, target, all_headers)
-        return await connection.request(head, body, self._longest_answer)
+        return await connection.request(head, body, self._max_response_bytes)
 
-    def _keep(self, connection: HttpClientConnection) -> None:
+    def _release(self, connection: HttpClientConnection) -> None:
         if connection.ended_cleanly:
             self._idle.append(connection)
         else:
@@ -310,7 +315,7 @@
     """Like trio.fail_after, but yield a function that postpones the timeout."""
     with trio.fail_after(seconds) as scope:
 
-        def put_off(more: float) -> None:
+        def postpone(more: float) -> None:
             scope.deadline = max(scope.deadline, trio.current_time() + more)
 
-        yield put_off
+        yield postpone
--- a/fireflyfork/adapters/_http_server.py
+++ b/fireflyfork/adapters/_http_server.py
@@ -12,7 +12,7 @@
 import trio
 
 from ._http import (
-    LONGEST_HEAD_BYTES,
+    MAX_HEAD_BYTES,
     RECEIVE_BYTES,
     Header,
     HttpError,
@@ -117,19 +117,19 @@
         self._stream = stream
         self._handler = handler
         self._limits = limits
-        self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=LONGEST_HEAD_BYTES)
+        self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._closing = False
-        self._announced = False
+        self._close_announced = False
         self._finishing = False
         self._idle_scope: trio.CancelScope | None = None
-        self._received: deque[HttpEvent] = deque()
+        self._buffered_events: deque[HttpEvent] = deque()
         """Events of the request body that arrived together with the head."""
 
     async def run(self) -> None:
         """Serve requests until either side ends the connection."""
         try:
             # A response without "connection: close" promises that the next request will be read.
-            while await self._serve_one() and not self._announced:
+            while await self._serve_one() and not self._close_announced:
                 self._http.start_next_cycle()
         except (HttpError, h11.ProtocolError):
             abort(self._stream)
@@ -158,7 +158,7 @@
         # closed. A client that isn't told would send its next request on it and never get an answer.
         overtakes = self._http.their_state is h11.SEND_BODY
         if (self._closing or overtakes) and isinstance(event, h11.Response):
-            self._announced = True
+            self._close_announced = True
             headers = [*event.headers, (b"connection", b"close")]
             event = h11.Response(status_code=event.status_code, headers=headers)
         try:
@@ -179,8 +179,8 @@
         if self._http.they_are_waiting_for_100_continue:
             await self.send(h11.InformationalResponse(status_code=100, headers=[]))
         while True:
-            if self._received:
-                event = self._received.popleft()
+            if self._buffered_events:
+                event = self._buffered_events.popleft()
             else:
                 event = await self._next_event(self._limits.head)
             if isinstance(event, h11.Data):
@@ -194,27 +194,27 @@
         try:
             event = await self._first_event()
             if isinstance(event, h11.Request):
-                self._take_received()
+                self._buffer_received_body()
         except h11.RemoteProtocolError as error:
             await self._refuse(error.error_status_hint, str(error))
             return False
         if not isinstance(event, h11.Request):
             return False
-        if _head_bytes(event) > LONGEST_HEAD_BYTES:
+        if _head_bytes(event) > MAX_HEAD_BYTES:
             await self._refuse(_HEAD_TOO_LARGE, "the head of the request is too large")
             return False
         exchange = Exchange(self, self._head(event))
         await self._handler.handle(exchange)
         return await self._finish_cycle()
 
-    def _take_received(self) -> None:
+    def _buffer_received_body(self) -> None:
         """Buffer the part of the body that has arrived with the head, which usually is the whole body."""
-        self._received.clear()
+        self._buffered_events.clear()
         while self._http.their_state is h11.SEND_BODY:
             event = self._http.next_event()
             if event is h11.NEED_DATA:
                 return
-            self._received.append(event)
+            self._buffered_events.append(event)
 
     async def _finish_cycle(self) -> bool:
         # If a request was answered before its body was read, the connection must be closed: the next
--- a/fireflyfork/adapters/_loop_profile.py
+++ b/fireflyfork/adapters/_loop_profile.py
@@ -13,7 +13,7 @@
 
 import trio
 
-LOOP_ITSELF = "event loop"
+EVENT_LOOP = "event loop"
 """The activity for the event loop's own work, such as choosing the next task to run."""
 _WAITING = "waiting"
 """The activity for waiting on I/O. It isn't reported: with a wall clock, it is the time in which the loop is idle."""
@@ -29,67 +29,67 @@
     def __init__(self, clock: Callable[[], float] = time.thread_time) -> None:
         """``clock`` returns the processor time of the event loop's thread in seconds."""
         self._clock = clock
-        self._spent: defaultdict[str, float] = defaultdict(float)
+        self._seconds_by_name: defaultdict[str, float] = defaultdict(float)
         """Seconds by qualified name: shortening the name at each step would cost as much as the step."""
-        self._activity = LOOP_ITSELF
+        self._activity = EVENT_LOOP
         self._charged_at = clock()
-        self._looking = False
+        self._recording = False
 
     @property
-    def spent(self) -> Mapping[str, float]:
+    def seconds_by_activity(self) -> Mapping[str, float]:
         """The seconds spent so far, by activity, in all recorded periods."""
         spent: defaultdict[str, float] = defaultdict(float)
-        for name, seconds in self._spent.items():
+        for name, seconds in self._seconds_by_name.items():
             if name != _WAITING:
                 spent[_short_name(name)] += seconds
         return spent
 
     @contextmanager
-    def looking(self) -> Iterator[None]:
+    def recording(self) -> Iterator[None]:
         """Record the processor time that the event loop uses during the block."""
         self._charged_at = self._clock()
-        self._activity = LOOP_ITSELF
-        self._looking = True
+        self._activity = EVENT_LOOP
+        self._recording = True
         trio.lowlevel.add_instrument(self)
         try:
             yield
         finally:
             trio.lowlevel.remove_instrument(self)
-            self._enter(LOOP_ITSELF)
-            self._looking = False
+            self._switch_to(EVENT_LOOP)
+            self._recording = False
 
     @contextmanager
     def section(self, activity: str) -> Iterator[None]:
         """Charge the time of the block to ``activity``. The block must not await anything."""
-        if not self._looking:
+        if not self._recording:
             yield
             return
         outer = self._activity
-        self._enter(activity)
+        self._switch_to(activity)
         try:
             yield
         finally:
-            self._enter(outer)
+            self._switch_to(outer)
 
     def before_task_step(self, task: trio.lowlevel.Task) -> None:
         """Charge time to the task from now on. Called by trio."""
-        self._enter(task.name)
+        self._switch_to(task.name)
 
     def after_task_step(self, _task: trio.lowlevel.Task) -> None:
         """Charge time to the event loop from now on. Called by trio."""
-        self._enter(LOOP_ITSELF)
+        self._switch_to(EVENT_LOOP)
 
     def before_io_wait(self, _timeout: float) -> None:
         """Charge time to waiting from now on. Called by trio."""
-        self._enter(_WAITING)
+        self._switch_to(_WAITING)
 
     def after_io_wait(self, _timeout: float) -> None:
         """Charge time to the event loop from now on. Called by trio."""
-        self._enter(LOOP_ITSELF)
+        self._switch_to(EVENT_LOOP)
 
-    def _enter(self, activity: str) -> None:
+    def _switch_to(self, activity: str) -> None:
         now = self._clock()
-        self._spent[self._activity] += now - self._charged_at
+        self._seconds_by_name[self._activity] += now - self._charged_at
         self._charged_at = now
         self._activity = activity
 
--- a/fireflyfork/adapters/_loop_time.py
+++ b/fireflyfork/adapters/_loop_time.py
@@ -19,12 +19,12 @@
 LAG_DECAY = 0.993
 """The factor by which the reported lag decays with each tick. A lag stays visible for about five seconds, long
 enough for readers that poll it at this interval."""
-MOST_OF_A_TICK = 1.5
+MAX_TICK_ADVANCE = 1.5
 """The maximum that loop time advances between two ticks, in units of ``TICK_SECONDS``, however much time has
 passed."""
 
 
-class Alarm:
+class Timer:
     """A callback that is due at a loop time, unless it is cancelled or postponed before."""
 
     def __init__(self, due: float, action: Callable[[], object]) -> None:
@@ -47,13 +47,13 @@
         """Prevent the timer from firing."""
         self._action = None
 
-    def put_off(self, due: float) -> None:
+    def postpone(self, due: float) -> None:
         """Postpone the timer to ``due``; an earlier time than the current one has no effect."""
         if due > self._due:
             self._due = due
             self._overdue = False
 
-    def is_settled(self) -> bool:
+    def was_already_due(self) -> bool:
         """Whether the timer was already due at the previous call.
 
         Between two calls the event loop has completed a pass and delivered all data that had arrived.
@@ -61,7 +61,7 @@
         was_overdue, self._overdue = self._overdue, True
         return was_overdue
 
-    def go_off(self) -> None:
+    def fire(self) -> None:
         """Run the action, if it hasn't run yet and the timer isn't cancelled."""
         action, self._action = self._action, None
         if action is not None:
@@ -75,7 +75,7 @@
         """Start at 0; the time advances only while timers are pending."""
         self._now = 0.0
         self._lag = 0.0
-        self._alarms: list[tuple[float, int, Alarm]] = []
+        self._timers: list[tuple[float, int, Timer]] = []
         self._numbers = count()
         self._ticking = False
 
@@ -84,18 +84,18 @@
         """The maximum delay of recent ticks in seconds, which decays over time."""
         return self._lag
 
-    def after(self, seconds: float, action: Callable[[], object]) -> Alarm:
+    def call_after(self, seconds: float, action: Callable[[], object]) -> Timer:
         """Call ``action`` from the event loop after ``seconds`` of loop time."""
-        alarm = Alarm(self._now + seconds, action)
-        self._push(alarm)
+        timer = Timer(self._now + seconds, action)
+        self._push(timer)
         if not self._ticking:
             self._ticking = True
             trio.lowlevel.spawn_system_task(self._tick)
-        return alarm
+        return timer
 
-    def put_off(self, alarm: Alarm, seconds: float) -> None:
+    def postpone(self, timer: Timer, seconds: float) -> None:
         """Postpone a timer to at least ``seconds`` from now."""
-        alarm.put_off(self._now + seconds)
+        timer.postpone(self._now + seconds)
 
     @contextmanager
     def fail_after(self, seconds: float) -> Iterator[Callable[[float], None]]:
@@ -104,38 +104,38 @@
         Yields a function that postpones the timeout to at least the given number of seconds from its call.
         """
         with trio.CancelScope() as scope:
-            alarm = self.after(seconds, scope.cancel)
+            timer = self.call_after(seconds, scope.cancel)
             try:
-                yield partial(self.put_off, alarm)
+                yield partial(self.postpone, timer)
             finally:
-                alarm.cancel()
+                timer.cancel()
         if scope.cancelled_caught:
             raise trio.TooSlowError
 
-    def _push(self, alarm: Alarm) -> None:
-        heapq.heappush(self._alarms, (alarm.due, next(self._numbers), alarm))
+    def _push(self, timer: Timer) -> None:
+        heapq.heappush(self._timers, (timer.due, next(self._numbers), timer))
 
     async def _tick(self) -> None:
         try:
-            while self._alarms:
+            while self._timers:
                 begun = trio.current_time()
                 await trio.sleep(TICK_SECONDS)
                 elapsed = trio.current_time() - begun
                 self._lag = max(elapsed - TICK_SECONDS, LAG_DECAY * self._lag, 0.0)
-                self._now += min(elapsed, MOST_OF_A_TICK * TICK_SECONDS)
-                self._settle()
+                self._now += min(elapsed, MAX_TICK_ADVANCE * TICK_SECONDS)
+                self._fire_due_timers()
         finally:
             self._ticking = False
 
-    def _settle(self) -> None:
+    def _fire_due_timers(self) -> None:
         waiting = []
-        while self._alarms and self._alarms[0][0] <= self._now:
-            alarm = heapq.heappop(self._alarms)[-1]
-            if not alarm.pending:
+        while self._timers and self._timers[0][0] <= self._now:
+            timer = heapq.heappop(self._timers)[-1]
+            if not timer.pending:
                 continue
-            if alarm.due <= self._now and alarm.is_settled():
-                alarm.go_off()
+            if timer.due <= self._now and timer.was_already_due():
+                timer.fire()
             else:
-                waiting.append(alarm)
-        for alarm in waiting:
-            self._push(alarm)
+                waiting.append(timer)
+        for timer in waiting:
+            self._push(timer)
--- a/fireflyfork/adapters/_message_stream.py
+++ b/fireflyfork/adapters/_message_stream.py
@@ -16,7 +16,7 @@
 
 from .._errors import PeerError
 
-LONGEST_FRAME_BYTES = 8 << 20
+MAX_FRAME_BYTES = 8 << 20
 _LENGTH = struct.Struct(">I")
 _RECEIVE_BYTES = 65_536
 _ENCODER = msgspec.msgpack.Encoder()
@@ -43,7 +43,7 @@
         self._buffer += data
         while len(self._buffer) >= _LENGTH.size:
             (length,) = _LENGTH.unpack_from(self._buffer)
-            if length > LONGEST_FRAME_BYTES:
+            if length > MAX_FRAME_BYTES:
                 raise PeerError(f"a frame of {length} bytes is too long")
             end = _LENGTH.size + length
             if len(self._buffer) < end:
@@ -83,8 +83,8 @@
         self._stream = stream
         self._traffic = traffic if traffic is not None else StreamTraffic()
         self._decoder = FrameDecoder(decoder)
-        self._waiting: list[_Message] = []
-        self._some_wait = trio.Event()
+        self._queued: list[_Message] = []
+        self._queue_filled = trio.Event()
         self._closed = False
 
     @property
@@ -94,17 +94,17 @@
 
     def send(self, message: _Message) -> None:
         """Queue a message, to be sent by ``run`` or ``flush``."""
-        self._waiting.append(message)
-        self._some_wait.set()
+        self._queued.append(message)
+        self._queue_filled.set()
 
     def withdraw(self, message: _Message) -> None:
         """Remove a message from the queue if it hasn't been sent yet."""
-        self._waiting = [one for one in self._waiting if one is not message]
+        self._queued = [queued for queued in self._queued if queued is not message]
 
     async def run(self) -> None:
         """Send queued messages until cancelled. Raises PeerError if the connection breaks."""
         while True:
-            await self._some_wait.wait()
+            await self._queue_filled.wait()
             await self.flush()
 
     async def flush(self) -> None:
@@ -112,8 +112,8 @@
 
         A side that sends only in a request-response pattern uses this instead of ``run``.
         """
-        messages, self._waiting = self._waiting, []
-        self._some_wait = trio.Event()
+        messages, self._queued = self._queued, []
+        self._queue_filled = trio.Event()
         if not messages:
             return
         frame = encode_frame(messages)
--- a/fireflyfork/adapters/_peer_connection.py
+++ b/fireflyfork/adapters/_peer_connection.py
@@ -34,7 +34,7 @@
 """The maximum size of one part of a body, which bounds how long it delays the messages of other calls."""
 HEARTBEAT_SECONDS = 1.0
 """The interval of pings, which only the initiator of a stream sends."""
-SILENCE_SECONDS = 2.5
+SILENCE_TIMEOUT_SECONDS = 2.5
 """The time without received data after which a stream is closed."""
 RECEIVE_BYTES = 65536
 
@@ -91,7 +91,7 @@
         self._window_grew.set()
         self._window_grew = trio.Event()
 
-    def lose(self) -> None:
+    def abort(self) -> None:
         """Wake up the reader and the writer with an error: the call was given up or the stream has ended."""
         self._closed = True
         self._sender.close()
@@ -127,7 +127,7 @@
         while True:
             event = await self.receive()
             if isinstance(event, Refusal):
-                raise refused(event)
+                raise refusal_error(event)
             if not isinstance(event, Chunk):
                 raise PeerError(f"{type(event).__name__} inside a body")
             if event.data:
@@ -169,9 +169,9 @@
         """The scope of the handler, cancelled when the initiator cancels the call or the stream ends."""
         return self._scope
 
-    def lose(self) -> None:
+    def abort(self) -> None:
         """Also cancel the handler, since nobody waits for the answer any more."""
-        super().lose()
+        super().abort()
         self._scope.cancel()
 
     def start(self, status: int, headers: tuple[Header, ...], figures: ServiceFigures) -> None:
@@ -204,8 +204,8 @@
         self._next_number = 1
         self._outgoing: list[bytes] = []
         self._outgoing_added = trio.Event()
-        self._lost = False
-        self._heard = trio.current_time()
+        self._closed = False
+        self._last_received_at = trio.current_time()
         self._sent_bytes = 0
 
     @property
@@ -214,9 +214,9 @@
         return self._member
 
     @property
-    def lost(self) -> bool:
+    def closed(self) -> bool:
         """Whether the stream has ended."""
-        return self._lost
+        return self._closed
 
     @property
     def sent_bytes(self) -> int:
@@ -235,18 +235,18 @@
         """Remove a call; messages that still arrive for it are ignored."""
         call = self._calls.pop(number, None)
         if call is not None:
-            call.lose()
+            call.abort()
 
     def send(self, message: Message) -> None:
         """Queue a message. Raises PeerError if the stream has ended."""
-        if self._lost:
+        if self._closed:
             raise PeerError(f"the stream to {self._member} was lost")
         self._outgoing.append(encode_message(message))
         self._outgoing_added.set()
 
     def send_if_open(self, message: Message) -> None:
         """Queue a message, or drop it if the stream has ended."""
-        if not self._lost:
+        if not self._closed:
             self.send(message)
 
     async def run(self) -> None:
@@ -262,23 +262,23 @@
 
     def close(self) -> None:
         """Close the stream and end all its calls."""
-        self._lost = True
+        self._closed = True
         self._stream.socket.close()
         calls, self._calls = self._calls, {}
         for call in calls.values():
-            call.lose()
+            call.abort()
 
     async def _read(self, nursery: trio.Nursery) -> None:
         decoder = MessageDecoder()
         try:
             while data := await self._stream.receive_some(RECEIVE_BYTES):
-                self._heard = trio.current_time()
+                self._last_received_at = trio.current_time()
                 for message in decoder.feed(data):
-                    self._take(message, nursery)
+                    self._handle_message(message, nursery)
         except (PeerError, trio.BrokenResourceError, trio.ClosedResourceError):
             return
 
-    def _take(self, message: PeerMessage, nursery: trio.Nursery) -> None:
+    def _handle_message(self, message: PeerMessage, nursery: trio.Nursery) -> None:
         match message:
             case Forward():
                 self._accept_call(message, nursery)
@@ -332,7 +332,7 @@
         # all packets without a reset. Requests on the stream would wait until their deadlines. Because of
         # the heartbeat, a silent stream is known to be dead; it is closed and a new one replaces it.
         nonce = 0
-        while trio.current_time() - self._heard < SILENCE_SECONDS:
+        while trio.current_time() - self._last_received_at < SILENCE_TIMEOUT_SECONDS:
             if self._initiator:
                 nonce += 1
                 self.send_if_open(Ping(nonce))
@@ -340,6 +340,6 @@
         scope.cancel()
 
 
-def refused(refusal: Refusal) -> RequestError:
+def refusal_error(refusal: Refusal) -> RequestError:
     """Return the error that a refusal carries."""
     return RequestError(refusal.status, refusal.reason, refusal.verdict, refusal.retry_after)
--- a/fireflyfork/adapters/_peer_handshake.py
+++ b/fireflyfork/adapters/_peer_handshake.py
@@ -27,7 +27,7 @@
 
 
 async def connect_peer(
-    stream: trio.SocketStream, own: MemberId, peer: MemberId, key: bytes, handler: PeerHandler
+    stream: trio.SocketStream, own_id: MemberId, peer: MemberId, key: bytes, handler: PeerHandler
 ) -> PeerConnection:
     """Authenticate both sides of a connected stream to ``peer``, as the initiator. Raises PeerError."""
     messages = _HandshakeMessages(stream)
@@ -35,29 +35,29 @@
     if not isinstance(challenge, Challenge) or challenge.member != peer:
         raise PeerError(f"the process there is not {peer}")
     nonce = secrets.token_bytes(_NONCE_BYTES)
-    digest = _digest(key, b"hello", challenge.nonce, own, peer)
-    await messages.send(Hello(own, digest, nonce))
+    digest = _digest(key, b"hello", challenge.nonce, own_id, peer)
+    await messages.send(Hello(own_id, digest, nonce))
     welcome = await messages.receive()
-    expected = _digest(key, b"welcome", nonce, peer, own)
+    expected = _digest(key, b"welcome", nonce, peer, own_id)
     if not isinstance(welcome, Welcome) or not hmac.compare_digest(welcome.digest, expected):
         raise PeerError(f"{peer} does not know the peer key")
     return PeerConnection(stream, peer, handler, initiator=True)
 
 
 async def accept_peer(
-    stream: trio.SocketStream, own: MemberId, key: bytes, handler: PeerHandler
+    stream: trio.SocketStream, own_id: MemberId, key: bytes, handler: PeerHandler
 ) -> PeerConnection:
     """Authenticate both sides of an accepted stream. Raises PeerError."""
     messages = _HandshakeMessages(stream)
     nonce = secrets.token_bytes(_NONCE_BYTES)
-    await messages.send(Challenge(own, nonce))
+    await messages.send(Challenge(own_id, nonce))
     hello = await messages.receive()
     if not isinstance(hello, Hello):
         raise PeerError("no hello")
-    expected = _digest(key, b"hello", nonce, hello.member, own)
+    expected = _digest(key, b"hello", nonce, hello.member, own_id)
     if not hmac.compare_digest(hello.digest, expected):
         raise PeerError(f"{hello.member!r} does not know the peer key")
-    await messages.send(Welcome(_digest(key, b"welcome", hello.nonce, own, hello.member)))
+    await messages.send(Welcome(_digest(key, b"welcome", hello.nonce, own_id, hello.member)))
     return PeerConnection(stream, MemberId(hello.member), handler, initiator=False)
 
 
--- a/fireflyfork/adapters/_peer_messages.py
+++ b/fireflyfork/adapters/_peer_messages.py
@@ -12,7 +12,7 @@
 from .._errors import PeerError
 from .._verdict import Verdict
 
-LONGEST_MESSAGE_BYTES = 1 << 20
+MAX_MESSAGE_BYTES = 1 << 20
 
 
 class Role(Enum):
@@ -168,7 +168,7 @@
     def __init__(self) -> None:
         """Start with an empty buffer, which is limited to twice the maximum size of a message."""
         self._unpacker = msgpack.Unpacker(
-            max_buffer_size=2 * LONGEST_MESSAGE_BYTES, max_bin_len=LONGEST_MESSAGE_BYTES
+            max_buffer_size=2 * MAX_MESSAGE_BYTES, max_bin_len=MAX_MESSAGE_BYTES
         )
 
     def feed(self, data: bytes) -> Iterator[PeerMessage]:
--- a/fireflyfork/adapters/_peers.py
+++ b/fireflyfork/adapters/_peers.py
@@ -24,13 +24,17 @@
     """The outgoing streams to peers, and the server for incoming ones."""
 
     def __init__(
-        self, own: Callable[[], MemberId], key: bytes, handler: PeerHandler, address_of: AddressOf
+        self,
+        own_id: Callable[[], MemberId],
+        key: bytes,
+        handler: PeerHandler,
+        address_of: AddressOf,
     ) -> None:
         """``own_id`` returns this member's current id, which may change.
 
         ``address_of`` returns the peer address of a member, or None if it is unknown.
         """
-        self._own = own
+        self._own_id = own_id
         self._key = key
         self._handler = handler
         self._address_of = address_of
@@ -55,9 +59,9 @@
         """Return an open stream to ``member``. Raises PeerError, in which case nothing has been sent."""
         while True:
             stream = self._streams.get(member)
-            if stream is not None and not stream.lost:
+            if stream is not None and not stream.closed:
                 return stream
-            self._refuse_in_quarantine(member)
+            self._raise_if_quarantined(member)
             if member in self._opening:
                 await self._opening[member].wait()
                 if member not in self._streams:
@@ -68,7 +72,11 @@
     def keep_open(self, members: tuple[MemberId, ...]) -> None:
         """Open missing streams to these peers in the background, so the first request doesn't wait."""
         for member in members:
-            if self._nursery is not None and member != self._own() and member not in self._streams:
+            if (
+                self._nursery is not None
+                and member != self._own_id()
+                and member not in self._streams
+            ):
                 self._nursery.start_soon(self._try_open, member)
 
     def close_all(self) -> None:
@@ -82,7 +90,7 @@
         except PeerError:
             return
 
-    def _refuse_in_quarantine(self, member: MemberId) -> None:
+    def _raise_if_quarantined(self, member: MemberId) -> None:
         # The kernel of a paused peer still accepts connections, but the handshake never completes. Without
         # the quarantine each request would wait for it instead of failing or going elsewhere immediately.
         if member in self._opening:
@@ -127,14 +135,16 @@
         except (OSError, trio.TooSlowError) as error:
             raise PeerError(f"{member} can't be reached at {address}: {error!r}") from error
         try:
-            return await connect_peer(socket_stream, self._own(), member, self._key, self._handler)
+            return await connect_peer(
+                socket_stream, self._own_id(), member, self._key, self._handler
+            )
         except BaseException:
             socket_stream.socket.close()
             raise
 
     def forget_all_but(self, members: frozenset[MemberId]) -> None:
         """Remove the state of connections to members that have left."""
-        self._paths = {one: path for one, path in self._paths.items() if one in members}
+        self._paths = {member: path for member, path in self._paths.items() if member in members}
 
     async def _carry(self, stream: PeerConnection) -> None:
         try:
@@ -145,7 +155,7 @@
 
     async def _accept(self, socket_stream: trio.SocketStream) -> None:
         try:
-            stream = await accept_peer(socket_stream, self._own(), self._key, self._handler)
+            stream = await accept_peer(socket_stream, self._own_id(), self._key, self._handler)
         except PeerError:
             return
         await stream.run()
--- a/fireflyfork/adapters/_relay_client.py
+++ b/fireflyfork/adapters/_relay_client.py
@@ -16,20 +16,20 @@
 from .._ids import AttemptNumber, ExecutorId, FailureDomainName, FencingToken, NodeName, TaskName
 from .._links import Address
 from ..decisions.jobs import CallOutcome, OrderAnswer, PollAnswer, PollRequest, StartRequest
-from ._executor_calls import LONGEST_CALL_SECONDS, ExecutorCalls, ExecutorPlace
-from ._loop_time import Alarm, LoopTime
+from ._executor_calls import MAX_CALL_SECONDS, ExecutorCalls, ExecutorEndpoint
+from ._loop_time import LoopTime, Timer
 from ._message_stream import StreamTraffic
 from ._relay_messages import (
     RELAY_VERSION,
-    AnyMessage,
+    AnyRelayMessage,
     Call,
+    EndpointFields,
     Forget,
     Goodbye,
     Hello,
     OrderReply,
     PaceCall,
     Ping,
-    Place,
     PollReply,
     Pong,
     Reply,
@@ -43,20 +43,20 @@
 CONNECT_SECONDS = 0.6
 ORDER_SECONDS = 1.0
 """The loop time that an order may take: the timeout that the relay applies to the executor, plus the round trip."""
-WAY_SECONDS = 0.4
+ROUND_TRIP_SECONDS = 0.4
 """The time allowed for a call's way to the relay and the reply's way back, beyond the time of the call itself."""
 PING_SECONDS = 0.4
 SILENT_SECONDS = 1.0
 """The loop time without a message from a relay after which it gets no new calls: it may be frozen, or behind a
 saturated link. Calls sent before may still be executed, and their replies may still arrive."""
-LONGEST_SILENCE_SECONDS = SILENT_SECONDS + LONGEST_CALL_SECONDS + WAY_SECONDS
+MAX_SILENCE_SECONDS = SILENT_SECONDS + MAX_CALL_SECONDS + ROUND_TRIP_SECONDS
 """The loop time without a message after which the stream is closed. By then no call is pending, so closing the
 stream loses no reply."""
 RECONNECT_SECONDS = 3.0
 
 
 @dataclass(frozen=True, slots=True)
-class RelayPlace:
+class RelayEndpoint:
     """The address of an instance that relays calls for other instances."""
 
     node: NodeName
@@ -77,7 +77,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Pending:
+class _PendingCall:
     done: trio.Event = field(default_factory=trio.Event)
     reply: Reply | None = None
 
@@ -85,16 +85,18 @@
 class Relay:
     """A stream to one relay, which is reopened when it ends."""
 
-    def __init__(self, place: RelayPlace, loop_time: LoopTime, traffic: StreamTraffic) -> None:
+    def __init__(
+        self, endpoint: RelayEndpoint, loop_time: LoopTime, traffic: StreamTraffic
+    ) -> None:
         """Start disconnected; ``run`` connects. The bytes of all streams to the relay are added to ``traffic``."""
-        self.place = place
+        self.endpoint = endpoint
         self._traffic = traffic
         self._loop_time = loop_time
         self._stream: RelayStream | None = None
         self._state = _State.CLOSED
-        self._silence: Alarm | None = None
+        self._silence_timer: Timer | None = None
         self._numbers = count()
-        self._pending: dict[int, _Pending] = {}
+        self._pending: dict[int, _PendingCall] = {}
         self._call_ended = trio.Event()
         self._replaced = False
 
@@ -103,7 +105,7 @@
         """Whether new calls may be sent to the relay."""
         return self._state is _State.OPEN and not self._replaced
 
-    def note_replaced(self) -> None:
+    def set_replaced(self) -> None:
         """Send no new calls, because the relay is no longer configured. Pending calls are still awaited."""
         self._replaced = True
 
@@ -116,15 +118,15 @@
         """Connect, and reconnect ``RECONNECT_SECONDS`` after the stream has ended. Runs until cancelled."""
         while True:
             try:
-                await self._live()
+                await self._connect_and_receive()
             except* PeerError as errors:
                 reason = str(errors.exceptions[0])
-                logger.info("relay lost", relay=self.place.node, reason=reason)
+                logger.info("relay lost", relay=self.endpoint.node, reason=reason)
             finally:
-                self._end()
+                self._disconnect()
             await trio.sleep(RECONNECT_SECONDS)
 
-    async def call(self, make: Callable[[int], Call], seconds: float) -> Reply | None:
+    async def call(self, make_call: Callable[[int], Call], seconds: float) -> Reply | None:
         """Make a call and return the reply, or None if no reply arrives within ``seconds`` of loop time.
 
         Without a reply, the call may or may not have been executed.
@@ -132,9 +134,9 @@
         if self._stream is None:
             return None
         stream, number = self._stream, next(self._numbers)
-        call = make(number)
-        pending = self._pending[number] = _Pending()
-        alarm = self._loop_time.after(seconds, pending.done.set)
+        call = make_call(number)
+        pending = self._pending[number] = _PendingCall()
+        timer = self._loop_time.call_after(seconds, pending.done.set)
         try:
             stream.send(call)
             await pending.done.wait()
@@ -142,23 +144,23 @@
             # A message that is still queued behind a saturated link would arrive after the call that
             # replaces it.
             stream.withdraw(call)
-            alarm.cancel()
+            timer.cancel()
             del self._pending[number]
             self._call_ended.set()
             self._call_ended = trio.Event()
         return pending.reply
 
-    def rank(self, executor: ExecutorId) -> int:
+    def hash_weight(self, executor: ExecutorId) -> int:
         """Return the weight of this relay for an executor (rendezvous hashing): the highest one is chosen."""
-        return xxhash.xxh32_intdigest(f"{self.place.node} {executor}".encode())
+        return xxhash.xxh32_intdigest(f"{self.endpoint.node} {executor}".encode())
 
     def forget(self, executor: ExecutorId) -> None:
         """See ExecutorCalls."""
         if self._stream is not None:
             self._stream.send(Forget(executor))
 
-    async def _live(self) -> None:
-        address = self.place.address
+    async def _connect_and_receive(self) -> None:
+        address = self.endpoint.address
         try:
             with trio.fail_after(CONNECT_SECONDS):
                 socket_stream = await trio.open_tcp_stream(address.host, address.port)
@@ -169,35 +171,35 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._stream.run)
             nursery.start_soon(self._ping, self._stream)
-            await self._listen(self._stream)
+            await self._receive_messages(self._stream)
 
-    async def _listen(self, stream: RelayStream) -> NoReturn:
+    async def _receive_messages(self, stream: RelayStream) -> NoReturn:
         """Handle the messages of the relay until the stream ends, then raise PeerError."""
         try:
-            with self._loop_time.fail_after(LONGEST_SILENCE_SECONDS) as put_off:
+            with self._loop_time.fail_after(MAX_SILENCE_SECONDS) as postpone:
                 async for message in stream.messages():
-                    put_off(LONGEST_SILENCE_SECONDS)
-                    self._note_word()
-                    self._take(message)
+                    postpone(MAX_SILENCE_SECONDS)
+                    self._note_message()
+                    self._handle_message(message)
         except trio.TooSlowError as error:
-            raise PeerError(f"no message for {LONGEST_SILENCE_SECONDS} s") from error
+            raise PeerError(f"no message for {MAX_SILENCE_SECONDS} s") from error
         raise PeerError("the relay closed the stream")
 
-    def _note_word(self) -> None:
-        if self._silence is not None and self._silence.pending:
-            self._loop_time.put_off(self._silence, SILENT_SECONDS)
+    def _note_message(self) -> None:
+        if self._silence_timer is not None and self._silence_timer.pending:
+            self._loop_time.postpone(self._silence_timer, SILENT_SECONDS)
         else:
-            self._silence = self._loop_time.after(SILENT_SECONDS, self._note_silence)
+            self._silence_timer = self._loop_time.call_after(SILENT_SECONDS, self._note_silence)
         if self._state is _State.SILENT:
             self._state = _State.OPEN
-            logger.info("relay heard again", relay=self.place.node, pending=len(self._pending))
+            logger.info("relay heard again", relay=self.endpoint.node, pending=len(self._pending))
 
     def _note_silence(self) -> None:
         if self._state is _State.OPEN:
             self._state = _State.SILENT
-            logger.info("relay silent", relay=self.place.node, pending=len(self._pending))
+            logger.info("relay silent", relay=self.endpoint.node, pending=len(self._pending))
 
-    def _take(self, message: AnyMessage) -> None:
+    def _handle_message(self, message: AnyRelayMessage) -> None:
         match message:
             case OrderReply() | PollReply():
                 pending = self._pending.get(message.number)
@@ -221,10 +223,10 @@
             await trio.sleep(PING_SECONDS)
             stream.send(Ping())
 
-    def _end(self) -> None:
+    def _disconnect(self) -> None:
         self._state = _State.CLOSED
-        if self._silence is not None:
-            self._silence.cancel()
+        if self._silence_timer is not None:
+            self._silence_timer.cancel()
         if self._stream is not None:
             self._stream.close()
             self._stream = None
@@ -245,77 +247,91 @@
         self._direct = direct
         self._traffic = traffic if traffic is not None else RelayTraffic()
         self._loop_time = loop_time
-        self._relays: dict[RelayPlace, Relay] = {}
-        self._scopes: dict[RelayPlace, trio.CancelScope] = {}
+        self._relays: dict[RelayEndpoint, Relay] = {}
+        self._scopes: dict[RelayEndpoint, trio.CancelScope] = {}
         self._by_domain: dict[FailureDomainName, list[Relay]] = {}
-        self._wanted: tuple[RelayPlace, ...] = ()
+        self._configured: tuple[RelayEndpoint, ...] = ()
         self._changed = trio.Event()
 
-    def use(self, places: Iterable[RelayPlace]) -> None:
+    def set_relays(self, endpoints: Iterable[RelayEndpoint]) -> None:
         """Use exactly the given relays from now on."""
-        self._wanted = tuple(places)
+        self._configured = tuple(endpoints)
         self._changed.set()
 
     async def run(self) -> None:
         """Maintain the streams to the relays until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
-                self._follow(nursery)
+                self._update_relays(nursery)
                 await self._changed.wait()
                 self._changed = trio.Event()
 
     async def start(
-        self, place: ExecutorPlace, token: FencingToken, order: StartRequest
+        self, endpoint: ExecutorEndpoint, token: FencingToken, order: StartRequest
     ) -> OrderAnswer:
         """See ExecutorCalls."""
-        relay = self._relay_for(place)
+        relay = self._relay_for(endpoint)
         if relay is None:
-            return await self._direct.start(place, token, order)
-        return await _order(relay, lambda number: start_call(number, place, token, order))
+            return await self._direct.start(endpoint, token, order)
+        return await _send_order(relay, lambda number: start_call(number, endpoint, token, order))
 
     async def stop(
-        self, place: ExecutorPlace, token: FencingToken, task: TaskName, attempt: AttemptNumber
+        self,
+        endpoint: ExecutorEndpoint,
+        token: FencingToken,
+        task: TaskName,
+        attempt: AttemptNumber,
     ) -> OrderAnswer:
         """See ExecutorCalls."""
-        relay = self._relay_for(place)
+        relay = self._relay_for(endpoint)
         if relay is None:
-            return await self._direct.stop(place, token, task, attempt)
-        return await _order(
-            relay, lambda number: StopCall(number, Place.of(place), token, task, attempt)
+            return await self._direct.stop(endpoint, token, task, attempt)
+        return await _send_order(
+            relay,
+            lambda number: StopCall(number, EndpointFields.of(endpoint), token, task, attempt),
         )
 
     async def pace(
         self,
-        place: ExecutorPlace,
+        endpoint: ExecutorEndpoint,
         token: FencingToken,
         task: TaskName,
         attempt: AttemptNumber,
         percent: int,
     ) -> OrderAnswer:
         """See ExecutorCalls."""
-        relay = self._relay_for(place)
+        relay = self._relay_for(endpoint)
         if relay is None:
-            return await self._direct.pace(place, token, task, attempt, percent)
-        return await _order(
-            relay, lambda number: PaceCall(number, Place.of(place), token, task, attempt, percent)
+            return await self._direct.pace(endpoint, token, task, attempt, percent)
+        return await _send_order(
+            relay,
+            lambda number: PaceCall(
+                number, EndpointFields.of(endpoint), token, task, attempt, percent
+            ),
         )
 
     async def poll(
-        self, place: ExecutorPlace, token: FencingToken, request: PollRequest, fresh: bool = False
+        self,
+        endpoint: ExecutorEndpoint,
+        token: FencingToken,
+        request: PollRequest,
+        fresh: bool = False,
     ) -> PollAnswer:
         """See ExecutorCalls. A ``fresh`` poll is sent directly, to detect whether only the usual path is broken."""
-        relay = None if fresh else self._relay_for(place)
+        relay = None if fresh else self._relay_for(endpoint)
         if relay is None:
-            return await self._direct.poll(place, token, request, fresh)
-        seconds = request.wait_seconds + request.patience_seconds + WAY_SECONDS
-        reply = await relay.call(lambda number: poll_call(number, place, token, request), seconds)
+            return await self._direct.poll(endpoint, token, request, fresh)
+        seconds = request.wait_seconds + request.patience_seconds + ROUND_TRIP_SECONDS
+        reply = await relay.call(
+            lambda number: poll_call(number, endpoint, token, request), seconds
+        )
         if not isinstance(reply, PollReply):
-            why = f"nothing from relay {relay.place.node}"
+            why = f"nothing from relay {relay.endpoint.node}"
             return PollAnswer(CallOutcome.UNKNOWN, why=why)
         try:
             return reply.answer()
         except ValueError as error:
-            logger.warning("cannot decode relay reply", relay=relay.place.node, error=str(error))
+            logger.warning("cannot decode relay reply", relay=relay.endpoint.node, error=str(error))
             return PollAnswer(CallOutcome.UNKNOWN, why="relay's answer not readable")
 
     def forget(self, executor: ExecutorId) -> None:
@@ -324,37 +340,37 @@
         for relay in self._relays.values():
             relay.forget(executor)
 
-    def _relay_for(self, place: ExecutorPlace) -> Relay | None:
+    def _relay_for(self, endpoint: ExecutorEndpoint) -> Relay | None:
         """Return the relay for an executor, or None to call it directly.
 
         The choice is stable while that relay is usable, so the relay's connection to the executor is reused.
         """
-        usable = [one for one in self._near(place) if one.usable]
+        usable = [relay for relay in self._relays_near(endpoint) if relay.usable]
         if not usable:
             return None
-        return max(usable, key=lambda one: one.rank(place.executor))
-
-    def _near(self, place: ExecutorPlace) -> list[Relay]:
-        return self._by_domain.get(place.failure_domain, []) if place.failure_domain else []
-
-    def _follow(self, nursery: trio.Nursery) -> None:
-        for place in self._relays.keys() - set(self._wanted):
-            nursery.start_soon(self._retire, self._relays.pop(place), self._scopes.pop(place))
-        for place in self._wanted:
-            if place not in self._relays:
-                traffic = self._traffic.of(place.failure_domain)
-                self._relays[place] = Relay(place, self._loop_time, traffic)
-                self._scopes[place] = trio.CancelScope()
-                nursery.start_soon(self._hold, self._relays[place], self._scopes[place])
+        return max(usable, key=lambda relay: relay.hash_weight(endpoint.executor))
+
+    def _relays_near(self, endpoint: ExecutorEndpoint) -> list[Relay]:
+        return self._by_domain.get(endpoint.failure_domain, []) if endpoint.failure_domain else []
+
+    def _update_relays(self, nursery: trio.Nursery) -> None:
+        for endpoint in self._relays.keys() - set(self._configured):
+            nursery.start_soon(self._retire, self._relays.pop(endpoint), self._scopes.pop(endpoint))
+        for endpoint in self._configured:
+            if endpoint not in self._relays:
+                traffic = self._traffic.of(endpoint.failure_domain)
+                self._relays[endpoint] = Relay(endpoint, self._loop_time, traffic)
+                self._scopes[endpoint] = trio.CancelScope()
+                nursery.start_soon(self._hold, self._relays[endpoint], self._scopes[endpoint])
         self._by_domain = {}
-        for place, relay in self._relays.items():
-            self._by_domain.setdefault(place.failure_domain, []).append(relay)
+        for endpoint, relay in self._relays.items():
+            self._by_domain.setdefault(endpoint.failure_domain, []).append(relay)
 
     @staticmethod
     async def _retire(relay: Relay, scope: trio.CancelScope) -> None:
         """Close the stream to a relay once no call is pending, or after the time that any call may take."""
-        relay.note_replaced()
-        with trio.move_on_after(LONGEST_SILENCE_SECONDS):
+        relay.set_replaced()
+        with trio.move_on_after(MAX_SILENCE_SECONDS):
             await relay.wait_idle()
         scope.cancel()
 
@@ -364,12 +380,12 @@
             await relay.run()
 
 
-async def _order(relay: Relay, make: Callable[[int], Call]) -> OrderAnswer:
-    reply = await relay.call(make, ORDER_SECONDS)
+async def _send_order(relay: Relay, make_call: Callable[[int], Call]) -> OrderAnswer:
+    reply = await relay.call(make_call, ORDER_SECONDS)
     if not isinstance(reply, OrderReply):
         return OrderAnswer(CallOutcome.UNKNOWN, None)
     try:
         return reply.answer()
     except ValueError as error:
-        logger.warning("cannot decode relay reply", relay=relay.place.node, error=str(error))
+        logger.warning("cannot decode relay reply", relay=relay.endpoint.node, error=str(error))
         return OrderAnswer(CallOutcome.UNKNOWN, None)
--- a/fireflyfork/adapters/_relay_messages.py
+++ b/fireflyfork/adapters/_relay_messages.py
@@ -21,7 +21,7 @@
     RunningRow,
     StartRequest,
 )
-from ._executor_calls import ExecutorPlace
+from ._executor_calls import ExecutorEndpoint
 
 RELAY_VERSION = 1
 """The version of the protocol. Instances with different versions don't use each other as relays."""
@@ -31,7 +31,7 @@
     """Base class of all messages between an owner and a relay."""
 
 
-class Place(msgspec.Struct, frozen=True, array_like=True):
+class EndpointFields(msgspec.Struct, frozen=True, array_like=True):
     """The executor process that a call is addressed to; see ExecutorEndpoint."""
 
     executor: str
@@ -40,14 +40,16 @@
     incarnation: int
 
     @classmethod
-    def of(cls, place: ExecutorPlace) -> Place:
+    def of(cls, endpoint: ExecutorEndpoint) -> EndpointFields:
         """Encode the address of an executor process, without its failure domain."""
-        return cls(place.executor, place.address.host, place.address.port, place.incarnation)
+        return cls(
+            endpoint.executor, endpoint.address.host, endpoint.address.port, endpoint.incarnation
+        )
 
-    def place(self) -> ExecutorPlace:
+    def endpoint(self) -> ExecutorEndpoint:
         """Decode the address of the executor process."""
         address = Address(self.host, self.port)
-        return ExecutorPlace(ExecutorId(self.executor), address, self.incarnation)
+        return ExecutorEndpoint(ExecutorId(self.executor), address, self.incarnation)
 
 
 class Hello(RelayMessage, frozen=True, tag=0):
@@ -61,7 +63,7 @@
 
     number: int
     """The number that identifies the call in its reply."""
-    place: Place
+    place: EndpointFields
     token: int
     task: str
     attempt: int
@@ -75,7 +77,7 @@
     """See ExecutorCalls.stop."""
 
     number: int
-    place: Place
+    place: EndpointFields
     token: int
     task: str
     attempt: int
@@ -85,7 +87,7 @@
     """See ExecutorCalls.pace."""
 
     number: int
-    place: Place
+    place: EndpointFields
     token: int
     task: str
     attempt: int
@@ -96,7 +98,7 @@
     """See ExecutorCalls.poll."""
 
     number: int
-    place: Place
+    place: EndpointFields
     token: int
     forget_ends_to: int
     lease_until_ms: int | None
@@ -192,16 +194,18 @@
 
 Call = StartCall | StopCall | PaceCall | PollCall
 Reply = OrderReply | PollReply
-AnyMessage = Hello | Call | Forget | Reply | Ping | Pong | Goodbye
+AnyRelayMessage = Hello | Call | Forget | Reply | Ping | Pong | Goodbye
 
-DECODER = msgspec.msgpack.Decoder(list[AnyMessage])
+DECODER = msgspec.msgpack.Decoder(list[AnyRelayMessage])
 
 
-def start_call(number: int, place: ExecutorPlace, token: int, order: StartRequest) -> StartCall:
+def start_call(
+    number: int, endpoint: ExecutorEndpoint, token: int, order: StartRequest
+) -> StartCall:
     """Encode an order to start a run."""
     return StartCall(
         number,
-        Place.of(place),
+        EndpointFields.of(endpoint),
         token,
         order.task,
         order.attempt,
@@ -212,11 +216,13 @@
     )
 
 
-def poll_call(number: int, place: ExecutorPlace, token: int, request: PollRequest) -> PollCall:
+def poll_call(
+    number: int, endpoint: ExecutorEndpoint, token: int, request: PollRequest
+) -> PollCall:
     """Encode a poll."""
     return PollCall(
         number,
-        Place.of(place),
+        EndpointFields.of(endpoint),
         token,
         request.forget_ends_to,
         request.lease_until_ms,
--- a/fireflyfork/adapters/_relay_server.py
+++ b/fireflyfork/adapters/_relay_server.py
@@ -13,7 +13,7 @@
 from ._executor_calls import ExecutorCalls
 from ._relay_messages import (
     RELAY_VERSION,
-    AnyMessage,
+    AnyRelayMessage,
     Call,
     Forget,
     Goodbye,
@@ -30,11 +30,11 @@
 )
 from ._relay_stream import RelayStream
 
-CALLS_AT_ONCE = 512
+MAX_CALLS_PER_OWNER = 512
 """The maximum number of concurrent calls for one owner. Above it the relay stops reading from the owner's stream,
 and TCP flow control slows the owner down."""
 TICK_SECONDS = 0.25
-STOOD_STILL_SECONDS = 1.0
+MAX_STALL_SECONDS = 1.0
 """The length of a stall of this process after which its streams are closed. An owner that receives nothing for this
 time uses another relay."""
 
@@ -57,7 +57,7 @@
         """
         self._new_calls = new_calls
         self._clock = clock
-        self._awake_at = float("inf")
+        self._last_tick_at = float("inf")
         self._streams: set[RelayStream] = set()
         self._stopping = False
 
@@ -67,7 +67,7 @@
             nursery.start_soon(self._tick)
             await trio.serve_listeners(self._serve, listeners)
 
-    def say_goodbye(self) -> None:
+    def announce_stop(self) -> None:
         """Tell all owners to use another relay; calls in progress are completed."""
         self._stopping = True
         for stream in self._streams:
@@ -84,9 +84,9 @@
         Messages that arrived during the stall are outdated, and the owners have switched to other relays. An
         old order that changes the pace of a run would undo a newer one that the owner has sent since.
         """
-        stood_still = self._clock() - self._awake_at > STOOD_STILL_SECONDS
-        self._awake_at = self._clock()
-        if stood_still:
+        stalled = self._clock() - self._last_tick_at > MAX_STALL_SECONDS
+        self._last_tick_at = self._clock()
+        if stalled:
             for stream in self._streams:
                 stream.close()
 
@@ -96,7 +96,7 @@
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(stream.run)
-                await self._answer_all(stream, nursery)
+                await self._serve_calls(stream, nursery)
                 nursery.cancel_scope.cancel()
         except* PeerError as errors:
             logger.info("owner's stream ended", reason=str(errors.exceptions[0]))
@@ -104,9 +104,9 @@
             self._streams.discard(stream)
             stream.close()
 
-    async def _answer_all(self, stream: RelayStream, nursery: trio.Nursery) -> None:
+    async def _serve_calls(self, stream: RelayStream, nursery: trio.Nursery) -> None:
         calls = self._new_calls()
-        limit = trio.CapacityLimiter(CALLS_AT_ONCE)
+        limit = trio.CapacityLimiter(MAX_CALLS_PER_OWNER)
         stream.send(Hello(RELAY_VERSION))
         if self._stopping:
             stream.send(Goodbye())
@@ -119,10 +119,12 @@
                 await limit.acquire_on_behalf_of(borrower)
                 nursery.start_soon(self._answer, calls, message, stream, limit, borrower)
             else:
-                self._take(message, calls, stream)
+                self._handle_message(message, calls, stream)
 
     @staticmethod
-    def _take(message: AnyMessage, calls: ExecutorCalls, stream: RelayStream) -> None:
+    def _handle_message(
+        message: AnyRelayMessage, calls: ExecutorCalls, stream: RelayStream
+    ) -> None:
         match message:
             case Hello(version):
                 if version != RELAY_VERSION:
@@ -143,18 +145,18 @@
         borrower: object,
     ) -> None:
         try:
-            stream.send(await _make(calls, call))
+            stream.send(await _make_call(calls, call))
         finally:
             limit.release_on_behalf_of(borrower)
 
 
-async def _make(calls: ExecutorCalls, call: Call) -> Reply:
-    place, token = call.place.place(), FencingToken(call.token)
+async def _make_call(calls: ExecutorCalls, call: Call) -> Reply:
+    endpoint, token = call.place.endpoint(), FencingToken(call.token)
     if isinstance(call, PollCall):
         request = PollRequest(
             call.forget_ends_to, call.lease_until_ms, call.wait_seconds, call.patience_seconds
         )
-        answer = await calls.poll(place, token, request)
+        answer = await calls.poll(endpoint, token, request)
         return PollReply.of(call.number, answer)
     task, attempt = TaskName(call.task), AttemptNumber(call.attempt)
     match call:
@@ -162,9 +164,9 @@
             order = StartRequest(
                 task, attempt, call.payload, call.deadline_ms, call.checkpoint, call.ticket
             )
-            return OrderReply.of(call.number, await calls.start(place, token, order))
+            return OrderReply.of(call.number, await calls.start(endpoint, token, order))
         case StopCall():
-            return OrderReply.of(call.number, await calls.stop(place, token, task, attempt))
+            return OrderReply.of(call.number, await calls.stop(endpoint, token, task, attempt))
         case PaceCall():
-            paced = await calls.pace(place, token, task, attempt, call.percent)
+            paced = await calls.pace(endpoint, token, task, attempt, call.percent)
             return OrderReply.of(call.number, paced)
--- a/fireflyfork/adapters/_replica_client.py
+++ b/fireflyfork/adapters/_replica_client.py
@@ -19,7 +19,7 @@
     Hello,
     Update,
 )
-from ._replicas import ReplicaAnswer, ReplicaPeer, ReplicaPeers, ReplicaPlace, ReplicaQuestion
+from ._replicas import ReplicaAnswer, ReplicaEndpoint, ReplicaPeer, ReplicaPeers, ReplicaQuery
 
 CONNECT_SECONDS = 0.6
 SILENT_SECONDS = 1.4
@@ -36,13 +36,15 @@
         self._loop_time = loop_time
 
     @asynccontextmanager
-    async def connect(self, place: ReplicaPlace) -> AsyncIterator[ReplicaPeer]:
+    async def connect(self, endpoint: ReplicaEndpoint) -> AsyncIterator[ReplicaPeer]:
         """See ReplicaPeers."""
         try:
             with trio.fail_after(CONNECT_SECONDS):
-                socket_stream = await trio.open_tcp_stream(place.address.host, place.address.port)
+                socket_stream = await trio.open_tcp_stream(
+                    endpoint.address.host, endpoint.address.port
+                )
         except (OSError, trio.TooSlowError) as error:
-            raise PeerError(f"can't connect to {place.node}: {error!r}") from error
+            raise PeerError(f"can't connect to {endpoint.node}: {error!r}") from error
         stream = MessageStream(socket_stream, DECODER, UNACKNOWLEDGED_SECONDS)
         try:
             stream.send(Hello(REPLICA_VERSION))
@@ -58,16 +60,16 @@
         self._stream = stream
         self._loop_time = loop_time
 
-    async def ask(self, question: ReplicaQuestion, patience: float = inf) -> ReplicaAnswer:
-        self._stream.send(Ask.of(question))
-        silence = min(SILENT_SECONDS, patience)
+    async def ask(self, query: ReplicaQuery, max_wait: float = inf) -> ReplicaAnswer:
+        self._stream.send(Ask.of(query))
+        silence = min(SILENT_SECONDS, max_wait)
         try:
-            with self._loop_time.fail_after(silence) as put_off:
+            with self._loop_time.fail_after(silence) as postpone:
                 await self._stream.flush()
                 while (received := await self._stream.receive()) is not None:
                     # A chunk without a complete message is the beginning of a large answer and gets the usual
                     # timeout. A complete Hello is not, and leaves the limit for the beginning in force.
-                    put_off(silence if received else SILENT_SECONDS)
+                    postpone(silence if received else SILENT_SECONDS)
                     for message in received:
                         if isinstance(message, Update):
                             return message.answer()
--- a/fireflyfork/adapters/_replica_messages.py
+++ b/fireflyfork/adapters/_replica_messages.py
@@ -10,14 +10,14 @@
 from .._errors import PeerError
 from .._ids import Revision
 from ._coordination import StoredItem
-from ._replicas import ReplicaAnswer, ReplicaQuestion
+from ._replicas import ReplicaAnswer, ReplicaQuery
 
 REPLICA_VERSION = 1
 """The version of the protocol. Instances with different versions don't follow each other."""
-COMPRESSED_FROM_BYTES = 1_024
+MIN_COMPRESSED_BYTES = 1_024
 COMPRESSION_LEVEL = 1
 """A configuration consists mostly of repeated words, so the fastest level achieves most of the possible reduction."""
-LONGEST_VALUE_BYTES = 16 << 20
+MAX_VALUE_BYTES = 16 << 20
 
 
 class ReplicaMessage(msgspec.Struct, frozen=True, array_like=True, tag_field="kind"):
@@ -37,13 +37,13 @@
     mark: float | None
 
     @classmethod
-    def of(cls, question: ReplicaQuestion) -> Ask:
+    def of(cls, query: ReplicaQuery) -> Ask:
         """Encode a query."""
-        return cls(question.after, question.mark)
+        return cls(query.after, query.mark)
 
-    def question(self) -> ReplicaQuestion:
+    def query(self) -> ReplicaQuery:
         """Decode the query."""
-        return ReplicaQuestion(Revision(self.after), self.mark)
+        return ReplicaQuery(Revision(self.after), self.mark)
 
 
 class Item(msgspec.Struct, frozen=True, array_like=True):
@@ -60,7 +60,7 @@
     @classmethod
     def of(cls, item: StoredItem) -> Item:
         """Encode an item."""
-        compressed = len(item.value) >= COMPRESSED_FROM_BYTES
+        compressed = len(item.value) >= MIN_COMPRESSED_BYTES
         content = zlib.compress(item.value, COMPRESSION_LEVEL) if compressed else item.value
         checksum = xxhash.xxh3_64_intdigest(item.value)
         return cls(item.key, item.revision, item.created, checksum, compressed, content)
@@ -75,7 +75,7 @@
     def _decompressed(self) -> bytes:
         decompressor = zlib.decompressobj()
         try:
-            value = decompressor.decompress(self.content, LONGEST_VALUE_BYTES)
+            value = decompressor.decompress(self.content, MAX_VALUE_BYTES)
         except zlib.error as error:
             raise PeerError(f"the value of {self.key} can't be decompressed: {error}") from error
         if not decompressor.eof:
@@ -126,10 +126,10 @@
         )
 
     def _item(self, item: StoredItem) -> Item:
-        known = self._encoded.get(item.key)
-        if known is None or known.revision != item.revision:
-            known = self._encoded[item.key] = Item.of(item)
-        return known
+        cached = self._encoded.get(item.key)
+        if cached is None or cached.revision != item.revision:
+            cached = self._encoded[item.key] = Item.of(item)
+        return cached
 
 
 AnyReplicaMessage = Hello | Ask | Update
--- a/fireflyfork/adapters/_replica_server.py
+++ b/fireflyfork/adapters/_replica_server.py
@@ -45,7 +45,7 @@
                 stream.send(Hello(REPLICA_VERSION))
                 while (received := await self._receive(stream)) is not None:
                     for message in received:
-                        await self._take(message, stream)
+                        await self._handle_message(message, stream)
                 nursery.cancel_scope.cancel()
         except* PeerError as errors:
             logger.debug("follower's stream ended", reason=str(errors.exceptions[0]))
@@ -62,7 +62,7 @@
         except trio.TooSlowError as error:
             raise PeerError(f"no query for {IDLE_SECONDS} s") from error
 
-    async def _take(
+    async def _handle_message(
         self, message: AnyReplicaMessage, stream: MessageStream[AnyReplicaMessage]
     ) -> None:
         match message:
@@ -70,7 +70,7 @@
                 if version != REPLICA_VERSION:
                     raise PeerError(f"the follower uses version {version}, not {REPLICA_VERSION}")
             case Ask():
-                answer = await self._source.answer(message.question())
+                answer = await self._source.answer(message.query())
                 stream.send(self._encoder.update(answer))
             case _:
                 raise PeerError(f"unexpected {type(message).__name__} from a follower")
--- a/fireflyfork/adapters/_replicas.py
+++ b/fireflyfork/adapters/_replicas.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReplicaPlace:
+class ReplicaEndpoint:
     """The address at which an instance serves its replica."""
 
     node: NodeName
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReplicaQuestion:
+class ReplicaQuery:
     """A query for all changes after a revision."""
 
     after: Revision
@@ -53,7 +53,7 @@
     """Answers queries about a replica."""
 
     @abstractmethod
-    async def answer(self, question: ReplicaQuestion) -> ReplicaAnswer:
+    async def answer(self, query: ReplicaQuery) -> ReplicaAnswer:
         """Return the answer to a query.
 
         Waits for an update, but no longer than a waiting follower takes to conclude that this instance is dead.
@@ -64,7 +64,7 @@
     """A connection to another instance's replica."""
 
     @abstractmethod
-    async def ask(self, question: ReplicaQuestion, patience: float = inf) -> ReplicaAnswer:
+    async def ask(self, query: ReplicaQuery, max_wait: float = inf) -> ReplicaAnswer:
         """Send a query and return the answer.
 
         Raises PeerError if no answer arrives, or if none begins to arrive within ``max_wait`` seconds.
@@ -75,5 +75,5 @@
     """Connects to the replicas of other instances."""
 
     @abstractmethod
-    def connect(self, place: ReplicaPlace) -> AbstractAsyncContextManager[ReplicaPeer]:
+    def connect(self, endpoint: ReplicaEndpoint) -> AbstractAsyncContextManager[ReplicaPeer]:
         """Hold a connection to a replica during the block. Raises PeerError if it can't be made."""
--- a/fireflyfork/adapters/tests/builders_executor_calls.py
+++ b/fireflyfork/adapters/tests/builders_executor_calls.py
@@ -4,7 +4,7 @@
 
 from ..._ids import AttemptNumber, ExecutorId, FencingToken, TaskName
 from ...decisions.jobs import CallOutcome, OrderAnswer, PollAnswer, PollRequest, StartRequest
-from .. import ExecutorCalls, ExecutorPlace
+from .. import ExecutorCalls, ExecutorEndpoint
 
 _ACCEPTED = OrderAnswer(CallOutcome.ACCEPTED, 482_113, 1)
 
@@ -13,20 +13,24 @@
     """Simulated executors that accept every call and list no runs."""
 
     async def start(
-        self, place: ExecutorPlace, token: FencingToken, order: StartRequest
+        self, endpoint: ExecutorEndpoint, token: FencingToken, order: StartRequest
     ) -> OrderAnswer:
         """See ExecutorCalls."""
         return _ACCEPTED
 
     async def stop(
-        self, place: ExecutorPlace, token: FencingToken, task: TaskName, attempt: AttemptNumber
+        self,
+        endpoint: ExecutorEndpoint,
+        token: FencingToken,
+        task: TaskName,
+        attempt: AttemptNumber,
     ) -> OrderAnswer:
         """See ExecutorCalls."""
         return _ACCEPTED
 
     async def pace(
         self,
-        place: ExecutorPlace,
+        endpoint: ExecutorEndpoint,
         token: FencingToken,
         task: TaskName,
         attempt: AttemptNumber,
@@ -36,7 +40,11 @@
         return _ACCEPTED
 
     async def poll(
-        self, place: ExecutorPlace, token: FencingToken, request: PollRequest, fresh: bool = False
+        self,
+        endpoint: ExecutorEndpoint,
+        token: FencingToken,
+        request: PollRequest,
+        fresh: bool = False,
     ) -> PollAnswer:
         """See ExecutorCalls."""
         return PollAnswer(CallOutcome.ACCEPTED, 482_113, 1)
--- a/fireflyfork/adapters/tests/builders_http.py
+++ b/fireflyfork/adapters/tests/builders_http.py
@@ -68,18 +68,18 @@
             os.close(end)
 
 
-class Links:
+class SimulatedServer:
     """Connections to a server that answers each request immediately, unless it is silent or refuses connections."""
 
     def __init__(self) -> None:
         """Start with a server that works."""
-        self.tried = 0
+        self.connect_count = 0
         self.silent = False
         self.refused = False
 
     async def open(self, nursery: trio.Nursery, *_: object) -> HttpClientConnection:
         """Connect; replaces HttpClientConnection.open. Raises ConnectError."""
-        self.tried += 1
+        self.connect_count += 1
         if self.refused:
             raise ConnectError("refused")
         here, there = memory_stream_pair()
--- a/fireflyfork/adapters/tests/builders_relays.py
+++ b/fireflyfork/adapters/tests/builders_relays.py
@@ -12,12 +12,12 @@
 from ..._ids import FailureDomainName, NodeName
 from ..._links import Address
 from ...decisions.jobs import PollAnswer
-from .. import RelayPlace
+from .. import RelayEndpoint
 from .._message_stream import FrameDecoder, encode_frame
 from .._relay_messages import (
     DECODER,
     RELAY_VERSION,
-    AnyMessage,
+    AnyRelayMessage,
     Hello,
     Ping,
     PollCall,
@@ -27,7 +27,7 @@
 )
 
 RELAY_DOMAIN = FailureDomainName("suva")
-RELAY_PLACE = RelayPlace(NodeName("n-1"), RELAY_DOMAIN, Address("10.0.0.9", 80))
+RELAY_ENDPOINT = RelayEndpoint(NodeName("n-1"), RELAY_DOMAIN, Address("10.0.0.9", 80))
 
 MemoryStream = trio.StapledStream[MemorySendStream, MemoryReceiveStream]
 
@@ -52,7 +52,7 @@
         """With an ``answer``, the relay responds until ``mute`` is called: immediately to pings, and to polls after
         their wait."""
         self.connected = 0
-        self.heard: list[AnyMessage] = []
+        self.received: list[AnyRelayMessage] = []
         self.link_full = False
         """While True, owners can't send anything after the message that they are currently sending."""
         self._answer = answer
@@ -66,7 +66,7 @@
     @property
     def polls(self) -> list[PollCall]:
         """The polls received so far, in order."""
-        return [message for message in self.heard if isinstance(message, PollCall)]
+        return [message for message in self.received if isinstance(message, PollCall)]
 
     @asynccontextmanager
     async def reachable(self) -> AsyncIterator[None]:
@@ -80,7 +80,7 @@
                 here.setsockopt = lambda *_: None  # type: ignore[attr-defined]
                 self.connected += 1
                 self._stream = there
-                await self.say(Hello(RELAY_VERSION))
+                await self.send(Hello(RELAY_VERSION))
                 nursery.start_soon(self._listen, there, nursery)
                 return here
 
@@ -88,7 +88,7 @@
                 yield
             nursery.cancel_scope.cancel()
 
-    async def say(self, message: RelayMessage) -> None:
+    async def send(self, message: RelayMessage) -> None:
         """Send a message on the newest stream, unless the owner has closed it."""
         assert self._stream is not None
         async with self._one_at_a_time:
@@ -98,7 +98,7 @@
     async def answer_polls(self, answer: PollAnswer) -> None:
         """Send ``answer`` to each poll received so far."""
         for poll in self.polls:
-            await self.say(PollReply.of(poll.number, answer))
+            await self.send(PollReply.of(poll.number, answer))
 
     def _narrow(self, stream: MemorySendStream) -> None:
         deliver = stream.send_all_hook
@@ -115,15 +115,15 @@
         decoder = FrameDecoder(DECODER)
         while data := await stream.receive_some():
             for message in decoder.feed(bytes(data)):
-                self.heard.append(message)
+                self.received.append(message)
                 nursery.start_soon(self._reply, message)
 
-    async def _reply(self, message: AnyMessage) -> None:
+    async def _reply(self, message: AnyRelayMessage) -> None:
         if isinstance(message, PollCall):
             await trio.sleep(message.wait_seconds)
         if self._answer is None:
             return
         if isinstance(message, PollCall):
-            await self.say(PollReply.of(message.number, self._answer))
+            await self.send(PollReply.of(message.number, self._answer))
         elif isinstance(message, Ping):
-            await self.say(Pong())
+            await self.send(Pong())
--- a/fireflyfork/adapters/tests/test_http_client.py
+++ b/fireflyfork/adapters/tests/test_http_client.py
@@ -12,7 +12,7 @@
 from ..._links import Address
 from .. import HttpClient, HttpError
 from .._http_client import HttpClientConnection
-from .builders_http import Links, NoSocket
+from .builders_http import NoSocket, SimulatedServer
 
 TIMEOUT_SECONDS = 0.9
 PARTS = 10
@@ -92,20 +92,20 @@
 
 async def _opened_after_doubt() -> int:
     """Return how often a client connects for two concurrent calls, an unanswered, a refused and a successful one."""
-    links = Links()
+    server = SimulatedServer()
     async with trio.open_nursery() as nursery:
-        with patch.object(HttpClientConnection, "open", partial(links.open, nursery)):
+        with patch.object(HttpClientConnection, "open", partial(server.open, nursery)):
             client = HttpClient(Address("10.0.0.1", 80), TIMEOUT_SECONDS)
             async with trio.open_nursery() as calls:
                 calls.start_soon(client.call, "GET", "/")
                 calls.start_soon(client.call, "GET", "/")
-            links.silent = True
+            server.silent = True
             with suppress(HttpError):
                 await client.call("GET", "/")
-            links.refused = True
+            server.refused = True
             with suppress(HttpError):
                 await client.call("GET", "/")
-            links.silent = links.refused = False
+            server.silent = server.refused = False
             await client.call("GET", "/")
         nursery.cancel_scope.cancel()
-    return links.tried
+    return server.connect_count
--- a/fireflyfork/adapters/tests/test_http_server.py
+++ b/fireflyfork/adapters/tests/test_http_server.py
@@ -7,7 +7,7 @@
 
 from .. import Exchange, HttpHandler, HttpServer, collect
 
-STUCK_SECONDS = 30.0
+TEST_TIMEOUT_SECONDS = 30.0
 """The timeout of a test that hangs."""
 
 
@@ -23,7 +23,7 @@
     async def main() -> None:
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         port = listeners[0].socket.getsockname()[1]
-        with trio.fail_after(STUCK_SECONDS):
+        with trio.fail_after(TEST_TIMEOUT_SECONDS):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(HttpServer(_Handler()).run, listeners)
                 await talk(await trio.open_tcp_stream("127.0.0.1", port))
--- a/fireflyfork/adapters/tests/test_loop_time.py
+++ b/fireflyfork/adapters/tests/test_loop_time.py
@@ -65,10 +65,10 @@
         """Guards against a timeout of a long answer that is still arriving."""
 
         async def main(_: MockClock) -> float:
-            with LoopTime().fail_after(TIMEOUT_SECONDS) as put_off:
+            with LoopTime().fail_after(TIMEOUT_SECONDS) as postpone:
                 for part_seconds in (0.8 * TIMEOUT_SECONDS,) * 10:
                     await trio.sleep(part_seconds)
-                    put_off(TIMEOUT_SECONDS)
+                    postpone(TIMEOUT_SECONDS)
             return trio.current_time()
 
         self.assertGreater(_run(main), 4 * TIMEOUT_SECONDS)
@@ -78,11 +78,11 @@
 
         async def main(clock: MockClock) -> float:
             loop_time = LoopTime()
-            alarm = loop_time.after(TIMEOUT_SECONDS, lambda: None)
+            timer = loop_time.call_after(TIMEOUT_SECONDS, lambda: None)
             await trio.sleep(0.01)
             clock.jump(STALL_SECONDS)
             await trio.sleep(0.01)
-            alarm.cancel()
+            timer.cancel()
             return loop_time.lag
 
         self.assertGreater(_run(main), 0.9 * STALL_SECONDS)
--- a/fireflyfork/adapters/tests/test_peers.py
+++ b/fireflyfork/adapters/tests/test_peers.py
@@ -11,7 +11,7 @@
 from .._peer_connection import WINDOW_BYTES
 from .builders_peers import FIGURES, TWO, PeerPair, Serve, answer_ok, peer_pair
 
-GENEROUS_SECONDS = 30.0
+TEST_TIMEOUT_SECONDS = 30.0
 LARGE_ANSWER = b"x" * (4 * WINDOW_BYTES)
 
 Body = Callable[[PeerPair], Awaitable[None]]
@@ -21,7 +21,7 @@
     """Run ``body`` with two peers, the second of which serves calls with ``serve``."""
 
     async def main() -> None:
-        with trio.fail_after(GENEROUS_SECONDS):
+        with trio.fail_after(TEST_TIMEOUT_SECONDS):
             keys = {} if key_of_two is None else {"key_of_two": key_of_two}
             async with peer_pair(serve, **keys) as pair:
                 await body(pair)
@@ -52,7 +52,7 @@
         """Guards against calls to a restarted peer under its old member id, which no longer owns anything."""
 
         async def body(pair: PeerPair) -> None:
-            pair.two._own = lambda: TWO.__class__("two-restarted")
+            pair.two._own_id = lambda: TWO.__class__("two-restarted")
             with self.assertRaises(PeerError):
                 await pair.one.stream(TWO)
 
@@ -134,7 +134,7 @@
             stream._stream, old = await _connect_to(silent), stream._stream
             with self.assertRaises(PeerError):
                 await call.receive()
-            self.assertTrue(stream.lost)
+            self.assertTrue(stream.closed)
             old.socket.close()
 
         run_pair(body, lambda call: trio.sleep_forever())
--- a/fireflyfork/adapters/tests/test_relay_traffic.py
+++ b/fireflyfork/adapters/tests/test_relay_traffic.py
@@ -7,7 +7,14 @@
 from ..._ids import AttemptNumber, ExecutorId, FailureDomainName, FencingToken, NodeName, TaskName
 from ..._links import Address
 from ...decisions.jobs import StartRequest
-from .. import ExecutorPlace, LoopTime, RelayedExecutors, RelayPlace, RelayServer, RelayTraffic
+from .. import (
+    ExecutorEndpoint,
+    LoopTime,
+    RelayedExecutors,
+    RelayEndpoint,
+    RelayServer,
+    RelayTraffic,
+)
 from .._message_stream import StreamTraffic
 from .._relay_messages import start_call
 from .._relay_stream import RelayStream
@@ -17,12 +24,12 @@
 TOKEN = FencingToken(7)
 PAYLOAD = "x" * 4_000
 ORDER = StartRequest(TaskName("t"), AttemptNumber(1), PAYLOAD, 486_000, "", "")
-STUCK_SECONDS = 30.0
+TEST_TIMEOUT_SECONDS = 30.0
 """The timeout of a test that hangs."""
 
 
-def _place(domain: FailureDomainName) -> ExecutorPlace:
-    return ExecutorPlace(ExecutorId("i-0"), Address("10.0.0.1", 80), 1, domain)
+def _endpoint(domain: FailureDomainName) -> ExecutorEndpoint:
+    return ExecutorEndpoint(ExecutorId("i-0"), Address("10.0.0.1", 80), 1, domain)
 
 
 async def _connected() -> tuple[trio.SocketStream, trio.SocketStream]:
@@ -39,17 +46,19 @@
     async with trio.open_nursery() as nursery:
         owner = RelayedExecutors(AcceptingExecutors(), LoopTime(), traffic)
         nursery.start_soon(owner.run)
-        places = []
+        endpoints = []
         for number, there in enumerate((NEAR, FAR)):
             (listener,) = await trio.open_tcp_listeners(0, host="127.0.0.1")
             nursery.start_soon(RelayServer(AcceptingExecutors).run, [listener])
             port = listener.socket.getsockname()[1]
-            places.append(RelayPlace(NodeName(f"n-{number}"), there, Address("127.0.0.1", port)))
-        owner.use(places)
+            endpoints.append(
+                RelayEndpoint(NodeName(f"n-{number}"), there, Address("127.0.0.1", port))
+            )
+        owner.set_relays(endpoints)
         # A relay is usable after its first message. Before that, calls are made directly.
         while any(traffic.received.get(one, 0) == before.get(one, 0) for one in (NEAR, FAR)):
             await trio.sleep(0.01)
-        await owner.start(_place(domain), TOKEN, ORDER)
+        await owner.start(_endpoint(domain), TOKEN, ORDER)
         nursery.cancel_scope.cancel()
 
 
@@ -61,7 +70,7 @@
         traffic = RelayTraffic()
 
         async def main() -> None:
-            with trio.fail_after(STUCK_SECONDS):
+            with trio.fail_after(TEST_TIMEOUT_SECONDS):
                 await _start_in(FAR, traffic)
 
         trio.run(main)
@@ -74,12 +83,12 @@
 
         async def main() -> None:
             here, there = await _connected()
-            with trio.fail_after(STUCK_SECONDS):
+            with trio.fail_after(TEST_TIMEOUT_SECONDS):
                 async with trio.open_nursery() as nursery:
                     sender = RelayStream(here, here_traffic)
                     receiver = RelayStream(there, there_traffic)
                     nursery.start_soon(sender.run)
-                    sender.send(start_call(1, _place(FAR), TOKEN, ORDER))
+                    sender.send(start_call(1, _endpoint(FAR), TOKEN, ORDER))
                     async for _ in receiver.messages():
                         break
                     nursery.cancel_scope.cancel()
@@ -96,7 +105,7 @@
         traffic = RelayTraffic()
 
         async def main() -> None:
-            with trio.fail_after(STUCK_SECONDS):
+            with trio.fail_after(TEST_TIMEOUT_SECONDS):
                 await _start_in(FAR, traffic)
                 once = traffic.sent[FAR]
                 await _start_in(FAR, traffic)
--- a/fireflyfork/adapters/tests/test_relays.py
+++ b/fireflyfork/adapters/tests/test_relays.py
@@ -24,15 +24,22 @@
     RunningRow,
     StartRequest,
 )
-from .. import ExecutorCalls, ExecutorPlace, LoopTime, RelayedExecutors, RelayPlace, RelayServer
+from .. import (
+    ExecutorCalls,
+    ExecutorEndpoint,
+    LoopTime,
+    RelayedExecutors,
+    RelayEndpoint,
+    RelayServer,
+)
 from .._message_stream import FrameDecoder, encode_frame
 from .._relay_client import ORDER_SECONDS, RECONNECT_SECONDS, SILENT_SECONDS
-from .._relay_messages import DECODER, Hello, PaceCall, Place, PollReply, Pong
-from .._relay_server import STOOD_STILL_SECONDS
-from .builders_relays import RELAY_PLACE, MutedRelay
+from .._relay_messages import DECODER, EndpointFields, Hello, PaceCall, PollReply, Pong
+from .._relay_server import MAX_STALL_SECONDS
+from .builders_relays import RELAY_ENDPOINT, MutedRelay
 
 DOMAIN = FailureDomainName("suva")
-EXECUTOR = ExecutorPlace(ExecutorId("i-0"), Address("10.0.0.1", 80), 1, DOMAIN)
+EXECUTOR = ExecutorEndpoint(ExecutorId("i-0"), Address("10.0.0.1", 80), 1, DOMAIN)
 TOKEN = FencingToken(7)
 ORDER = StartRequest(TaskName("t"), AttemptNumber(2), "work", 486_000, "saved", "ticket")
 POLL = PollRequest(57, 486_000, 1.0, 5.0)
@@ -44,11 +51,11 @@
     (EndedRow(58, TaskName("u"), AttemptNumber(1), EndReason.DONE, ""),),
     ends_may_be_cut=True,
 )
-STUCK_SECONDS = 30.0
+TEST_TIMEOUT_SECONDS = 30.0
 """The timeout of a test that hangs."""
 
 
-class Recorder(ExecutorCalls):
+class RecordingExecutors(ExecutorCalls):
     """Simulated executors that record all calls, and accept orders after ``delay`` seconds."""
 
     def __init__(self, delay: float = 0.0) -> None:
@@ -57,33 +64,41 @@
         self.delay = delay
 
     async def start(
-        self, place: ExecutorPlace, token: FencingToken, order: StartRequest
+        self, endpoint: ExecutorEndpoint, token: FencingToken, order: StartRequest
     ) -> OrderAnswer:
         """Record the call and answer it."""
-        return await self._order("start", place.executor, token, order)
+        return await self._order("start", endpoint.executor, token, order)
 
     async def stop(
-        self, place: ExecutorPlace, token: FencingToken, task: TaskName, attempt: AttemptNumber
+        self,
+        endpoint: ExecutorEndpoint,
+        token: FencingToken,
+        task: TaskName,
+        attempt: AttemptNumber,
     ) -> OrderAnswer:
         """Record the call and answer it."""
-        return await self._order("stop", place.executor, token, task, attempt)
+        return await self._order("stop", endpoint.executor, token, task, attempt)
 
     async def pace(
         self,
-        place: ExecutorPlace,
+        endpoint: ExecutorEndpoint,
         token: FencingToken,
         task: TaskName,
         attempt: AttemptNumber,
         percent: int,
     ) -> OrderAnswer:
         """Record the call and answer it."""
-        return await self._order("pace", place.executor, token, task, attempt, percent)
+        return await self._order("pace", endpoint.executor, token, task, attempt, percent)
 
     async def poll(
-        self, place: ExecutorPlace, token: FencingToken, request: PollRequest, fresh: bool = False
+        self,
+        endpoint: ExecutorEndpoint,
+        token: FencingToken,
+        request: PollRequest,
+        fresh: bool = False,
     ) -> PollAnswer:
         """Record the call and answer it."""
-        self.called.append(("poll", place.executor, token, request, fresh))
+        self.called.append(("poll", endpoint.executor, token, request, fresh))
         return LISTED
 
     def forget(self, executor: ExecutorId) -> None:
@@ -123,24 +138,24 @@
 
     def __init__(self, delay: float = 0.0) -> None:
         """Create owner and relay without running them; the relay's executors answer after ``delay`` seconds."""
-        self.direct, self.relayed = Recorder(), Recorder(delay)
+        self.direct, self.relayed = RecordingExecutors(), RecordingExecutors(delay)
         self.server = RelayServer(lambda: self.relayed)
         self.owner = RelayedExecutors(self.direct, LoopTime())
         self.relay_life = trio.CancelScope()
 
     async def run(self, play: Callable[["RelayWorld"], Awaitable[None]]) -> None:
         """Run owner and relay, wait until the owner uses the relay, and call ``play``."""
-        with trio.fail_after(STUCK_SECONDS):
+        with trio.fail_after(TEST_TIMEOUT_SECONDS):
             async with trio.open_nursery() as nursery:
                 port = await listening(nursery, self._serve)
                 nursery.start_soon(self.owner.run)
-                place = RelayPlace(NodeName("n-1"), DOMAIN, Address("127.0.0.1", port))
-                self.owner.use([place])
-                await self.until(True)
+                endpoint = RelayEndpoint(NodeName("n-1"), DOMAIN, Address("127.0.0.1", port))
+                self.owner.set_relays([endpoint])
+                await self.wait_until(True)
                 await play(self)
                 nursery.cancel_scope.cancel()
 
-    async def until(self, relayed: bool) -> None:
+    async def wait_until(self, relayed: bool) -> None:
         """Wait until calls go through the relay, or directly if ``relayed`` is False."""
         while (self.owner._relay_for(EXECUTOR) is not None) is not relayed:
             await trio.sleep(0.01)
@@ -203,7 +218,7 @@
         """Guards against calling an executor through a relay in another failure domain."""
 
         async def play(world: RelayWorld) -> None:
-            elsewhere = ExecutorPlace(
+            elsewhere = ExecutorEndpoint(
                 ExecutorId("i-1"), EXECUTOR.address, 1, FailureDomainName("nadi")
             )
             await world.owner.start(elsewhere, TOKEN, ORDER)
@@ -218,7 +233,7 @@
             async with world.start_under_way() as answers:
                 world.relay_life.cancel()
             self.assertEqual(answers, [OrderAnswer(CallOutcome.UNKNOWN, None)])
-            await world.until(False)
+            await world.wait_until(False)
             await world.owner.start(EXECUTOR, TOKEN, ORDER)
             self.assertEqual(len(world.direct.called), 1)
 
@@ -229,9 +244,9 @@
 
         async def play(world: RelayWorld) -> None:
             async with world.start_under_way() as answers:
-                world.server.say_goodbye()
-                await world.until(False)
-            self.assertEqual([one.outcome for one in answers], [CallOutcome.ACCEPTED])
+                world.server.announce_stop()
+                await world.wait_until(False)
+            self.assertEqual([answer.outcome for answer in answers], [CallOutcome.ACCEPTED])
 
         trio.run(RelayWorld(delay=0.2 * ORDER_SECONDS).run, play)
 
@@ -243,12 +258,14 @@
             await trio.sleep_forever()
 
         async def main() -> None:
-            owner = RelayedExecutors(Recorder(), LoopTime())
-            with trio.fail_after(STUCK_SECONDS):
+            owner = RelayedExecutors(RecordingExecutors(), LoopTime())
+            with trio.fail_after(TEST_TIMEOUT_SECONDS):
                 async with trio.open_nursery() as nursery:
                     port = await listening(nursery, partial(trio.serve_listeners, freeze))
                     nursery.start_soon(owner.run)
-                    owner.use([RelayPlace(NodeName("n-1"), DOMAIN, Address("127.0.0.1", port))])
+                    owner.set_relays(
+                        [RelayEndpoint(NodeName("n-1"), DOMAIN, Address("127.0.0.1", port))]
+                    )
                     while owner._relay_for(EXECUTOR) is None:
                         await trio.sleep(0.01)
                     while owner._relay_for(EXECUTOR) is not None:
@@ -264,17 +281,17 @@
         another relay.
         """
         clock = StoppedClock()
-        relayed = Recorder()
+        relayed = RecordingExecutors()
 
         async def main() -> None:
             server = RelayServer(lambda: relayed, clock)
-            with trio.fail_after(STUCK_SECONDS):
+            with trio.fail_after(TEST_TIMEOUT_SECONDS):
                 async with trio.open_nursery() as nursery:
                     port = await listening(nursery, server.run)
                     stream = await trio.open_tcp_stream("127.0.0.1", port)
                     await stream.receive_some(1000)
-                    clock.seconds += 2 * STOOD_STILL_SECONDS
-                    pace = PaceCall(0, Place.of(EXECUTOR), TOKEN, "t", 2, 100)
+                    clock.seconds += 2 * MAX_STALL_SECONDS
+                    pace = PaceCall(0, EndpointFields.of(EXECUTOR), TOKEN, "t", 2, 100)
                     await stream.send_all(encode_frame([pace]))
                     with suppress(trio.BrokenResourceError):
                         while await stream.receive_some(1000):
@@ -288,8 +305,8 @@
         """Guards against instances of different versions that misinterpret each other's messages."""
 
         async def main() -> bytes:
-            server = RelayServer(Recorder)
-            with trio.fail_after(STUCK_SECONDS):
+            server = RelayServer(RecordingExecutors)
+            with trio.fail_after(TEST_TIMEOUT_SECONDS):
                 async with trio.open_nursery() as nursery:
                     port = await listening(nursery, server.run)
                     stream = await trio.open_tcp_stream("127.0.0.1", port)
@@ -309,7 +326,9 @@
     def test_an_answer_that_comes_after_a_silence_is_taken(self) -> None:
         """Guards against ends that are lost with the reply to a poll: completed tasks would run again."""
 
-        async def play(owner: RelayedExecutors, relay: MutedRelay, direct: Recorder) -> None:
+        async def play(
+            owner: RelayedExecutors, relay: MutedRelay, direct: RecordingExecutors
+        ) -> None:
             answers: list[PollAnswer] = []
 
             async def poll() -> None:
@@ -327,11 +346,13 @@
     def test_a_silent_relay_gets_nothing_new_until_it_is_heard_again(self) -> None:
         """Guards against orders that are queued behind a saturated link, and a relay that is never used again."""
 
-        async def play(owner: RelayedExecutors, relay: MutedRelay, direct: Recorder) -> None:
+        async def play(
+            owner: RelayedExecutors, relay: MutedRelay, direct: RecordingExecutors
+        ) -> None:
             await trio.sleep(2 * SILENT_SECONDS)
             await owner.poll(EXECUTOR, TOKEN, POLL)
             self.assertEqual((len(direct.called), relay.polls), (1, []))
-            await relay.say(Pong())
+            await relay.send(Pong())
             with trio.move_on_after(SILENT_SECONDS / 2):
                 while owner._relay_for(EXECUTOR) is None:
                     await trio.sleep(0.01)
@@ -344,7 +365,9 @@
     def test_a_relay_that_is_replaced_still_brings_the_answers_it_owes(self) -> None:
         """Guards against ends that are lost with the replies to polls when another relay is configured."""
 
-        async def play(owner: RelayedExecutors, relay: MutedRelay, direct: Recorder) -> None:
+        async def play(
+            owner: RelayedExecutors, relay: MutedRelay, direct: RecordingExecutors
+        ) -> None:
             answers: list[PollAnswer] = []
 
             async def poll() -> None:
@@ -353,7 +376,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(poll)
                 await trio.sleep(POLL.wait_seconds / 2)
-                owner.use([])
+                owner.set_relays([])
                 await trio.sleep(POLL.wait_seconds / 2)
                 await owner.poll(EXECUTOR, TOKEN, POLL)
                 await relay.answer_polls(LISTED)
@@ -365,7 +388,9 @@
     def test_a_relay_that_stays_silent_is_connected_anew(self) -> None:
         """Guards against a relay that is never used again because its stream was lost without being closed."""
 
-        async def play(owner: RelayedExecutors, relay: MutedRelay, direct: Recorder) -> None:
+        async def play(
+            owner: RelayedExecutors, relay: MutedRelay, direct: RecordingExecutors
+        ) -> None:
             longest_call = POLL.wait_seconds + POLL.patience_seconds
             await trio.sleep(2 * longest_call + RECONNECT_SECONDS)
             self.assertGreaterEqual(relay.connected, 2)
@@ -375,7 +400,9 @@
     def test_a_call_that_was_given_up_is_not_sent_afterwards(self) -> None:
         """Guards against a pace order that is queued behind a saturated link and undoes a newer one."""
 
-        async def play(owner: RelayedExecutors, relay: MutedRelay, direct: Recorder) -> None:
+        async def play(
+            owner: RelayedExecutors, relay: MutedRelay, direct: RecordingExecutors
+        ) -> None:
             relay.link_full = True
             async with trio.open_nursery() as nursery:
                 for percent in (30, 40):
@@ -385,23 +412,23 @@
                     await trio.sleep(0.1)
             relay.link_full = False
             await trio.sleep(SILENT_SECONDS)
-            paces = [one.percent for one in relay.heard if isinstance(one, PaceCall)]
+            paces = [message.percent for message in relay.received if isinstance(message, PaceCall)]
             self.assertEqual(paces, [30])
 
         _play_muted(play)
 
 
 def _play_muted(
-    play: Callable[[RelayedExecutors, MutedRelay, Recorder], Awaitable[None]],
+    play: Callable[[RelayedExecutors, MutedRelay, RecordingExecutors], Awaitable[None]],
 ) -> None:
     """Call ``play`` with an owner that has just begun to use a mute relay, on a virtual clock."""
 
     async def main() -> None:
-        relay, direct = MutedRelay(), Recorder()
+        relay, direct = MutedRelay(), RecordingExecutors()
         owner = RelayedExecutors(direct, LoopTime())
         async with relay.reachable(), trio.open_nursery() as nursery:
             nursery.start_soon(owner.run)
-            owner.use([RELAY_PLACE])
+            owner.set_relays([RELAY_ENDPOINT])
             while owner._relay_for(EXECUTOR) is None:
                 await trio.sleep(0.01)
             await play(owner, relay, direct)
@@ -416,10 +443,12 @@
     def test_a_relay_that_says_nothing_is_named(self) -> None:
         """Guards against failed polls whose log line doesn't show which relay was used."""
 
-        async def play(owner: RelayedExecutors, relay: MutedRelay, direct: Recorder) -> None:
+        async def play(
+            owner: RelayedExecutors, relay: MutedRelay, direct: RecordingExecutors
+        ) -> None:
             answer = await owner.poll(EXECUTOR, TOKEN, POLL)
             self.assertIs(answer.outcome, CallOutcome.UNKNOWN)
-            self.assertIn(RELAY_PLACE.node, answer.why)
+            self.assertIn(RELAY_ENDPOINT.node, answer.why)
 
         _play_muted(play)
 
--- a/fireflyfork/adapters/tests/test_replicas.py
+++ b/fireflyfork/adapters/tests/test_replicas.py
@@ -15,9 +15,9 @@
 from .. import (
     LoopTime,
     ReplicaAnswer,
+    ReplicaEndpoint,
     ReplicaPeer,
-    ReplicaPlace,
-    ReplicaQuestion,
+    ReplicaQuery,
     ReplicaServer,
     ReplicaSource,
     SocketReplicaPeers,
@@ -31,7 +31,7 @@
 LARGE = msgspec.json.encode(
     [{"prefix": f"/q{number * 7919 % 100_003}/", "timeout_ms": 3000} for number in range(8_000)]
 )
-STUCK_SECONDS = 30.0
+TEST_TIMEOUT_SECONDS = 30.0
 """The timeout of a test that hangs."""
 
 
@@ -39,16 +39,16 @@
     return StoredItem("op/config", value, Revision(7), Revision(3))
 
 
-class Made(ReplicaSource):
+class RecordingReplica(ReplicaSource):
     """A replica that records queries and answers each with one item after ``delay`` seconds."""
 
     def __init__(self, value: bytes = b"", delay: float = 0.0) -> None:
         """Start without recorded queries."""
-        self.asked: list[ReplicaQuestion] = []
+        self.asked: list[ReplicaQuery] = []
         self._value = value
         self._delay = delay
 
-    async def answer(self, question: ReplicaQuestion) -> ReplicaAnswer:
+    async def answer(self, question: ReplicaQuery) -> ReplicaAnswer:
         """Record the query and answer it."""
         self.asked.append(question)
         await trio.sleep(self._delay)
@@ -60,27 +60,27 @@
 @asynccontextmanager
 async def _listening(
     serve: Callable[[trio.SocketStream], Awaitable[None]],
-) -> AsyncIterator[ReplicaPlace]:
+) -> AsyncIterator[ReplicaEndpoint]:
     async with trio.open_nursery() as nursery:
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         nursery.start_soon(partial(trio.serve_listeners, serve, listeners))
         port = listeners[0].socket.getsockname()[1]
-        yield ReplicaPlace(NodeName("n-1"), Address("127.0.0.1", port))
+        yield ReplicaEndpoint(NodeName("n-1"), Address("127.0.0.1", port))
         nursery.cancel_scope.cancel()
 
 
 @asynccontextmanager
 async def _followed(source: ReplicaSource) -> AsyncIterator[ReplicaPeer]:
     async with (
-        _listening(ReplicaServer(source)._serve) as place,
-        SocketReplicaPeers(LoopTime()).connect(place) as peer,
+        _listening(ReplicaServer(source)._serve) as endpoint,
+        SocketReplicaPeers(LoopTime()).connect(endpoint) as peer,
     ):
         yield peer
 
 
 def _play(body: Callable[[], Awaitable[None]]) -> None:
     async def main() -> None:
-        with trio.fail_after(STUCK_SECONDS):
+        with trio.fail_after(TEST_TIMEOUT_SECONDS):
             await body()
 
     trio.run(main)
@@ -91,8 +91,8 @@
 
     def test_a_large_value_arrives_as_it_is_in_the_store(self) -> None:
         async def body() -> None:
-            async with _followed(Made(LARGE)) as peer:
-                answer = await peer.ask(ReplicaQuestion(Revision(0)))
+            async with _followed(RecordingReplica(LARGE)) as peer:
+                answer = await peer.ask(ReplicaQuery(Revision(0)))
             self.assertEqual(answer.changed, (_item(LARGE),))
             self.assertEqual((answer.as_of, answer.age_seconds, answer.mark), (9, 0.5, 4.0))
 
@@ -108,13 +108,13 @@
 
     def test_what_is_known_is_not_sent_again(self) -> None:
         async def body() -> None:
-            source = Made(LARGE)
+            source = RecordingReplica(LARGE)
             async with _followed(source) as peer:
-                first = await peer.ask(ReplicaQuestion(Revision(0)))
-                second = await peer.ask(ReplicaQuestion(first.as_of, first.mark))
+                first = await peer.ask(ReplicaQuery(Revision(0)))
+                second = await peer.ask(ReplicaQuery(first.as_of, first.mark))
             self.assertEqual(second.changed, ())
             self.assertEqual(
-                source.asked, [ReplicaQuestion(Revision(0)), ReplicaQuestion(Revision(9), 4.0)]
+                source.asked, [ReplicaQuery(Revision(0)), ReplicaQuery(Revision(9), 4.0)]
             )
 
         _play(body)
@@ -125,10 +125,10 @@
 
     def _fails(self, serve: Callable[[trio.SocketStream], Awaitable[None]], why: str) -> None:
         async def body() -> None:
-            async with _listening(serve) as place:
+            async with _listening(serve) as endpoint:
                 with self.assertRaisesRegex(PeerError, why):
-                    async with SocketReplicaPeers(LoopTime()).connect(place) as peer:
-                        await peer.ask(ReplicaQuestion(Revision(0)))
+                    async with SocketReplicaPeers(LoopTime()).connect(endpoint) as peer:
+                        await peer.ask(ReplicaQuery(Revision(0)))
 
         _play(body)
 
@@ -148,12 +148,12 @@
         """Guards against a second silent upstream that is awaited for as long as the first one."""
 
         async def body() -> None:
-            async with _listening(self._says(Hello(1))) as place:
+            async with _listening(self._says(Hello(1))) as endpoint:
                 with self.assertRaisesRegex(PeerError, "silent"):
-                    async with SocketReplicaPeers(LoopTime()).connect(place) as peer:
-                        await peer.ask(ReplicaQuestion(Revision(0)), 0.1)
+                    async with SocketReplicaPeers(LoopTime()).connect(endpoint) as peer:
+                        await peer.ask(ReplicaQuery(Revision(0)), 0.1)
 
-        with patch.object(client, "SILENT_SECONDS", 2 * STUCK_SECONDS):
+        with patch.object(client, "SILENT_SECONDS", 2 * TEST_TIMEOUT_SECONDS):
             _play(body)
 
     def test_one_that_closes_the_stream(self) -> None:
@@ -182,10 +182,10 @@
 
     def test_nobody_there(self) -> None:
         async def body() -> None:
-            async with _listening(self._says()) as place:
+            async with _listening(self._says()) as endpoint:
                 pass
             with self.assertRaisesRegex(PeerError, "can't connect"):
-                async with SocketReplicaPeers(LoopTime()).connect(place):
+                async with SocketReplicaPeers(LoopTime()).connect(endpoint):
                     pass
 
         _play(body)
@@ -206,10 +206,10 @@
 
         async def body() -> None:
             async with (
-                _listening(serve) as place,
-                SocketReplicaPeers(LoopTime()).connect(place) as peer,
+                _listening(serve) as endpoint,
+                SocketReplicaPeers(LoopTime()).connect(endpoint) as peer,
             ):
-                answer = await peer.ask(ReplicaQuestion(Revision(0)))
+                answer = await peer.ask(ReplicaQuery(Revision(0)))
             self.assertEqual(answer.changed, (_item(LARGE),))
 
         with patch.object(client, "SILENT_SECONDS", 0.6):
@@ -223,8 +223,8 @@
         """Guards against file descriptors that are exhausted by dead connections."""
 
         async def body() -> None:
-            async with _listening(ReplicaServer(Made())._serve) as place:
-                address = place.address
+            async with _listening(ReplicaServer(RecordingReplica())._serve) as endpoint:
+                address = endpoint.address
                 stream = await trio.open_tcp_stream(address.host, address.port)
                 await stream.send_all(encode_frame((Hello(1), Ask(0, None))))
                 while await stream.receive_some():
--- a/fireflyfork/platform/__init__.py
+++ b/fireflyfork/platform/__init__.py
@@ -18,7 +18,7 @@
     settings_path,
 )
 from ._store_client import PlatformStore
-from ._waves import decode_wave, encode_wave_status, is_wave, reports_over, wave_status_key
+from ._waves import decode_wave, encode_wave_status, is_completed_status, is_wave, wave_status_key
 
 __all__ = [
     "CONFIGURATION_KEY",
@@ -38,12 +38,12 @@
     "encode_pending",
     "encode_state",
     "encode_wave_status",
+    "is_completed_status",
     "is_wave",
     "load_node_settings",
     "parse_job_id",
     "parse_node_settings",
     "registered_executor",
-    "reports_over",
     "settings_path",
     "wave_status_key",
 ]
--- a/fireflyfork/platform/_advisor_client.py
+++ b/fireflyfork/platform/_advisor_client.py
@@ -40,9 +40,9 @@
             if answer.status != 200:
                 logger.info("advisor call failed", step=step, status=answer.status)
                 return None
-            found = msgspec.json.decode(answer.body, type=_Answer)
+            advice = msgspec.json.decode(answer.body, type=_Answer)
         except (HttpError, msgspec.DecodeError, msgspec.ValidationError) as error:
             logger.info("advisor call failed", step=step, error=str(error))
             return None
-        tickets = {ExecutorId(name): ticket for name, ticket in found.good}
-        return Advice(tickets, found.valid_ms / 1000)
+        tickets = {ExecutorId(name): ticket for name, ticket in advice.good}
+        return Advice(tickets, advice.valid_ms / 1000)
--- a/fireflyfork/platform/_executor_client.py
+++ b/fireflyfork/platform/_executor_client.py
@@ -12,9 +12,9 @@
 from .._ids import AttemptNumber, ExecutorId, FencingToken, TaskName
 from ..adapters import (
     ANY_INCARNATION,
-    LONGEST_CALL_SECONDS,
+    MAX_CALL_SECONDS,
     ExecutorCalls,
-    ExecutorPlace,
+    ExecutorEndpoint,
     Header,
     HttpError,
     LoopTime,
@@ -35,7 +35,7 @@
 CALL_TIMEOUT_SECONDS = 0.6
 """The timeout in loop time. An answer takes 1 ms, and about 45 ms from another region. The tasks of an executor that
 hangs or is disconnected must move to others before callers notice a delay."""
-LONGEST_LIST_OF_ENDS = 500
+MAX_LISTED_ENDS = 500
 """The maximum number of ended runs in an executor's answer. It lists the oldest ones first, and further ones only
 after these have been acknowledged."""
 
@@ -106,10 +106,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Bound:
+class _BoundClient:
     """A client whose connections all lead to one incarnation of an executor."""
 
-    place: ExecutorPlace
+    endpoint: ExecutorEndpoint
     token: FencingToken
     calls: JsonCalls
 
@@ -125,10 +125,10 @@
     def __init__(self, loop_time: LoopTime) -> None:
         """Start without connections. Timeouts are measured in ``loop_time``."""
         self._loop_time = loop_time
-        self._bound: dict[ExecutorId, _Bound] = {}
+        self._bound: dict[ExecutorId, _BoundClient] = {}
 
     async def start(
-        self, place: ExecutorPlace, token: FencingToken, order: StartRequest
+        self, endpoint: ExecutorEndpoint, token: FencingToken, order: StartRequest
     ) -> OrderAnswer:
         """See ExecutorCalls."""
         body = _Order(
@@ -140,21 +140,21 @@
             checkpoint=order.checkpoint,
             ticket=order.ticket,
         )
-        return await self._order(place, token, START_PATH, body)
+        return await self._order(endpoint, token, START_PATH, body)
 
     async def stop(
         self,
-        place: ExecutorPlace,
+        endpoint: ExecutorEndpoint,
         token: FencingToken,
         task: TaskName,
         attempt: AttemptNumber,
     ) -> OrderAnswer:
         """See ExecutorCalls."""
-        return await self._order(place, token, STOP_PATH, _Order(task, attempt, token))
+        return await self._order(endpoint, token, STOP_PATH, _Order(task, attempt, token))
 
     async def pace(
         self,
-        place: ExecutorPlace,
+        endpoint: ExecutorEndpoint,
         token: FencingToken,
         task: TaskName,
         attempt: AttemptNumber,
@@ -162,10 +162,14 @@
     ) -> OrderAnswer:
         """See ExecutorCalls."""
         order = _Order(task, attempt, token, percent=percent)
-        return await self._order(place, token, PACE_PATH, order)
+        return await self._order(endpoint, token, PACE_PATH, order)
 
     async def poll(
-        self, place: ExecutorPlace, token: FencingToken, request: PollRequest, fresh: bool = False
+        self,
+        endpoint: ExecutorEndpoint,
+        token: FencingToken,
+        request: PollRequest,
+        fresh: bool = False,
     ) -> PollAnswer:
         """See ExecutorCalls."""
         poll = _Poll(
@@ -174,7 +178,7 @@
             request.lease_until_ms,
             int(request.wait_seconds * 1000),
         )
-        calls = self._calls_to(place, token)
+        calls = self._calls_to(endpoint, token)
         # A poll that neither renews the lease nor acknowledges ends has no effect on any incarnation, and
         # its answer shows which one it has reached. It needs no check of the connection before.
         harmless = not request.forget_ends_to and request.lease_until_ms is None
@@ -183,7 +187,7 @@
                 "POST",
                 POLL_PATH,
                 msgspec.json.encode(poll),
-                _headers(place),
+                _headers(endpoint),
                 request.wait_seconds + request.patience_seconds - CALL_TIMEOUT_SECONDS,
                 harmless,
                 fresh,
@@ -193,7 +197,10 @@
         except HttpError as error:
             return PollAnswer(CallOutcome.UNKNOWN, why=str(error))
         listed = _poll_answer(answer)
-        if harmless and (outcome := _greeted(place, listed)) is not CallOutcome.ACCEPTED:
+        if (
+            harmless
+            and (outcome := _verification_outcome(endpoint, listed)) is not CallOutcome.ACCEPTED
+        ):
             calls.close()
             return PollAnswer(outcome, incarnation=listed.incarnation)
         return listed
@@ -205,62 +212,64 @@
             known.calls.close()
 
     async def _order(
-        self, place: ExecutorPlace, token: FencingToken, path: str, order: _Order
+        self, endpoint: ExecutorEndpoint, token: FencingToken, path: str, order: _Order
     ) -> OrderAnswer:
-        calls = self._calls_to(place, token)
+        calls = self._calls_to(endpoint, token)
         try:
-            answer = await calls.call("POST", path, msgspec.json.encode(order), _headers(place))
+            answer = await calls.call("POST", path, msgspec.json.encode(order), _headers(endpoint))
         except _NotGreetedError as error:
             return OrderAnswer(error.outcome, None, error.incarnation)
         except HttpError as error:
-            logger.debug("executor call failed", executor=place.executor, error=str(error))
+            logger.debug("executor call failed", executor=endpoint.executor, error=str(error))
             return OrderAnswer(CallOutcome.UNKNOWN, None)
         decoded = _decoded(answer, _OrderAnswer)
         outcome = _outcome(answer, decoded)
         if decoded is None:
             return OrderAnswer(outcome, None)
-        return OrderAnswer(outcome, decoded.clock_ms, place.incarnation)
+        return OrderAnswer(outcome, decoded.clock_ms, endpoint.incarnation)
 
-    def _calls_to(self, place: ExecutorPlace, token: FencingToken) -> JsonCalls:
-        known = self._bound.get(place.executor)
-        if known is not None and known.place == place and known.token == token:
+    def _calls_to(self, endpoint: ExecutorEndpoint, token: FencingToken) -> JsonCalls:
+        known = self._bound.get(endpoint.executor)
+        if known is not None and known.endpoint == endpoint and known.token == token:
             return known.calls
         if known is not None:
             known.calls.close()
         calls = JsonCalls(
-            place.address,
+            endpoint.address,
             CALL_TIMEOUT_SECONDS,
-            greet=partial(_greet, place, token),
+            verify=partial(_verify_incarnation, endpoint, token),
             loop_time=self._loop_time,
-            unacknowledged=LONGEST_CALL_SECONDS,
-            connects_patiently=True,
+            unacknowledged_seconds=MAX_CALL_SECONDS,
+            connect_within_call=True,
         )
-        self._bound[place.executor] = _Bound(place, token, calls)
+        self._bound[endpoint.executor] = _BoundClient(endpoint, token, calls)
         return calls
 
 
-async def _greet(place: ExecutorPlace, token: FencingToken, connection: BoundCall) -> None:
+async def _verify_incarnation(
+    endpoint: ExecutorEndpoint, token: FencingToken, connection: BoundCall
+) -> None:
     """Poll over a new connection. Raises _NotGreetedError if it doesn't lead to the expected incarnation."""
-    if place.incarnation == ANY_INCARNATION:
+    if endpoint.incarnation == ANY_INCARNATION:
         return
     body = msgspec.json.encode(_Poll(token, last_seen=0))
-    listed = _poll_answer(await connection.call("POST", POLL_PATH, body, _headers(place)))
-    outcome = _greeted(place, listed)
+    listed = _poll_answer(await connection.call("POST", POLL_PATH, body, _headers(endpoint)))
+    outcome = _verification_outcome(endpoint, listed)
     if outcome is not CallOutcome.ACCEPTED:
         raise _NotGreetedError(outcome, listed.incarnation)
 
 
-def _greeted(place: ExecutorPlace, listed: PollAnswer) -> CallOutcome:
+def _verification_outcome(endpoint: ExecutorEndpoint, listed: PollAnswer) -> CallOutcome:
     """Return ACCEPTED if the answer to a poll came from the expected incarnation, or the outcome of the call if not."""
     if listed.outcome is not CallOutcome.ACCEPTED:
         return listed.outcome
-    if place.incarnation in (ANY_INCARNATION, listed.incarnation):
+    if endpoint.incarnation in (ANY_INCARNATION, listed.incarnation):
         return CallOutcome.ACCEPTED
     return CallOutcome.OTHER_INCARNATION
 
 
-def _headers(place: ExecutorPlace) -> tuple[Header, ...]:
-    return ((EXPECTED_INCARNATION_HEADER, place.executor.encode("ascii")),)
+def _headers(endpoint: ExecutorEndpoint) -> tuple[Header, ...]:
+    return ((EXPECTED_INCARNATION_HEADER, endpoint.executor.encode("ascii")),)
 
 
 def _poll_answer(answer: CallAnswer) -> PollAnswer:
@@ -275,7 +284,7 @@
         poll.born,
         tuple(map(_running_row, poll.running)),
         tuple(map(_ended_row, poll.ended)),
-        ends_may_be_cut=len(poll.ended) >= LONGEST_LIST_OF_ENDS,
+        ends_may_be_cut=len(poll.ended) >= MAX_LISTED_ENDS,
     )
 
 
--- a/fireflyfork/platform/_http_calls.py
+++ b/fireflyfork/platform/_http_calls.py
@@ -19,7 +19,7 @@
     body: bytes
 
 
-Greet = Callable[["BoundCall"], Awaitable[None]]
+VerifyConnection = Callable[["BoundCall"], Awaitable[None]]
 """Checks that a new connection leads to the intended process; see HttpClient."""
 
 
@@ -45,26 +45,26 @@
         self,
         address: Address,
         timeout: float,
-        pause: float | None = None,
-        greet: Greet | None = None,
+        read_timeout: float | None = None,
+        verify: VerifyConnection | None = None,
         loop_time: LoopTime | None = None,
-        unacknowledged: float = UNACKNOWLEDGED_SECONDS,
-        connects_patiently: bool = False,
+        unacknowledged_seconds: float = UNACKNOWLEDGED_SECONDS,
+        connect_within_call: bool = False,
     ) -> None:
         """See HttpClient."""
 
-        async def greet_on(exchange: ClientExchange) -> None:
-            if greet is not None:
-                await greet(BoundCall(exchange))
+        async def verify_exchange(exchange: ClientExchange) -> None:
+            if verify is not None:
+                await verify(BoundCall(exchange))
 
         self._client = HttpClient(
             address,
             timeout,
-            pause=pause,
-            greet=greet_on,
+            read_timeout=read_timeout,
+            verify=verify_exchange,
             loop_time=loop_time,
-            unacknowledged=unacknowledged,
-            connects_patiently=connects_patiently,
+            unacknowledged_seconds=unacknowledged_seconds,
+            connect_within_call=connect_within_call,
         )
 
     async def call(
@@ -74,12 +74,12 @@
         body: bytes = b"",
         headers: tuple[Header, ...] = (),
         extra_seconds: float = 0.0,
-        is_greeting: bool = False,
+        is_verification: bool = False,
         fresh: bool = False,
     ) -> CallAnswer:
         """Make one call; see HttpClient. Raises HttpError, after which the call may have taken effect."""
         head, answer = await self._client.call(
-            method, target, (_JSON, *headers), body, extra_seconds, is_greeting, fresh
+            method, target, (_JSON, *headers), body, extra_seconds, is_verification, fresh
         )
         return CallAnswer(head.status, answer)
 
--- a/fireflyfork/platform/_jobs.py
+++ b/fireflyfork/platform/_jobs.py
@@ -12,7 +12,7 @@
 
 _JOB_ID = re.compile(r"[0-9a-f]{16}")
 
-_STATE_WORDS = {
+_STATE_NAMES = {
     JobState.QUEUED: "queued",
     JobState.RUNNING: "running",
     JobState.COMPLETED: "completed",
@@ -78,7 +78,7 @@
 
 def encode_state(state: JobState) -> bytes:
     """Encode the answer with a job's state."""
-    return msgspec.json.encode({"state": _STATE_WORDS[state]})
+    return msgspec.json.encode({"state": _STATE_NAMES[state]})
 
 
 def encode_pending(pending: int) -> bytes:
--- a/fireflyfork/platform/_machines_client.py
+++ b/fireflyfork/platform/_machines_client.py
@@ -70,7 +70,7 @@
 
     async def list(self) -> tuple[MachineListing, ...] | None:
         """See MachineCalls."""
-        found: list[MachineListing] = []
+        machines: list[MachineListing] = []
         token: str | None = None
         while True:
             target = (
@@ -80,10 +80,10 @@
             page = _decoded(answer, _Page) if answer is not None else None
             if page is None:
                 return None
-            found.extend(map(_listing, page.machines))
+            machines.extend(map(_listing, page.machines))
             token = page.next_page_token
             if not token:
-                return tuple(found)
+                return tuple(machines)
 
     async def begin_upkeep(
         self, machine: MachineId, wave: int, holder: NodeName, token: FencingToken
--- a/fireflyfork/platform/_settings.py
+++ b/fireflyfork/platform/_settings.py
@@ -16,7 +16,7 @@
 class PlatformBounds:
     """Time limits that the platform guarantees or requires, in seconds."""
 
-    longest_lease: float
+    max_lease: float
     """The maximum duration of a lease; an executor shortens a longer one to this."""
     stop_timeout: float
     """The time within which a run ends after it was told to stop."""
@@ -24,7 +24,7 @@
     """The time between the stop signal and the kill of the process."""
     status_retention: float
     """The time for which a job's state must remain readable after its end."""
-    configuration: float
+    configuration_delay: float
     """The time within which a configuration change must be in force after it was acknowledged."""
 
 
@@ -105,11 +105,11 @@
         processors=_number(fields, "limits.cpu_share") * _number(fields, "limits.cores"),
         link_mbps=_number(fields, "limits.link_mbps"),
         bounds=PlatformBounds(
-            longest_lease=_number(fields, "bounds.max_hold_ms") / 1000,
+            max_lease=_number(fields, "bounds.max_hold_ms") / 1000,
             stop_timeout=_number(fields, "bounds.stop_timeout_ms") / 1000,
             termination_grace=_number(fields, "bounds.grace_s"),
             status_retention=_number(fields, "bounds.status_s"),
-            configuration=_number(fields, "bounds.config_apply_ms") / 1000,
+            configuration_delay=_number(fields, "bounds.config_apply_ms") / 1000,
         ),
     )
 
--- a/fireflyfork/platform/_store_client.py
+++ b/fireflyfork/platform/_store_client.py
@@ -47,17 +47,17 @@
 """The maximum time until the first byte of an answer. An answer takes 4 ms, and about 50 ms from another region. A
 store that is sixty times slower than usual still answers in time, and a dead connection costs no more than this."""
 
-ANSWER_PAUSE_SECONDS = 3.0
+READ_TIMEOUT_SECONDS = 3.0
 """The maximum time between two parts of an answer. When a large value changes, the answers to all instances of a
 region are sent at once over one link, and the first parts of all answers may arrive before the second part of any.
 Instances that gave up at this point would all have the whole value sent again over the saturated link. A connection
 that dies in the middle of an answer is rare, and costs no more than this."""
 
-PAGE_TRIES = 3
+MAX_PAGE_ATTEMPTS = 3
 """The number of attempts for each page of a listing before the whole listing fails. A slow link takes seconds for a
 few pages, and a listing that starts over would take as long as the one that failed."""
 
-FAILURES_TO_DOUBT = 3
+MAX_CONSECUTIVE_FAILURES = 3
 """The number of consecutive failures after which the store is considered unresponsive. A single lost answer isn't
 significant. After three in a row, callers are better served by another instance immediately than by this one after
 another timeout. The watches continue to call the store, and one answer resets the count."""
@@ -122,16 +122,16 @@
 
     def __init__(self, address: Address) -> None:
         """Configure a client, which connects to ``address`` on the first call."""
-        self._calls = JsonCalls(address, CALL_TIMEOUT_SECONDS, ANSWER_PAUSE_SECONDS)
+        self._calls = JsonCalls(address, CALL_TIMEOUT_SECONDS, READ_TIMEOUT_SECONDS)
         self._failures = 0
-        self._counted: Counter[str] = Counter()
+        self._call_counts: Counter[str] = Counter()
         self._received: Counter[str] = Counter()
         self._sent: Counter[str] = Counter()
 
     @property
     def calls(self) -> Mapping[str, int]:
         """See CoordinationStore."""
-        return MappingProxyType(self._counted)
+        return MappingProxyType(self._call_counts)
 
     @property
     def bytes_received(self) -> Mapping[str, int]:
@@ -144,9 +144,9 @@
         return MappingProxyType(self._sent)
 
     @property
-    def answers(self) -> bool:
+    def is_responsive(self) -> bool:
         """Whether the store has answered at least one of the last calls."""
-        return self._failures < FAILURES_TO_DOUBT
+        return self._failures < MAX_CONSECUTIVE_FAILURES
 
     async def read(self, key: str) -> StoredItem | None:
         """See CoordinationStore."""
@@ -174,7 +174,7 @@
 
     async def _page(self, prefix: str, target: str) -> CallAnswer:
         purpose = _purpose("list", prefix)
-        for _ in range(PAGE_TRIES - 1):
+        for _ in range(MAX_PAGE_ATTEMPTS - 1):
             try:
                 return await self._call(purpose, "GET", target)
             except StoreUnavailableError as error:
@@ -216,11 +216,11 @@
         body = msgspec.json.encode(transaction)
         answer = await self._call(purpose, "POST", TRANSACTION_PATH, body)
         if answer.status == 412:
-            found = _decoded(answer, _Conflict, 412).items
+            conflicts = _decoded(answer, _Conflict, 412).items
             raise TransactionConflictError(
                 {
                     item.key: StoredVersion(Revision(item.revision), _value(item))
-                    for item in found
+                    for item in conflicts
                     if item.revision and not item.deleted
                 }
             )
@@ -257,7 +257,7 @@
         body: bytes = b"",
         extra_seconds: float = 0.0,
     ) -> CallAnswer:
-        self._counted[purpose] += 1
+        self._call_counts[purpose] += 1
         self._sent[purpose] += len(body)
         try:
             answer = await self._calls.call(method, target, body, extra_seconds=extra_seconds)
@@ -282,8 +282,8 @@
 
     The last segment and numeric segments are omitted: they identify one key among many of the same kind.
     """
-    kind = (one for one in key.split("/")[:-1] if not one.isdigit())
-    return f"{verb} {'/'.join(kind)}"
+    segments = (segment for segment in key.split("/")[:-1] if not segment.isdigit())
+    return f"{verb} {'/'.join(segments)}"
 
 
 def _require(answer: CallAnswer, status: int) -> None:
--- a/fireflyfork/platform/_waves.py
+++ b/fireflyfork/platform/_waves.py
@@ -45,12 +45,12 @@
     return f"{WAVE_STATUS_PREFIX}{wave}"
 
 
-def encode_wave_status(over: bool) -> bytes:
+def encode_wave_status(completed: bool) -> bytes:
     """Encode the status of a wave."""
-    return msgspec.json.encode(_Status(_COMPLETED if over else _RUNNING))
+    return msgspec.json.encode(_Status(_COMPLETED if completed else _RUNNING))
 
 
-def reports_over(value: bytes) -> bool:
+def is_completed_status(value: bytes) -> bool:
     """Return whether a stored status says that its wave is completed; False if it can't be read."""
     try:
         return msgspec.json.decode(value, type=_Status).state == _COMPLETED
--- a/fireflyfork/platform/tests/test_end_lists.py
+++ b/fireflyfork/platform/tests/test_end_lists.py
@@ -8,7 +8,7 @@
 
 from ..._ids import ExecutorId, FencingToken
 from ..._links import Address
-from ...adapters import ANY_INCARNATION, ExecutorPlace, LoopTime
+from ...adapters import ANY_INCARNATION, ExecutorEndpoint, LoopTime
 from ...decisions.jobs import PollAnswer, PollRequest
 from .. import PlatformExecutors
 from .._http_calls import CallAnswer, JsonCalls
@@ -22,11 +22,11 @@
     async def answered(*_: object, **__: object) -> CallAnswer:
         return CallAnswer(200, body)
 
-    place = ExecutorPlace(ExecutorId("i-0"), Address("10.0.0.1", 80), ANY_INCARNATION)
+    endpoint = ExecutorEndpoint(ExecutorId("i-0"), Address("10.0.0.1", 80), ANY_INCARNATION)
 
     async def main() -> PollAnswer:
         return await PlatformExecutors(LoopTime()).poll(
-            place, FencingToken(1), PollRequest(0, None, 0.0, 1.0)
+            endpoint, FencingToken(1), PollRequest(0, None, 0.0, 1.0)
         )
 
     with patch.object(JsonCalls, "call", answered):
--- a/fireflyfork/platform/tests/test_formats.py
+++ b/fireflyfork/platform/tests/test_formats.py
@@ -15,10 +15,10 @@
     decode_registration,
     decode_wave,
     encode_wave_status,
+    is_completed_status,
     is_wave,
     parse_job_id,
     parse_node_settings,
-    reports_over,
     wave_status_key,
 )
 
@@ -68,8 +68,8 @@
         self.assertEqual(settings.caller_address, Address("10.1.0.13", 8161))
         self.assertEqual(settings.metrics_address, Address("10.1.0.13", 7720))
         self.assertEqual(settings.regions[FailureDomainName("labasa")], "vanua")
-        self.assertEqual(settings.bounds.longest_lease, 6.0)
-        self.assertEqual(settings.bounds.configuration, 2.5)
+        self.assertEqual(settings.bounds.max_lease, 6.0)
+        self.assertEqual(settings.bounds.configuration_delay, 2.5)
 
     def test_bad_settings_are_named(self) -> None:
         for broken, word in (
@@ -184,9 +184,9 @@
                 self.assertIsNone(decode_wave(_item(value)))
 
     def test_a_report_reads_back(self) -> None:
-        self.assertTrue(reports_over(encode_wave_status(True)))
+        self.assertTrue(is_completed_status(encode_wave_status(True)))
         for value in (encode_wave_status(False), b"?"):
-            self.assertFalse(reports_over(value))
+            self.assertFalse(is_completed_status(value))
 
     def test_keys(self) -> None:
         self.assertEqual(wave_status_key(3), "status/wave/3")
--- a/fireflyfork/platform/tests/test_late_connections.py
+++ b/fireflyfork/platform/tests/test_late_connections.py
@@ -14,7 +14,7 @@
 from ...adapters import (
     ANY_INCARNATION,
     ConnectError,
-    ExecutorPlace,
+    ExecutorEndpoint,
     HttpClientConnection,
     LoopTime,
 )
@@ -22,9 +22,9 @@
 from ...decisions.jobs import CallOutcome, PollRequest
 from .._executor_client import CALL_TIMEOUT_SECONDS, PlatformExecutors
 
-PLACE = ExecutorPlace(ExecutorId("i-0"), Address("10.0.0.1", 80), ANY_INCARNATION)
+PLACE = ExecutorEndpoint(ExecutorId("i-0"), Address("10.0.0.1", 80), ANY_INCARNATION)
 POLL = PollRequest(0, None, 0.0, 5.0)
-WAY_SECONDS = 2 * CALL_TIMEOUT_SECONDS
+ROUND_TRIP_SECONDS = 2 * CALL_TIMEOUT_SECONDS
 """The round-trip time. Twice this is well within the timeout of the poll."""
 LISTED = b'{"clock_ms":1,"running":[],"ended":[]}'
 ANSWER = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % len(LISTED) + LISTED
@@ -32,7 +32,7 @@
 
 async def _answer(stream: ServerStream) -> None:
     await stream.receive_some()
-    await trio.sleep(WAY_SECONDS)
+    await trio.sleep(ROUND_TRIP_SECONDS)
     await stream.send_all(ANSWER)
 
 
@@ -41,8 +41,8 @@
     async with trio.open_nursery() as nursery:
 
         async def opened(_: Address, timeout: float, *__: object) -> HttpClientConnection:
-            await trio.sleep(min(timeout, WAY_SECONDS))
-            if timeout < WAY_SECONDS:
+            await trio.sleep(min(timeout, ROUND_TRIP_SECONDS))
+            if timeout < ROUND_TRIP_SECONDS:
                 raise ConnectError("not in time")
             here, there = memory_stream_pair()
             here.socket = NoSocket()  # type: ignore[attr-defined]
--- a/fireflyfork/programs/_announced_upstreams.py
+++ b/fireflyfork/programs/_announced_upstreams.py
@@ -5,7 +5,7 @@
 from loguru import logger
 
 from .._errors import StoreError
-from ..adapters import ReplicaPlace
+from ..adapters import ReplicaEndpoint
 from ..decisions.jobs import InstanceStanding, choose_upstreams
 from ._announcements import Announcements
 from ._replica_follower import Upstreams
@@ -24,7 +24,7 @@
         """See Upstreams. For an instance near the store, no upstream is better than the store."""
         return not self._announcements.own.near_store
 
-    async def choose(self) -> tuple[ReplicaPlace, ...]:
+    async def choose(self) -> tuple[ReplicaEndpoint, ...]:
         """See Upstreams. While the store doesn't answer, the previous announcements are used."""
         try:
             self._known = await self._announcements.list_instances()
@@ -32,7 +32,7 @@
             logger.debug("other instances not listed", error=str(error))
         chosen = choose_upstreams(self._announcements.own, self._known)
         return tuple(
-            ReplicaPlace(instance.node, instance.replica)
+            ReplicaEndpoint(instance.node, instance.replica)
             for instance in chosen
             if instance.replica is not None
         )
--- a/fireflyfork/programs/_call_limiter.py
+++ b/fireflyfork/programs/_call_limiter.py
@@ -35,8 +35,8 @@
         borrower = object()
         await self._limit.acquire_on_behalf_of(borrower)
         release = partial(self._limit.release_on_behalf_of, borrower)
-        timer = self._loop_time.after(SLOT_SECONDS, release)
+        timer = self._loop_time.call_after(SLOT_SECONDS, release)
         try:
             yield
         finally:
-            timer.go_off()
+            timer.fire()
--- a/fireflyfork/programs/_caller_requests.py
+++ b/fireflyfork/programs/_caller_requests.py
@@ -12,7 +12,7 @@
 from .._requests import IDEMPOTENT_METHODS, ServiceRequest
 from .._traces import TraceContext
 from .._verdict import Verdict
-from ..adapters import RequestHead, end_to_end
+from ..adapters import RequestHead, end_to_end_headers
 
 TIMEOUT_HEADER = b"request-timeout-ms"
 KEY_HEADER = b"idempotency-key"
@@ -102,5 +102,5 @@
 
 
 def _forwarded_headers(head: RequestHead) -> tuple[tuple[bytes, bytes], ...]:
-    kept = end_to_end(head.headers)
+    kept = end_to_end_headers(head.headers)
     return tuple((name, value) for name, value in kept if name not in _DROPPED_HEADERS)
--- a/fireflyfork/programs/_executor_polls.py
+++ b/fireflyfork/programs/_executor_polls.py
@@ -9,7 +9,7 @@
 import trio
 from loguru import logger
 
-from ..adapters import ExecutorCalls, ExecutorPlace, LoopTime
+from ..adapters import ExecutorCalls, ExecutorEndpoint, LoopTime
 from ..decisions.jobs import (
     CallOutcome,
     ExecutorState,
@@ -179,7 +179,7 @@
         """
         poll = _Poll(self._clock.now())
         wait = self._poll_wait(executor)
-        alarm = self._loop_time.after(
+        alarm = self._loop_time.call_after(
             wait + LATE_ANSWER_SECONDS, partial(self._note_late, executor, poll, nursery)
         )
         try:
@@ -219,7 +219,7 @@
 
     async def _probe_once(self, executor: ExecutorState) -> bool:
         probe = _Poll(self._clock.now())
-        alarm = self._loop_time.after(LATE_ANSWER_SECONDS, probe.note_late)
+        alarm = self._loop_time.call_after(LATE_ANSWER_SECONDS, probe.note_late)
         try:
             return await self._send_poll(executor, probe, 0.0, PROBE_TIMEOUT_SECONDS, fresh=True)
         finally:
@@ -237,7 +237,7 @@
         forgettable_end = executor.forgettable_end
         registration = executor.registration
         answer = await self._calls.poll(
-            ExecutorPlace(
+            ExecutorEndpoint(
                 registration.executor,
                 registration.address,
                 registration.incarnation,
--- a/fireflyfork/programs/_forwarding.py
+++ b/fireflyfork/programs/_forwarding.py
@@ -18,7 +18,7 @@
     ResponseHead,
     Role,
     ServiceFigures,
-    refused,
+    refusal_error,
 )
 from ._bodies import RequestBody
 from ._ownership import OwnershipView
@@ -127,7 +127,7 @@
     async def _receive(self, call: OutgoingCall, sink: AnswerSink, request: ServiceRequest) -> None:
         event = await call.receive()
         if isinstance(event, Refusal):
-            raise refused(event)
+            raise refusal_error(event)
         if not isinstance(event, AnswerHead):
             raise PeerError("a body without a head")
         self._record_figures(call.member, request, event.figures)
--- a/fireflyfork/programs/_job_requests.py
+++ b/fireflyfork/programs/_job_requests.py
@@ -89,7 +89,7 @@
         The caller's next attempt reaches another instance, which the store may answer. Waiting here
         for a timeout would use up a third of the time that the caller has.
         """
-        if not self._store.answers:
+        if not self._store.is_responsive:
             raise StoreRefusedError("the store does not answer this instance")
 
     async def _store_new(self, key: str, value: bytes) -> None:
--- a/fireflyfork/programs/_key_replica.py
+++ b/fireflyfork/programs/_key_replica.py
@@ -10,7 +10,7 @@
 from .._ids import Revision
 from ..adapters import (
     ReplicaAnswer,
-    ReplicaQuestion,
+    ReplicaQuery,
     ReplicaSource,
     StoreChange,
     StoredItem,
@@ -114,7 +114,7 @@
         self._now = now
         self._stale_seconds = stale_seconds
 
-    async def answer(self, question: ReplicaQuestion) -> ReplicaAnswer:
+    async def answer(self, question: ReplicaQuery) -> ReplicaAnswer:
         """See ReplicaSource."""
         received_at = self._now()
         replica = self._replica
@@ -130,7 +130,7 @@
             replica.changed_after(question.after),
         )
 
-    def _has_no_news(self, question: ReplicaQuestion) -> bool:
+    def _has_no_news(self, question: ReplicaQuery) -> bool:
         if question.mark is None:
             return False
         return self._replica.known_at <= question.mark and self._replica.as_of <= question.after
--- a/fireflyfork/programs/_loop_report.py
+++ b/fireflyfork/programs/_loop_report.py
@@ -46,7 +46,9 @@
         self._relay_sent = _CounterGrowth(lambda: relays.sent)
         self._reported_spent: Mapping[str, float] = {}
         metrics.gauge("fireflyfork_loop_lag_seconds", lag)
-        metrics.counters("fireflyfork_loop_seconds_total", "activity", lambda: profile.spent)
+        metrics.counters(
+            "fireflyfork_loop_seconds_total", "activity", lambda: profile.seconds_by_activity
+        )
         metrics.counters("fireflyfork_store_calls_total", "purpose", lambda: store.calls)
         metrics.counters(
             "fireflyfork_store_received_bytes_total", "purpose", lambda: store.bytes_received
@@ -64,13 +66,13 @@
         while True:
             await trio.sleep(REPORT_SECONDS - PROFILE_SECONDS)
             started_at = trio.current_time()
-            with self._profile.looking():
+            with self._profile.recording():
                 await trio.sleep(PROFILE_SECONDS)
             self.report(trio.current_time() - started_at)
 
     def report(self, looked_seconds: float) -> None:
         """Log what has been used since the last report, of which ``looked_seconds`` were profiled."""
-        spent = dict(self._profile.spent)
+        spent = dict(self._profile.seconds_by_activity)
         seconds = {name: spent[name] - self._reported_spent.get(name, 0.0) for name in spent}
         logger.info(
             "loop time",
--- a/fireflyfork/programs/_replica_follower.py
+++ b/fireflyfork/programs/_replica_follower.py
@@ -17,10 +17,10 @@
 from ..adapters import (
     CoordinationStore,
     ReplicaAnswer,
+    ReplicaEndpoint,
     ReplicaPeer,
     ReplicaPeers,
-    ReplicaPlace,
-    ReplicaQuestion,
+    ReplicaQuery,
 )
 from ._key_replica import KeyReplica
 from ._prefix_watch import PrefixWatch
@@ -59,7 +59,7 @@
     """The instances that this one may follow."""
 
     @abstractmethod
-    async def choose(self) -> tuple[ReplicaPlace, ...]:
+    async def choose(self) -> tuple[ReplicaEndpoint, ...]:
         """Return the upstreams in order of preference, or none to follow the store."""
 
     @property
@@ -76,7 +76,7 @@
         """See Upstreams."""
         return False
 
-    async def choose(self) -> tuple[ReplicaPlace, ...]:
+    async def choose(self) -> tuple[ReplicaEndpoint, ...]:
         """See Upstreams."""
         return ()
 
@@ -104,7 +104,7 @@
         self._peers = peers
         self._now = now
         self._stale_seconds = stale_seconds
-        self._chosen: tuple[ReplicaPlace, ...] = ()
+        self._chosen: tuple[ReplicaEndpoint, ...] = ()
         self._upstream: NodeName | None = None
         self._asked_at = now()
         self._watch = PrefixWatch(
@@ -151,7 +151,7 @@
             else:
                 return
 
-    async def _choose(self, fallback: tuple[ReplicaPlace, ...]) -> tuple[ReplicaPlace, ...]:
+    async def _choose(self, fallback: tuple[ReplicaEndpoint, ...]) -> tuple[ReplicaEndpoint, ...]:
         """Return the upstreams, or ``fallback`` if they aren't known in ``CHOOSE_SECONDS``."""
         with trio.move_on_after(CHOOSE_SECONDS):
             self._chosen = await self._upstreams.choose()
@@ -159,7 +159,7 @@
         return fallback
 
     async def _follow_first_usable(
-        self, places: tuple[ReplicaPlace, ...], peers: ReplicaPeers
+        self, places: tuple[ReplicaEndpoint, ...], peers: ReplicaPeers
     ) -> None:
         """Follow the first usable upstream, or better ones that appear in the meantime."""
         first_answer_seconds = inf
@@ -182,8 +182,8 @@
         self._replica.note_known(self._watch.as_of, self._watch.known_at)
 
     async def _follow(
-        self, place: ReplicaPlace, peers: ReplicaPeers, first_answer_seconds: float
-    ) -> tuple[ReplicaPlace, ...]:
+        self, place: ReplicaEndpoint, peers: ReplicaPeers, first_answer_seconds: float
+    ) -> tuple[ReplicaEndpoint, ...]:
         """Follow an upstream for as long as it answers and is itself up to date.
 
         The first answer, and the first that is up to date, must arrive within
@@ -191,7 +191,7 @@
         """
         logger.info("following an instance", upstream=place.node)
         self._upstream = place.node
-        better: tuple[ReplicaPlace, ...] = ()
+        better: tuple[ReplicaEndpoint, ...] = ()
         try:
             async with peers.connect(place) as peer:
                 better = await self._follow_while_fresh(peer, place, first_answer_seconds)
@@ -203,8 +203,8 @@
         return better
 
     async def _follow_while_fresh(
-        self, peer: ReplicaPeer, place: ReplicaPlace, first_answer_seconds: float
-    ) -> tuple[ReplicaPlace, ...]:
+        self, peer: ReplicaPeer, place: ReplicaEndpoint, first_answer_seconds: float
+    ) -> tuple[ReplicaEndpoint, ...]:
         started_at = self._now()
         tolerated_until = started_at + min(first_answer_seconds, self._stale_seconds)
         review_at = started_at + UPSTREAM_REVIEW_SECONDS
@@ -216,7 +216,7 @@
                     return places
                 review_at = self._now() + UPSTREAM_REVIEW_SECONDS
             self._asked_at = self._now()
-            question = ReplicaQuestion(self._replica.as_of, mark)
+            question = ReplicaQuery(self._replica.as_of, mark)
             answer = await peer.ask(question, first_answer_seconds if mark is None else inf)
             self._apply_answer(answer)
             mark = answer.mark
--- a/fireflyfork/programs/_run_orders.py
+++ b/fireflyfork/programs/_run_orders.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from .._ids import FencingToken
-from ..adapters import ExecutorCalls, ExecutorPlace, LoopTime
+from ..adapters import ExecutorCalls, ExecutorEndpoint, LoopTime
 from ..decisions.jobs import (
     CallOutcome,
     ExecutorState,
@@ -107,7 +107,7 @@
     async def _send(self, command: RunCommand, executor: ExecutorState) -> OrderAnswer:
         run = command.run
         registration = executor.registration
-        place = ExecutorPlace(
+        place = ExecutorEndpoint(
             registration.executor,
             registration.address,
             run.incarnation,
--- a/fireflyfork/programs/_scheduler_node.py
+++ b/fireflyfork/programs/_scheduler_node.py
@@ -92,7 +92,7 @@
         self._keeper = QueueKeeper(
             self._store,
             self._apply_configuration,
-            settings.bounds.configuration,
+            settings.bounds.configuration_delay,
             clock.now,
             AnnouncedUpstreams(self._announcements),
             clients.replica_peers,
@@ -121,7 +121,7 @@
     @property
     def ready(self) -> bool:
         """Whether the load balancer should send new connections to this instance."""
-        return not self._stopping and self._keeper.table is not None and self._store.answers
+        return not self._stopping and self._keeper.table is not None and self._store.is_responsive
 
     async def run(self, stop: trio.Event) -> None:
         """Serve until ``stop`` is set, then end gracefully."""
@@ -154,7 +154,7 @@
             "stopping", owned=sorted(name for name, one in self._candidates.items() if one.owner)
         )
         self._stopping = True
-        self._relay.say_goodbye()
+        self._relay.announce_stop()
         async with trio.open_nursery() as nursery:
             for candidate in self._candidates.values():
                 nursery.start_soon(candidate.stop)
--- a/fireflyfork/programs/_service_owner.py
+++ b/fireflyfork/programs/_service_owner.py
@@ -103,7 +103,7 @@
         self._clock = clock
         self._queues = queues
         self._retention = bounds.status_retention + RETENTION_MARGIN_SECONDS
-        lease = min(LEASE_SECONDS, bounds.longest_lease * MAX_LEASE_SHARE)
+        lease = min(LEASE_SECONDS, bounds.max_lease * MAX_LEASE_SHARE)
         unheard_seconds = MAX_UNCONFIRMED_SECONDS + lease + CLOCK_MARGIN_SECONDS
         self._scheduler = Scheduler(SchedulerTerms(self._service, unheard_seconds, lease))
         self._journal = ServiceJournal(
--- a/fireflyfork/programs/_sinks.py
+++ b/fireflyfork/programs/_sinks.py
@@ -16,7 +16,7 @@
     IncomingCall,
     ResponseHead,
     ServiceFigures,
-    end_to_end,
+    end_to_end_headers,
 )
 from ._caller_requests import KEY_HEADER, REQUEST_ID_HEADER, VERDICT_HEADER
 from ._entry_messages import CallerErrorBody
@@ -87,7 +87,7 @@
         await self._exchange.answer_json(error.status, body, headers)
 
     async def _start(self, head: ResponseHead) -> None:
-        headers = (*end_to_end(head.headers), *self._own_headers(Verdict.ANSWERED))
+        headers = (*end_to_end_headers(head.headers), *self._own_headers(Verdict.ANSWERED))
         await self._exchange.start(head.status, headers)
 
     async def _send(self, data: bytes) -> None:
--- a/fireflyfork/programs/_succession.py
+++ b/fireflyfork/programs/_succession.py
@@ -10,7 +10,7 @@
 
 from .._errors import StoreError
 from .._ids import NodeName, ServiceName
-from ..adapters import RelayedExecutors, RelayPlace
+from ..adapters import RelayedExecutors, RelayEndpoint
 from ..decisions.jobs import InstanceStanding, choose_relays, has_stronger, should_hand_over
 from ._announcements import Announcements
 
@@ -98,8 +98,8 @@
         # The list is empty while the store doesn't answer, but the relays are still available.
         if others:
             chosen = choose_relays(self._node, others, self._executors())
-            self._calls.use(
-                RelayPlace(instance.node, instance.failure_domain, instance.relay)
+            self._calls.set_relays(
+                RelayEndpoint(instance.node, instance.failure_domain, instance.relay)
                 for instance in chosen
                 if instance.relay is not None and instance.failure_domain is not None
             )
--- a/fireflyfork/programs/_upkeep_duty.py
+++ b/fireflyfork/programs/_upkeep_duty.py
@@ -22,7 +22,7 @@
     decode_upkeep_mark,
     encode_upkeep_mark,
 )
-from ..platform import encode_wave_status, reports_over, wave_status_key
+from ..platform import encode_wave_status, is_completed_status, wave_status_key
 from ._clocks import Clock
 from ._scheduling_keys import UPKEEP_PREFIX, owner_key, upkeep_key, upkeep_prefix
 from ._service_journal import OwnershipLostError
@@ -123,7 +123,7 @@
             return
         key = wave_status_key(number)
         stored_status = await self._store.read(key)
-        if stored_status is not None and reports_over(stored_status.value):
+        if stored_status is not None and is_completed_status(stored_status.value):
             self._finished.add(number)
             return
         expected = {key: stored_status.revision if stored_status is not None else Revision(0)}
--- a/fireflyfork/programs/tests/builders_journal.py
+++ b/fireflyfork/programs/tests/builders_journal.py
@@ -47,7 +47,7 @@
         self._delayed: deque[tuple[dict[str, Revision], tuple[Put, ...]]] = deque()
 
     @property
-    def answers(self) -> bool:
+    def is_responsive(self) -> bool:
         """See CoordinationStore."""
         return True
 
--- a/fireflyfork/programs/tests/builders_replicas.py
+++ b/fireflyfork/programs/tests/builders_replicas.py
@@ -15,7 +15,7 @@
 
 from ..._ids import NodeName
 from ..._links import Address
-from ...adapters import ReplicaPlace
+from ...adapters import ReplicaEndpoint
 from ...platform import CONFIGURATION_KEY
 from .._queue_keeper import QueueKeeper
 from .._replica_follower import Upstreams
@@ -68,10 +68,10 @@
         """See Upstreams."""
         return self.far_from_store
 
-    async def choose(self) -> tuple[ReplicaPlace, ...]:
+    async def choose(self) -> tuple[ReplicaEndpoint, ...]:
         """See Upstreams."""
         await trio.sleep(self.seconds)
-        return tuple(ReplicaPlace(node(number), UNUSED_ADDRESS) for number in self.numbers)
+        return tuple(ReplicaEndpoint(node(number), UNUSED_ADDRESS) for number in self.numbers)
 
 
 class Follower:
--- a/fireflyfork/programs/tests/test_connection_bounds.py
+++ b/fireflyfork/programs/tests/test_connection_bounds.py
@@ -14,8 +14,8 @@
 from ..._links import Address
 from ...adapters import (
     ANY_INCARNATION,
-    LONGEST_CALL_SECONDS,
-    ExecutorPlace,
+    MAX_CALL_SECONDS,
+    ExecutorEndpoint,
     HttpClientConnection,
     LoopTime,
 )
@@ -57,7 +57,7 @@
 
     async with trio.open_nursery() as nursery:
         address = await _listening(nursery)
-        place = ExecutorPlace(ExecutorId("i-0"), address, ANY_INCARNATION)
+        place = ExecutorEndpoint(ExecutorId("i-0"), address, ANY_INCARNATION)
         with patch.object(HttpClientConnection, "open", noted):
             await PlatformExecutors(LoopTime()).poll(place, FencingToken(7), POLL)
         nursery.cancel_scope.cancel()
@@ -93,11 +93,11 @@
         """
         bounds = trio.run(_for_executors)
         self.assertEqual(len(bounds), 1)
-        self.assertGreaterEqual(bounds[0], LONGEST_CALL_SECONDS)
+        self.assertGreaterEqual(bounds[0], MAX_CALL_SECONDS)
 
     def test_a_stream_to_a_relay_holds_for_as_long_as_its_calls_wait(self) -> None:
         """Guards against a saturated link that ends all calls to a failure domain at the same time."""
-        self.assertGreaterEqual(trio.run(_for_relays), LONGEST_CALL_SECONDS)
+        self.assertGreaterEqual(trio.run(_for_relays), MAX_CALL_SECONDS)
 
     def test_a_request_can_arrive_only_while_its_slot_is_held(self) -> None:
         """Guards against an executor that gets more requests than it has slots.
--- a/fireflyfork/programs/tests/test_loop_report.py
+++ b/fireflyfork/programs/tests/test_loop_report.py
@@ -34,7 +34,7 @@
 
     def _work(self, seconds: float, activity: str = "placing") -> None:
         async def main() -> None:
-            with self.profile.looking(), self.profile.section(activity):
+            with self.profile.recording(), self.profile.section(activity):
                 self.used += seconds
 
         trio.run(main)
--- a/fireflyfork/programs/tests/test_probes.py
+++ b/fireflyfork/programs/tests/test_probes.py
@@ -15,13 +15,13 @@
 
 from ..._ids import ExecutorId, FencingToken
 from ...adapters import (
-    LONGEST_CALL_SECONDS,
+    MAX_CALL_SECONDS,
     ExecutorCalls,
-    ExecutorPlace,
+    ExecutorEndpoint,
     LoopTime,
     RelayedExecutors,
 )
-from ...adapters.tests.builders_relays import RELAY_PLACE, MutedRelay
+from ...adapters.tests.builders_relays import RELAY_ENDPOINT, MutedRelay
 from ...decisions.jobs import CallOutcome, PollAnswer, PollRequest
 from ...decisions.jobs.tests.builders_jobs import OwnerUnderTest
 from .._executor_polls import (
@@ -42,7 +42,7 @@
     """Return calls to executors that hang, except one that answers over a new connection."""
 
     async def poll(
-        place: ExecutorPlace, _: FencingToken, request: PollRequest, fresh: bool = False
+        place: ExecutorEndpoint, _: FencingToken, request: PollRequest, fresh: bool = False
     ) -> PollAnswer:
         if place.executor == SILENT_EXECUTOR and fresh:
             answered.append(trio.current_time())
@@ -74,7 +74,7 @@
     answer = PollAnswer(CallOutcome.ACCEPTED, 1, 1)
 
     async def poll(
-        _: ExecutorPlace, __: FencingToken, request: PollRequest, fresh: bool = False
+        _: ExecutorEndpoint, __: FencingToken, request: PollRequest, fresh: bool = False
     ) -> PollAnswer:
         await trio.sleep(request.wait_seconds)
         return answer
@@ -87,7 +87,7 @@
     executors = [owner.scheduler.executors[ExecutorId(name)] for name in names]
     async with relay.reachable(), trio.open_nursery() as nursery:
         nursery.start_soon(calls.run)
-        calls.use([RELAY_PLACE])
+        calls.set_relays([RELAY_ENDPOINT])
         await trio.sleep(0.5)
         for number, executor in enumerate(executors):
             nursery.start_soon(polls.run, executor)
@@ -137,4 +137,4 @@
 
     def test_no_poll_outlasts_the_bound_of_its_connection(self) -> None:
         """Guards against connections that are closed while an answer is still pending."""
-        self.assertLessEqual(SHED_POLL_SECONDS + POLL_TIMEOUT_SECONDS, LONGEST_CALL_SECONDS)
+        self.assertLessEqual(SHED_POLL_SECONDS + POLL_TIMEOUT_SECONDS, MAX_CALL_SECONDS)
--- a/fireflyfork/programs/tests/test_replica_follower.py
+++ b/fireflyfork/programs/tests/test_replica_follower.py
@@ -9,7 +9,7 @@
 import trio
 
 from ..._ids import NodeName, Revision
-from ...adapters import ReplicaQuestion, StoreChange, StoredItem
+from ...adapters import ReplicaQuery, StoreChange, StoredItem
 from ...platform import OPERATOR_PREFIX
 from .._key_replica import (
     MAX_WAIT_SECONDS,
@@ -375,7 +375,7 @@
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(changed)
-                answer = await answers.answer(ReplicaQuestion(Revision(7), 10.0))
+                answer = await answers.answer(ReplicaQuery(Revision(7), 10.0))
             self.assertEqual(len(answer.changed), 1)
             self.assertLess(answer.waited_seconds, MAX_WAIT_SECONDS / 2)
 
--- a/fireflyfork/programs/tests/test_run_orders.py
+++ b/fireflyfork/programs/tests/test_run_orders.py
@@ -7,7 +7,7 @@
 from trio.testing import wait_all_tasks_blocked
 
 from ..._ids import FencingToken
-from ...adapters import ExecutorCalls, ExecutorPlace, LoopTime
+from ...adapters import ExecutorCalls, ExecutorEndpoint, LoopTime
 from ...decisions.jobs import CallOutcome, OrderAnswer, StartRequest, StartRun
 from ...decisions.jobs.tests.builders_jobs import START_MS, OwnerUnderTest, job, registration, step
 from .._clocks import Clock
@@ -29,10 +29,10 @@
 
     async def _order_that_waits(self) -> None:
         owner = OwnerUnderTest("i-0")
-        places: list[ExecutorPlace] = []
+        places: list[ExecutorEndpoint] = []
         answered = trio.Event()
 
-        async def start(place: ExecutorPlace, _: FencingToken, __: StartRequest) -> OrderAnswer:
+        async def start(place: ExecutorEndpoint, _: FencingToken, __: StartRequest) -> OrderAnswer:
             places.append(place)
             await answered.wait()
             return OrderAnswer(CallOutcome.UNKNOWN, None)
--- a/fireflyfork_standins/scheduling/_configuration_sources.py
+++ b/fireflyfork_standins/scheduling/_configuration_sources.py
@@ -9,7 +9,7 @@
 from fireflyfork.adapters import (
     CoordinationStore,
     ReplicaAnswer,
-    ReplicaQuestion,
+    ReplicaQuery,
     ReplicaSource,
 )
 from fireflyfork.decisions.jobs import QueueTable
@@ -74,7 +74,7 @@
         self._inner = inner
         self._awake = awake
 
-    async def answer(self, question: ReplicaQuestion) -> ReplicaAnswer:
+    async def answer(self, question: ReplicaQuery) -> ReplicaAnswer:
         await self._awake()
         answer = await self._inner.answer(question)
         await self._awake()
--- a/fireflyfork_standins/scheduling/_executor_calls.py
+++ b/fireflyfork_standins/scheduling/_executor_calls.py
@@ -9,7 +9,7 @@
 import trio
 
 from fireflyfork._ids import AttemptNumber, ExecutorId, FencingToken, NodeName, TaskName
-from fireflyfork.adapters import ANY_INCARNATION, ExecutorCalls, ExecutorPlace
+from fireflyfork.adapters import ANY_INCARNATION, ExecutorCalls, ExecutorEndpoint
 from fireflyfork.decisions.jobs import (
     CallOutcome,
     OrderAnswer,
@@ -46,20 +46,20 @@
         """The incarnation that the connections to an executor lead to."""
 
     async def start(
-        self, place: ExecutorPlace, token: FencingToken, order: StartRequest
+        self, place: ExecutorEndpoint, token: FencingToken, order: StartRequest
     ) -> OrderAnswer:
         """See ExecutorCalls."""
         return await self._order(place, lambda one: one.start(token, order))
 
     async def stop(
-        self, place: ExecutorPlace, token: FencingToken, task: TaskName, attempt: AttemptNumber
+        self, place: ExecutorEndpoint, token: FencingToken, task: TaskName, attempt: AttemptNumber
     ) -> OrderAnswer:
         """See ExecutorCalls."""
         return await self._order(place, lambda one: one.stop(token, task, attempt))
 
     async def pace(
         self,
-        place: ExecutorPlace,
+        place: ExecutorEndpoint,
         token: FencingToken,
         task: TaskName,
         attempt: AttemptNumber,
@@ -69,7 +69,11 @@
         return await self._order(place, lambda one: one.pace(token, task, attempt, percent))
 
     async def poll(
-        self, place: ExecutorPlace, token: FencingToken, request: PollRequest, fresh: bool = False
+        self,
+        place: ExecutorEndpoint,
+        token: FencingToken,
+        request: PollRequest,
+        fresh: bool = False,
     ) -> PollAnswer:
         """See ExecutorCalls. Connections here don't go silent by themselves."""
         executor = self._reachable(place)
@@ -109,7 +113,7 @@
     def forget(self, executor: ExecutorId) -> None:
         """See ExecutorCalls."""
 
-    async def _order(self, place: ExecutorPlace, carry_out: _Order) -> OrderAnswer:
+    async def _order(self, place: ExecutorEndpoint, carry_out: _Order) -> OrderAnswer:
         executor = self._reachable(place)
         if executor is None:
             await trio.sleep(TIMEOUT_SECONDS)
@@ -127,7 +131,9 @@
         await trio.sleep(TIMEOUT_SECONDS)
         return OrderAnswer(CallOutcome.UNKNOWN, None)
 
-    async def _arrive(self, executor: StandInExecutor, place: ExecutorPlace) -> CallOutcome | None:
+    async def _arrive(
+        self, executor: StandInExecutor, place: ExecutorEndpoint
+    ) -> CallOutcome | None:
         """A call comes to its executor. What becomes of one that was meant for another incarnation."""
         await trio.sleep(LATENCY_SECONDS)
         if executor.trouble.reborn_at_call and executor.up:
@@ -151,7 +157,7 @@
         if executor.up and executor.born == life:
             carry_out()
 
-    def _reachable(self, place: ExecutorPlace) -> StandInExecutor | None:
+    def _reachable(self, place: ExecutorEndpoint) -> StandInExecutor | None:
         executor = self._executors[place.executor]
         cut = self._node in executor.trouble.unreachable_from
         return executor if executor.up and not cut else None
--- a/fireflyfork_standins/scheduling/_linked_executors.py
+++ b/fireflyfork_standins/scheduling/_linked_executors.py
@@ -8,9 +8,9 @@
 from fireflyfork._ids import AttemptNumber, ExecutorId, FencingToken, TaskName
 from fireflyfork.adapters import (
     ANY_INCARNATION,
-    LONGEST_CALL_SECONDS,
+    MAX_CALL_SECONDS,
     ExecutorCalls,
-    ExecutorPlace,
+    ExecutorEndpoint,
     HttpError,
 )
 from fireflyfork.decisions.jobs import (
@@ -49,16 +49,16 @@
         self._link = link
         self._home = home
         self._regions = regions
-        self._kept: dict[ExecutorId, tuple[ExecutorPlace, FencingToken, LinkCalls]] = {}
+        self._kept: dict[ExecutorId, tuple[ExecutorEndpoint, FencingToken, LinkCalls]] = {}
 
     async def start(
-        self, place: ExecutorPlace, token: FencingToken, order: StartRequest
+        self, place: ExecutorEndpoint, token: FencingToken, order: StartRequest
     ) -> OrderAnswer:
         """See ExecutorCalls."""
         return await self._order(place, token, lambda: self._inner.start(place, token, order))
 
     async def stop(
-        self, place: ExecutorPlace, token: FencingToken, task: TaskName, attempt: AttemptNumber
+        self, place: ExecutorEndpoint, token: FencingToken, task: TaskName, attempt: AttemptNumber
     ) -> OrderAnswer:
         """See ExecutorCalls."""
         return await self._order(
@@ -67,7 +67,7 @@
 
     async def pace(
         self,
-        place: ExecutorPlace,
+        place: ExecutorEndpoint,
         token: FencingToken,
         task: TaskName,
         attempt: AttemptNumber,
@@ -79,7 +79,11 @@
         )
 
     async def poll(
-        self, place: ExecutorPlace, token: FencingToken, request: PollRequest, fresh: bool = False
+        self,
+        place: ExecutorEndpoint,
+        token: FencingToken,
+        request: PollRequest,
+        fresh: bool = False,
     ) -> PollAnswer:
         """See ExecutorCalls."""
         if not self._crosses(place):
@@ -99,7 +103,7 @@
         self._kept.pop(executor, None)
         self._inner.forget(executor)
 
-    async def _order(self, place: ExecutorPlace, token: FencingToken, ask: _Ask) -> OrderAnswer:
+    async def _order(self, place: ExecutorEndpoint, token: FencingToken, ask: _Ask) -> OrderAnswer:
         if not self._crosses(place):
             return await ask()
 
@@ -122,7 +126,7 @@
             return OrderAnswer(CallOutcome.UNKNOWN, None)
 
     def _poll(
-        self, place: ExecutorPlace, token: FencingToken, request: PollRequest
+        self, place: ExecutorEndpoint, token: FencingToken, request: PollRequest
     ) -> Question[PollAnswer]:
         async def served() -> PollAnswer | None:
             answer = await self._inner.poll(place, token, request)
@@ -136,7 +140,7 @@
             lambda _: Purpose.POLLS,
         )
 
-    async def _greet(self, place: ExecutorPlace, token: FencingToken, calls: LinkCalls) -> None:
+    async def _greet(self, place: ExecutorEndpoint, token: FencingToken, calls: LinkCalls) -> None:
         """Ask on a new connection which incarnation it leads to."""
         if place.incarnation == ANY_INCARNATION:
             return
@@ -145,7 +149,7 @@
         if answer.outcome is not CallOutcome.ACCEPTED:
             raise _NotGreetedError(answer)
 
-    def _calls_to(self, place: ExecutorPlace, token: FencingToken) -> LinkCalls:
+    def _calls_to(self, place: ExecutorEndpoint, token: FencingToken) -> LinkCalls:
         known = self._kept.get(place.executor)
         if known is not None and known[:2] == (place, token):
             return known[2]
@@ -155,13 +159,13 @@
             self._home,
             CALL_TIMEOUT_SECONDS,
             greet=greet,
-            unacknowledged=LONGEST_CALL_SECONDS,
+            unacknowledged=MAX_CALL_SECONDS,
             connects_patiently=True,
         )
         self._kept[place.executor] = (place, token, calls)
         return calls
 
-    def _crosses(self, place: ExecutorPlace) -> bool:
+    def _crosses(self, place: ExecutorEndpoint) -> bool:
         return self._regions[place.executor] is not self._home
 
 
--- a/fireflyfork_standins/scheduling/_linked_store.py
+++ b/fireflyfork_standins/scheduling/_linked_store.py
@@ -19,10 +19,10 @@
 )
 from fireflyfork.platform import CONFIGURATION_KEY
 from fireflyfork.platform._store_client import (
-    ANSWER_PAUSE_SECONDS,
     CALL_TIMEOUT_SECONDS,
-    FAILURES_TO_DOUBT,
-    PAGE_TRIES,
+    MAX_CONSECUTIVE_FAILURES,
+    MAX_PAGE_ATTEMPTS,
+    READ_TIMEOUT_SECONDS,
 )
 
 from ._link_calls import LinkCalls, Question
@@ -61,13 +61,13 @@
 
     def begin_life(self) -> None:
         """A new process: no connection, and no failure yet."""
-        self._calls = LinkCalls(self._link, self._home, CALL_TIMEOUT_SECONDS, ANSWER_PAUSE_SECONDS)
+        self._calls = LinkCalls(self._link, self._home, CALL_TIMEOUT_SECONDS, READ_TIMEOUT_SECONDS)
         self._failures = 0
 
     @property
-    def answers(self) -> bool:
+    def is_responsive(self) -> bool:
         """See CoordinationStore."""
-        return self._failures < FAILURES_TO_DOUBT
+        return self._failures < MAX_CONSECUTIVE_FAILURES
 
     async def read(self, key: str) -> StoredItem | None:
         """See CoordinationStore."""
@@ -77,7 +77,7 @@
 
     async def list(self, prefix: str) -> StoreListing:
         """See CoordinationStore. A listing is one page."""
-        for _ in range(PAGE_TRIES - 1):
+        for _ in range(MAX_PAGE_ATTEMPTS - 1):
             try:
                 return await self._list(prefix)
             except StoreUnavailableError:
--- a/fireflyfork_standins/scheduling/_nodes.py
+++ b/fireflyfork_standins/scheduling/_nodes.py
@@ -20,7 +20,7 @@
 from fireflyfork.adapters import (
     CoordinationStore,
     ExecutorCalls,
-    ExecutorPlace,
+    ExecutorEndpoint,
     LoopTime,
     MachineCalls,
     NoAdvisor,
@@ -81,8 +81,8 @@
         self._node = node
 
     @property
-    def answers(self) -> bool:
-        return self._inner.answers
+    def is_responsive(self) -> bool:
+        return self._inner.is_responsive
 
     async def read(self, key: str) -> StoredItem | None:
         await self._node.awake()
@@ -138,7 +138,7 @@
         self._node = node
 
     async def start(
-        self, place: ExecutorPlace, token: FencingToken, order: StartRequest
+        self, place: ExecutorEndpoint, token: FencingToken, order: StartRequest
     ) -> OrderAnswer:
         await self._node.awake()
         answer = await self._inner.start(place, token, order)
@@ -146,7 +146,7 @@
         return answer
 
     async def stop(
-        self, place: ExecutorPlace, token: FencingToken, task: TaskName, attempt: AttemptNumber
+        self, place: ExecutorEndpoint, token: FencingToken, task: TaskName, attempt: AttemptNumber
     ) -> OrderAnswer:
         await self._node.awake()
         answer = await self._inner.stop(place, token, task, attempt)
@@ -155,7 +155,7 @@
 
     async def pace(
         self,
-        place: ExecutorPlace,
+        place: ExecutorEndpoint,
         token: FencingToken,
         task: TaskName,
         attempt: AttemptNumber,
@@ -167,7 +167,11 @@
         return answer
 
     async def poll(
-        self, place: ExecutorPlace, token: FencingToken, request: PollRequest, fresh: bool = False
+        self,
+        place: ExecutorEndpoint,
+        token: FencingToken,
+        request: PollRequest,
+        fresh: bool = False,
     ) -> PollAnswer:
         await self._node.awake()
         answer = await self._inner.poll(place, token, request, fresh)
--- a/fireflyfork_standins/scheduling/_replicas.py
+++ b/fireflyfork_standins/scheduling/_replicas.py
@@ -14,10 +14,10 @@
 from fireflyfork._ids import NodeName
 from fireflyfork.adapters import (
     ReplicaAnswer,
+    ReplicaEndpoint,
     ReplicaPeer,
     ReplicaPeers,
-    ReplicaPlace,
-    ReplicaQuestion,
+    ReplicaQuery,
     ReplicaSource,
 )
 from fireflyfork.adapters._replica_client import SILENT_SECONDS
@@ -56,7 +56,7 @@
         self._awake = awake
 
     @asynccontextmanager
-    async def connect(self, place: ReplicaPlace) -> AsyncIterator[ReplicaPeer]:
+    async def connect(self, place: ReplicaEndpoint) -> AsyncIterator[ReplicaPeer]:
         """See ReplicaPeers."""
         if place.node not in self._network.sources:
             raise PeerError(f"can't connect to {place.node}")
@@ -78,7 +78,7 @@
         self._source = network.sources[other]
         self._encoder = ItemEncoder()
 
-    async def ask(self, question: ReplicaQuestion, patience: float = inf) -> ReplicaAnswer:
+    async def ask(self, question: ReplicaQuery, patience: float = inf) -> ReplicaAnswer:
         """See ReplicaPeer. An answer that goes on coming may take longer than silence is borne."""
         carry = self._network.carry
         await carry(self._node, self._other, _size(Ask.of(question)))
--- a/fireflyfork_standins/scheduling/_store.py
+++ b/fireflyfork_standins/scheduling/_store.py
@@ -239,7 +239,7 @@
         self._link_mbps = link_mbps
 
     @property
-    def answers(self) -> bool:
+    def is_responsive(self) -> bool:
         """See CoordinationStore."""
         trouble = self._store.trouble
         away = self._node in trouble.refused or self._node in trouble.silent
--- a/fireflyfork_standins/scheduling/_wire_executor.py
+++ b/fireflyfork_standins/scheduling/_wire_executor.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from fireflyfork._ids import AttemptNumber, FencingToken, TaskName
-from fireflyfork.adapters import Exchange, ExecutorCalls, ExecutorPlace, HttpHandler, collect
+from fireflyfork.adapters import Exchange, ExecutorCalls, ExecutorEndpoint, HttpHandler, collect
 from fireflyfork.decisions.jobs import (
     CallOutcome,
     EndReason,
@@ -53,7 +53,7 @@
 class ExecutorWire(HttpHandler):
     """Answers the calls to one executor."""
 
-    def __init__(self, calls: ExecutorCalls, place: ExecutorPlace) -> None:
+    def __init__(self, calls: ExecutorCalls, place: ExecutorEndpoint) -> None:
         """Carry calls out through ``calls``, troubles and all."""
         self._calls = calls
         self._place = place
--- a/fireflyfork_standins/scheduling/_wire_platform.py
+++ b/fireflyfork_standins/scheduling/_wire_platform.py
@@ -10,7 +10,7 @@
 
 from fireflyfork._ids import ExecutorId, NodeName, ServiceName
 from fireflyfork._links import Address
-from fireflyfork.adapters import ANY_INCARNATION, ExecutorPlace, HttpHandler, HttpServer, listen
+from fireflyfork.adapters import ANY_INCARNATION, ExecutorEndpoint, HttpHandler, HttpServer, listen
 from fireflyfork.decisions.jobs import ExecutorRoom
 from fireflyfork.platform import CONFIGURATION_KEY
 
@@ -111,7 +111,7 @@
         nursery.start_soon(self.store.run)
         calls = StandInExecutorCalls(EVERYBODY, self._executors, nursery, self._random)
         for number, (name, executor) in enumerate(self._executors.items()):
-            place = ExecutorPlace(name, self._layout.executor(number), ANY_INCARNATION)
+            place = ExecutorEndpoint(name, self._layout.executor(number), ANY_INCARNATION)
             await self._serve(nursery, ExecutorWire(calls, place), place.address)
             nursery.start_soon(executor.run)
         self.store.put(CONFIGURATION_KEY, _configuration())
--- a/fireflyfork_standins/scheduling/_world.py
+++ b/fireflyfork_standins/scheduling/_world.py
@@ -25,7 +25,7 @@
     UpkeepWave,
     queue_table,
 )
-from fireflyfork.platform import PlatformBounds, reports_over, wave_status_key
+from fireflyfork.platform import PlatformBounds, is_completed_status, wave_status_key
 from fireflyfork.programs._scheduling_keys import JOB_PREFIX
 
 from ._executors import LONGEST_LEASE_SECONDS, StandInExecutor
@@ -148,7 +148,7 @@
                 table,
                 self._machines,
                 profile.thin_link_mbps if number < profile.thin_instances else LINK_MBPS,
-                self._map.site(number, bounds.configuration),
+                self._map.site(number, bounds.configuration_delay),
             )
             for number in range(profile.instances)
         ]
@@ -309,7 +309,7 @@
     async def _follow_wave(self, wave: UpkeepWave) -> None:
         """Judge a wave's report as the operator reads it."""
         key = wave_status_key(wave.number)
-        while not any(reports_over(item.value) for item in self._store.under(key)):
+        while not any(is_completed_status(item.value) for item in self._store.under(key)):
             await trio.sleep(0.05)
         self._report.waves_over += 1
         if not self._machines.begun(wave):
--- a/fireflyfork_standins/tests/test_wire_incarnations.py
+++ b/fireflyfork_standins/tests/test_wire_incarnations.py
@@ -10,7 +10,7 @@
 
 from fireflyfork._ids import AttemptNumber, ExecutorId, FencingToken, JobId, QueueName, ServiceName
 from fireflyfork._links import Address
-from fireflyfork.adapters import ANY_INCARNATION, ExecutorPlace, HttpServer, LoopTime, listen
+from fireflyfork.adapters import ANY_INCARNATION, ExecutorEndpoint, HttpServer, LoopTime, listen
 from fireflyfork.decisions.jobs import (
     CallOutcome,
     ExecutorRoom,
@@ -62,9 +62,9 @@
         self._random = random
 
     @property
-    def place(self) -> ExecutorPlace:
+    def place(self) -> ExecutorEndpoint:
         """Where it is, and which life it is."""
-        return ExecutorPlace(NAME, self._address, self.executor.born)
+        return ExecutorEndpoint(NAME, self._address, self.executor.born)
 
     @asynccontextmanager
     async def lives(self) -> AsyncIterator[None]:
@@ -72,7 +72,7 @@
         async with trio.open_nursery() as nursery:
             everything = {NAME: self.executor}
             calls = StandInExecutorCalls(EVERYBODY, everything, nursery, self._random)
-            anyone = ExecutorPlace(NAME, self._address, ANY_INCARNATION)
+            anyone = ExecutorEndpoint(NAME, self._address, ANY_INCARNATION)
             server = HttpServer(ExecutorWire(calls, anyone))
             listeners = await listen(self._address.host, self._address.port)
             nursery.start_soon(server.run, listeners)
@@ -80,7 +80,7 @@
             nursery.cancel_scope.cancel()
 
 
-async def _start(client: PlatformExecutors, place: ExecutorPlace) -> OrderAnswer:
+async def _start(client: PlatformExecutors, place: ExecutorEndpoint) -> OrderAnswer:
     order = StartRequest(TASK, AttemptNumber(1), "work", FAR_DEADLINE_MS, "")
     return await client.start(place, TOKEN, order)
 
