--- a/fireflyfork/programs/_planner_partition.py
+++ b/fireflyfork/programs/_planner_partition.py
@@ -298,7 +298,7 @@
         try:
             reports = await call()
         except PlatformError as error:
-            logger.warning("no answer from the platform to an order: {}", error)
+            logger.warning("order to the platform failed: {}", error)
             return
         self._take_reports(reports, None)
 
--- a/fireflyfork/programs/tests/builders_faults.py
+++ b/fireflyfork/programs/tests/builders_faults.py
@@ -1,4 +1,4 @@
-"""Two planners that take one partition from each other, and faults to let loose on them."""
+"""Planners that take over a partition from each other, and faults that tests inject into them."""
 
 from __future__ import annotations
 
@@ -56,18 +56,18 @@
 
 
 class Gate:
-    """Holds the calls of one planner back, as if the process were stopped right before them."""
+    """Blocks the store and platform calls of one planner, as if its process were paused."""
 
     def __init__(self) -> None:
         self._open = trio.Event()
         self._open.set()
 
     def close(self) -> None:
-        """Hold calls back."""
+        """Block calls from now on."""
         self._open = trio.Event()
 
     def open(self) -> None:
-        """Let the calls through that wait."""
+        """Let blocked and later calls proceed."""
         self._open.set()
 
     async def passing(self, call: Callable[[], Awaitable[Answer]]) -> Answer:
@@ -77,7 +77,7 @@
 
 
 class GatedStore(Store):
-    """A store behind a gate."""
+    """A store whose calls wait for a gate."""
 
     def __init__(self, store: Store, gate: Gate) -> None:
         self._store = store
@@ -100,7 +100,7 @@
 
 
 class GatedPlatform(WorkerPlatform):
-    """A platform behind a gate."""
+    """A platform whose calls wait for a gate."""
 
     def __init__(self, platform: WorkerPlatform, gate: Gate) -> None:
         self._platform = platform
@@ -130,7 +130,7 @@
 
 
 class SharedRights(PartitionRights):
-    """One of several planners' view of who owns the partition."""
+    """The rights of one planner of a PlannerSequence."""
 
     def __init__(self, planners: Planners, member: MemberId) -> None:
         self._planners = planners
@@ -155,7 +155,7 @@
 
 
 class FaultKind(Enum):
-    """What goes wrong."""
+    """The kinds of faults that a test can inject."""
 
     STORE_DOWN = "store-down"
     STORE_LOSES = "store-loses"
@@ -172,17 +172,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault, when it begins after the one before, and for how long it lasts, in seconds."""
+    """One fault. ``delay`` is counted from the previous fault; times are in seconds."""
 
     kind: FaultKind
     after: float
     lasts: float
     index: int
-    """Which worker or task; how many answers are lost."""
+    """The worker or task that is affected, or the number of lost answers minus one."""
 
 
 class Planners:
-    """A series of planners, each taking the partition over from the one before."""
+    """A sequence of planners, each of which takes over the partition from the previous planner."""
 
     def __init__(
         self,
@@ -209,17 +209,20 @@
 
     @property
     def runner(self) -> PartitionRunner:
-        """The present owner's."""
+        """The runner of the current owner."""
         assert self._runner is not None
         return self._runner
 
     @property
     def gate(self) -> Gate:
-        """What holds the present owner's calls back."""
+        """The gate that blocks the calls of the current owner."""
         return self._gate
 
     def take_over(self) -> None:
-        """Begin a new planner and give it the partition; the one before goes on until it notices."""
+        """Start a new planner and give it the partition.
+
+        The previous planner keeps running until it notices the loss.
+        """
         self._count += 1
         member = MemberId(f"planner-{self._count}")
         self._gate = Gate()
@@ -236,7 +239,7 @@
         self._nursery.start_soon(self._run, self._runner, self._scope, member)
 
     async def apply(self, fault: Fault) -> None:
-        """Let one fault begin, and end it later."""
+        """Inject one fault after its delay, and end it after its duration."""
         await trio.sleep(fault.after)
         match fault.kind:
             case FaultKind.STORE_LOSES:
@@ -263,7 +266,7 @@
                 self._nursery.start_soon(self._later, fault.lasts, lambda: self._set(fault, False))
 
     async def submit(self, submission: Submission) -> None:
-        """Submit until it is accepted, as a client would."""
+        """Repeat a submission until it is accepted, as a client would."""
         while True:
             try:
                 with trio.move_on_after(5.0):
@@ -274,7 +277,7 @@
                 await trio.sleep(0.5)
 
     def is_over(self, job_id: JobId) -> bool:
-        """Whether the present owner says that no task of a job is open."""
+        """Return whether the current owner has no open task of a job."""
         state = self.runner.state
         job = state.table.jobs.get(job_id) if state is not None else None
         return job is not None and job.open_count == 0
--- a/fireflyfork/programs/tests/builders_planner.py
+++ b/fireflyfork/programs/tests/builders_planner.py
@@ -1,4 +1,4 @@
-"""A planner's surroundings in memory: the store, the platform, and settings to run one with."""
+"""In-memory doubles of a planner's store, platform and rights, and builders for tests."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 class MemoryStore(Store):
-    """The store, with an outage and lost answers to switch on."""
+    """An in-memory store that can be down or lose answers."""
 
     def __init__(self) -> None:
         self.values: dict[str, StoredValue] = {}
@@ -103,14 +103,14 @@
 
 
 class SimulatedPlatform(WorkerPlatform):
-    """The platform, with an outage and lost answers to switch on."""
+    """A simulated platform that can be down, lose answers or carry out orders late."""
 
     def __init__(self, workers: SimulatedWorkers) -> None:
         self.workers_behind = workers
         self.down = False
         self.lose_answers = 0
         self.make_late = 0
-        """So many orders arrive only after ``late_seconds``; the planner gets no answer."""
+        """The number of orders to carry out late, after ``late_seconds``, and leave unanswered."""
         self.late_seconds = 0.0
         self.nursery: trio.Nursery | None = None
 
@@ -182,7 +182,7 @@
 
 
 def make_workers(count: int, cores: int = 4) -> tuple[Worker, ...]:
-    """Equal workers in one rack of viti."""
+    """Return identical workers in one rack of the region ``viti``."""
     return tuple(
         Worker(
             WorkerId(f"w{index}"),
@@ -198,30 +198,30 @@
 def make_submission(
     name: str = "night", tasks: int = 1, run_seconds: float = 20.0, resources: Resources = SMALL
 ) -> Submission:
-    """A job of confirmation letters."""
+    """Return a job of confirmation letters."""
     shape = TaskShape(TEAM, "letter", resources, run_seconds)
     return Submission(JobId(name), shape, tasks)
 
 
 def make_team(cores: int = 1000) -> TeamContract:
-    """A team with a quota."""
+    """Return a team whose quota has ``cores`` cores and 4 GiB of memory for each."""
     return TeamContract(TEAM, Resources(cores * 1000, cores * 4 * GIB), urgent=True)
 
 
 def make_configuration(cores: int = 1000) -> Configuration:
-    """One team."""
+    """Return a configuration with one team."""
     return Configuration(
         ConfigurationVersion(1), ChangeId("first"), (), (), (), (make_team(cores),)
     )
 
 
 def make_plan(new_policy: Callable[[], PlacementPolicy] = FirstFitPolicy) -> PartitionPlan:
-    """One partition of all workers of viti."""
+    """Return a plan of one partition with all workers of ``viti``."""
     return PartitionPlan(PARTITION, (VITI,), new_policy)
 
 
 class SettledRights(PartitionRights):
-    """Owners that never change."""
+    """Partition rights that never change."""
 
     def __init__(
         self,
@@ -254,7 +254,7 @@
     rights: PartitionRights | None = None,
     plan: PartitionPlan | None = None,
 ) -> PartitionRunner:
-    """A planner's partition. Needs a running trio loop."""
+    """Return the runner of a configured partition. Needs a running trio loop."""
     runner = PartitionRunner(
         plan or make_plan(), store, platform, rights or SettledRights(), PlannerClock()
     )
@@ -263,17 +263,17 @@
 
 
 async def until(condition: Callable[[], bool], seconds: float = 600.0) -> None:
-    """Wait until ``condition`` holds. Raises trio.TooSlowError."""
+    """Wait until ``condition`` holds. Raises trio.TooSlowError after ``seconds``."""
     with trio.fail_after(seconds):
         while not condition():
             await trio.sleep(0.05)
 
 
 def run_simulated(body: Callable[[], Awaitable[None]]) -> None:
-    """Run ``body`` in simulated time, which jumps ahead whenever nothing is left to do.
+    """Run ``body`` on a clock that jumps ahead whenever all tasks are waiting.
 
-    trio shuffles the tasks that can run at the same moment. Unseeded, a test over generated faults
-    would now and then fail for an order that the next run can't show again.
+    trio shuffles the tasks that become runnable at the same time. Without a fixed seed, a test over
+    generated faults would occasionally fail for an order that can't be reproduced.
     """
     vars(trio_run)["_ALLOW_DETERMINISTIC_SCHEDULING"] = True
     trio_run._r.seed(0)
--- a/fireflyfork/programs/tests/builders_store.py
+++ b/fireflyfork/programs/tests/builders_store.py
@@ -1,4 +1,4 @@
-"""A store in memory that fails as a test asks it to."""
+"""An in-memory store with scripted faults."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 
 
 class Fault(Enum):
-    """What goes wrong with one call."""
+    """The fault of one call."""
 
     NONE = "none"
     REFUSED = "refused"
-    """The call has no effect and no answer."""
+    """The call has no effect and gets no answer."""
     ANSWER_LOST = "answer lost"
-    """The call takes effect, and its answer is lost."""
+    """The call takes effect, but its answer is lost."""
 
 
 class MemoryStore(Store):
-    """Compare-and-swap on a dictionary. Each call takes the next of ``faults``."""
+    """A store with compare-and-swap on a dictionary. Each call uses up the next of ``faults``."""
 
     def __init__(
         self, faults: Iterable[Fault] = (), latency: Callable[[], float] = lambda: 0.0
     ) -> None:
-        """Once ``faults`` are used up, nothing fails. ``latency`` gives one-way seconds."""
+        """After the last of ``faults``, calls succeed. ``latency`` returns one-way seconds."""
         self._latency = latency
         self.faults = deque(faults)
         self.values: dict[str, StoredValue] = {}
         self.after_next_call: Callable[[], Awaitable[None]] | None = None
-        """Run once, right after the next call took effect: what another operator does."""
+        """Called once, right after the next call took effect, to simulate another operator."""
         self._revision = 0
 
     async def read(self, key: str) -> StoredValue | None:
@@ -72,7 +72,7 @@
         return tuple(key for key in found if key.startswith(prefix))
 
     async def wait(self, key: str, after: Revision, seconds: float) -> StoredValue | None:
-        """See Store; this one never waits."""
+        """See Store; returns at once instead of waiting."""
         stored = await self.read(key)
         return stored if stored is not None and stored.revision > after else None
 
--- a/fireflyfork/programs/tests/test_ctl.py
+++ b/fireflyfork/programs/tests/test_ctl.py
@@ -1,4 +1,4 @@
-"""The command line, as an operator types it."""
+"""Tests of ``fireflyfork-ctl`` from command line to output."""
 
 import contextlib
 import io
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """What a command printed and returned."""
+    """The exit code and output of a command."""
 
     code: int
     out: str
@@ -34,12 +34,12 @@
 
     @property
     def plain(self) -> Any:
-        """Its JSON output."""
+        """The JSON output."""
         return json.loads(self.out)
 
 
 def ctl(*words: str, standard_input: str = "") -> Ended:
-    """Run one command line."""
+    """Run one command line and capture its output."""
     out, error = io.StringIO(), io.StringIO()
     with (
         contextlib.redirect_stdout(out),
@@ -56,13 +56,13 @@
 
 @contextlib.contextmanager
 def in_store(store: MemoryStore) -> Iterator[None]:
-    """Let the commands find ``store`` at every address."""
+    """Make the commands use ``store`` for every address."""
     with mock.patch.object(_ctl_configuration, "HttpStore", return_value=store):
         yield
 
 
 class CtlTest(unittest.TestCase):
-    """A directory to work in, with the generated Naidu configuration."""
+    """Base of tests that need a directory with the generated Naidu configuration."""
 
     def setUp(self) -> None:
         """Generate the file."""
@@ -74,22 +74,22 @@
         self.generate()
 
     def generate(self) -> Ended:
-        """Generate the file from the example's answers."""
+        """Generate the file from the answers of the Naidu example."""
         words = ["--answers", self.answers, "--output", str(self.file)]
         return ctl("questionnaire", *words)
 
     def edit(self, old: str, new: str) -> None:
-        """Change the file as an operator does."""
+        """Replace ``old`` by ``new`` in the file, as an operator would."""
         text = self.file.read_text("utf-8")
         self.assertIn(old, text)
         self.file.write_text(text.replace(old, new, 1), "utf-8")
 
 
 class HelpTest(unittest.TestCase):
-    """What a newcomer sees first."""
+    """Help and errors about the command line."""
 
     def test_every_command_has_help_with_an_example(self) -> None:
-        """Each shows how it is called."""
+        """The help of every command contains an example call."""
         for name in commands():
             with self.subTest(name):
                 ended = ctl(name, "--help")
@@ -97,7 +97,7 @@
                 self.assertIn(f"    fireflyfork-ctl {name}", ended.out)
 
     def test_bad_command_lines(self) -> None:
-        """What is wrong, and status 2."""
+        """A bad command line gives exit code 2 and a message that names the problem."""
         cases = [
             (["apply"], "required: file"),
             (["nonsense"], "invalid choice"),
@@ -115,23 +115,23 @@
 
 
 class QuestionnaireTest(CtlTest):
-    """From answers to a file."""
+    """The command ``questionnaire``."""
 
     def test_generating_again_changes_nothing(self) -> None:
-        """The file is the same, also the version that it was made from."""
+        """The same answers give the same file, including its version."""
         self.edit('"version": 0', '"version": 7')
         before = self.file.read_text("utf-8")
         self.assertEqual(self.generate().code, 0)
         self.assertEqual(self.file.read_text("utf-8"), before)
 
     def test_what_becomes_of_the_file_before(self) -> None:
-        """Somebody edited the generated file by hand; generating again would undo it unseen."""
+        """A manual edit of the generated file is listed when generating again overwrites it."""
         self.edit('"longest_queue": 64', '"longest_queue": 16')
         self.assertIn("~ services[booking-desk].longest_queue: 16 -> 64", self.generate().out)
         self.assertNotIn("~", self.generate().out)
 
     def test_at_the_terminal(self) -> None:
-        """Typed answers give the same configuration as the example's file, and are saved."""
+        """Typed answers are saved and give the same configuration as the example's answers file."""
         typed = "\n".join(replies_for(example_answers("naidu"))) + "\n"
         output = self.directory / "typed.jsonc"
         ended = ctl("questionnaire", "--output", str(output), standard_input=typed)
@@ -141,14 +141,14 @@
         self.assertTrue((self.directory / "typed.answers.jsonc").exists())
 
     def test_the_terminal_is_closed(self) -> None:
-        """The connection to the terminal breaks half way; nothing half-made is left behind."""
+        """If the input ends half way, no partial file is written."""
         output = self.directory / "typed.jsonc"
         ended = ctl("questionnaire", "--output", str(output), standard_input="Naidu\nyes\n")
         self.assertEqual(ended.code, ExitCode.USAGE)
         self.assertEqual([path.name for path in self.directory.iterdir()], ["naidu.jsonc"])
 
     def test_unusable_answers(self) -> None:
-        """Every fault is named, and no file is written."""
+        """Every violation is listed, and no file is written."""
         bad = self.directory / "bad.jsonc"
         text = example_text("naidu").replace('"127.0.0.1:9101"', '"desk:1"')
         bad.write_text(text, "utf-8")
@@ -160,10 +160,10 @@
 
 
 class ConfigurationTest(CtlTest):
-    """Checks, changes and their history."""
+    """The commands ``check``, ``apply``, ``show``, ``history`` and ``rollback``."""
 
     def test_check(self) -> None:
-        """A valid file, one with two broken rules, and one that can't be decoded."""
+        """Checks a valid file, a file that breaks two rules, and two unreadable files."""
         self.assertEqual(ctl("check", str(self.file)).code, ExitCode.DONE)
         self.edit('"longest_queue": 64', '"longest_queue": -1')
         self.edit('"spill_share": 0.2', '"spill_share": 20')
@@ -176,7 +176,7 @@
         self.assertEqual(ctl("check", "absent.jsonc").code, ExitCode.USAGE)
 
     def test_apply_history_rollback(self) -> None:
-        """An operator applies, changes, looks back and takes the change back."""
+        """An operator applies a file, changes it, reads the history and rolls the change back."""
         store = MemoryStore()
         with in_store(store):
             dry = ctl("apply", str(self.file), *STORE, "--dry-run")
@@ -200,9 +200,9 @@
             self.assertEqual(ctl("rollback", "9", *STORE).code, ExitCode.NOT_FOUND)
 
     def test_two_operators(self) -> None:
-        """Two operators start from version 1; the second to apply is told what the first changed.
+        """Two operators start from version 1, and the second is shown what the first changed.
 
-        Without this, the first one's change would vanish, and both would believe in theirs.
+        Without this check, the second change would silently overwrite the first.
         """
         store = MemoryStore()
         with in_store(store):
@@ -220,7 +220,7 @@
             self.assertEqual(ctl("apply", str(self.file), *STORE, "--base", "2").code, 0)
 
     def test_invalid_and_forbidden_changes(self) -> None:
-        """What breaks a rule, or may not change while entries run, never reaches the store."""
+        """Invalid files, and changes that are forbidden while entries run, never reach the store."""
         store = MemoryStore()
         with in_store(store):
             ctl("apply", str(self.file), *STORE)
@@ -233,9 +233,9 @@
             self.assertEqual(ctl("history", *STORE, "--json").plain[-1]["version"], 1)
 
     def test_unusual_values(self) -> None:
-        """An operator types milliseconds where seconds belong, and no rule forbids the value.
+        """A valid value in the wrong unit is rejected unless the operator accepts unusual values.
 
-        Without a question back, the first caller of the phone line would be the one to notice.
+        Otherwise a value such as 1024 bytes for 1 MiB would go unnoticed until a request fails.
         """
         store = MemoryStore()
         with in_store(store):
@@ -254,7 +254,7 @@
             self.assertEqual(ctl("rollback", "1", *STORE).code, ExitCode.DONE)
 
     def test_store_down(self) -> None:
-        """Each command says that the store is down and whether anything was changed."""
+        """Each command reports that the store is down and that nothing was changed."""
         down = [Fault.REFUSED] * 50
         for words in (["apply", str(self.file)], ["show"], ["history"], ["rollback", "1"]):
             with self.subTest(words=words), in_store(MemoryStore(down)):
@@ -263,7 +263,7 @@
                 self.assertIn("nothing was changed", ended.error)
 
     def test_store_down_in_the_middle(self) -> None:
-        """The store takes the change and goes down; the operator learns that it may be in force."""
+        """The store applies a change and goes down; the message says that it may have taken effect."""
         store = MemoryStore([Fault.NONE, Fault.ANSWER_LOST, *[Fault.REFUSED] * 50])
         with in_store(store):
             ended = ctl("apply", str(self.file), *STORE, "--patience", "0.1", "--json")
@@ -281,7 +281,7 @@
     """The command ``trace``."""
 
     def test_from_files_and_standard_input(self) -> None:
-        """A trace is drawn from a directory, a file or a pipe; an unknown one is not found."""
+        """A trace is shown from a directory, a file or a pipe; an unknown trace is not found."""
         line = json.dumps(
             {
                 "name": "request",
@@ -305,13 +305,13 @@
 
 
 class FakeEntries:
-    """Entries that answer from a dictionary."""
+    """A fake of ``_call`` that takes the entries' answers from a dictionary."""
 
     def __init__(self, answers: dict[tuple[str, str], tuple[int, bytes]]) -> None:
         self._answers = answers
 
     async def call(self, address: object, method: str, target: str) -> tuple[int, bytes]:
-        """Stands for the call over HTTP."""
+        """Return the stored answer. Raises CommandError if there is none."""
         answer = self._answers.get((str(address), f"{method} {target}"))
         if answer is None:
             raise CommandError(ExitCode.UNAVAILABLE, f"the entry at {address} can't be reached")
@@ -319,10 +319,10 @@
 
 
 class EntriesTest(unittest.TestCase):
-    """Status, metrics and drain of entries."""
+    """The commands ``status``, ``metrics`` and ``drain`` on entries."""
 
     def setUp(self) -> None:
-        """Two entries; the second one is dead."""
+        """Fake an entry that answers everything and one that only refuses to drain."""
         desk = {"own_targets": ["desk-1", "desk-2"], "free_slots": 16, "queued": 3}
         status = {"member": "entry-1-ab", "configuration_version": 4, "services": {"desk": desk}}
         first = "127.0.0.1:1"
@@ -338,7 +338,7 @@
         self.addCleanup(patch.stop)
 
     def test_status(self) -> None:
-        """A dead entry is shown as such beside a living one."""
+        """An unreachable entry is shown along with a reachable entry."""
         ended = ctl("status", "--entries", "127.0.0.1:1", "127.0.0.1:2")
         self.assertEqual(ended.code, ExitCode.DONE)
         first, second = ended.out.splitlines()[1:]
@@ -347,7 +347,7 @@
         self.assertEqual(ctl("status", "--entries", "127.0.0.1:2").code, ExitCode.UNAVAILABLE)
 
     def test_version_in_force(self) -> None:
-        """After an apply, the operator asks whether it is in force everywhere."""
+        """``--version`` succeeds only if every entry has that version in force."""
         cases = [
             (["127.0.0.1:1"], "4", ExitCode.DONE),
             (["127.0.0.1:1"], "5", ExitCode.FAILED),
@@ -359,9 +359,9 @@
                 self.assertEqual(ended.code, code)
 
     def test_apply_waits_until_it_is_in_force(self) -> None:
-        """The store has the change; one entry holds it, another is dead.
+        """``apply`` fails if a named entry does not have the accepted version in force.
 
-        Told only "accepted", the operator would leave while a part of the fleet serves the old one.
+        Otherwise an operator would leave while part of the fleet still uses the old version.
         """
         cases = [(["127.0.0.1:1"], ExitCode.DONE), (["127.0.0.1:2"], ExitCode.FAILED)]
         for entries, code in cases:
@@ -378,7 +378,7 @@
                 self.assertIn("accepted: version 1", ended.out)
 
     def test_metrics(self) -> None:
-        """For people, as JSON and as they are."""
+        """Metrics are printed as a table, as JSON and unchanged."""
         entries = ["--entries", "127.0.0.1:1"]
         self.assertIn("calls_total", ctl("metrics", *entries).out)
         (sample,) = ctl("metrics", *entries, "--json").plain["entries"]["127.0.0.1:1"]
@@ -387,7 +387,7 @@
         self.assertEqual(raw.strip(), 'calls_total{service="desk"} 3')
 
     def test_drain(self) -> None:
-        """An entry that drains, one that can't be asked to, and a dead one."""
+        """Drains an entry that accepts, one without the endpoint and an unreachable one."""
         cases = [
             ("127.0.0.1:1", ExitCode.DONE),
             ("127.0.0.1:3", ExitCode.REFUSED),
@@ -398,7 +398,7 @@
                 self.assertEqual(ctl("drain", address).code, code)
 
     def test_drain_and_wait(self) -> None:
-        """An entry that ends once it was asked to, and one that hangs on."""
+        """``--wait`` succeeds for an entry that ends and fails for an entry that keeps running."""
         drained = "127.0.0.1:4"
         answers = {(drained, "POST /drain"): (202, b"{}")}
         with mock.patch.object(_ctl_entries, "_call", FakeEntries(answers).call):
@@ -410,7 +410,7 @@
 
 
 class FakePlanners:
-    """A planner with one job that is finished at the third look, or one that fails every call."""
+    """A client of a planner whose only job ends at the third status call, or whose calls all fail."""
 
     def __init__(
         self,
@@ -430,32 +430,32 @@
         return JobStatus(JobId("letters"), state, 2, {"running": 2}, 1.0, failures)
 
     async def submit(self, job: object) -> JobStatus:
-        """Stored."""
+        """Return the job as open."""
         return self._job("open")
 
     async def cancel(self, job_id: str, index: int | None = None) -> JobStatus:
-        """Cancelled."""
+        """Return the job as cancelled."""
         return self._job("cancelled")
 
     async def status(self, job_id: str) -> JobStatus:
-        """Open at the first two looks."""
+        """Return the job as open for the first two calls; fail for ``failed_status_calls`` calls."""
         self._looks += 1
         if self._looks <= self._silent_looks:
             raise BatchCallError(BatchProblem("connection refused"), None)
         return self._job(self._state if self._looks > 2 else "open")
 
     async def jobs(self) -> tuple[JobStatus, ...]:
-        """The one job."""
+        """Return the only job."""
         return (self._job("open"),)
 
     async def explain(self, job_id: str, index: int) -> TaskExplanation:
-        """Why its task waits."""
+        """Return why the job's task waits."""
         self._job("open")
         return TaskExplanation(TaskId("letters/0"), "waiting", "waits for memory", evictions=2)
 
 
 class JobsTest(unittest.TestCase):
-    """Batch work."""
+    """The commands ``submit``, ``cancel``, ``explain`` and ``status`` on jobs."""
 
     PLANNERS = ("--planners", "127.0.0.1:1")
     SUBMIT = ("submit", "letters", "--team", "letters", "--cores", "2", "--memory", "4GB",
@@ -471,7 +471,7 @@
             return ctl(*words)
 
     def test_submit_and_wait(self) -> None:
-        """Progress on the way, and the outcome in the exit status."""
+        """``--wait`` prints progress, and the exit code tells whether the job finished."""
         ended = self.run_with(FakePlanners(), *self.SUBMIT, "--wait", "60")
         self.assertEqual(ended.code, ExitCode.DONE)
         self.assertEqual(ended.error.count("letters: 2 running"), 2)
@@ -480,7 +480,7 @@
         self.assertIn("task letters/1: too large", failed.out)
 
     def test_other_commands(self) -> None:
-        """Status, cancel and explain."""
+        """Status, cancel and explain print what the planner returns."""
         planners = FakePlanners()
         self.assertIn("open", self.run_with(planners, "status", "letters", *self.PLANNERS).out)
         listed = self.run_with(planners, "status", *self.PLANNERS, "--json").plain
@@ -491,24 +491,25 @@
         self.assertIn("evicted 2 times", told)
 
     def test_a_planner_restarts_during_the_wait(self) -> None:
-        """The planner is replaced while an operator waits for a long job; the wait goes on."""
+        """``--wait`` continues while a planner restarts."""
         planners = FakePlanners(silent_looks=2)
         ended = self.run_with(planners, "status", "letters", *self.PLANNERS, "--wait", "60")
         self.assertEqual(ended.code, ExitCode.DONE, ended.error)
         self.assertEqual(ended.error.count("no answer from a planner"), 2)
 
     def test_a_dead_planner_hides_nothing(self) -> None:
-        """Status says which planner is silent; alone, that is what the exit status says."""
+        """Status lists a planner that does not answer, and fails if no planner answers."""
         error = BatchCallError(BatchProblem("connection refused"), None)
         ended = self.run_with(FakePlanners(error), "status", *self.PLANNERS)
         self.assertIn("planner 127.0.0.1:1: connection refused", ended.out)
         self.assertEqual(ended.code, ExitCode.UNAVAILABLE)
 
     def test_what_planners_refuse(self) -> None:
-        """A refusal, an unknown job, silence, and silence after the request was sent.
+        """Each kind of failure has its own exit code and message.
 
-        The last two look alike at the terminal. Told "not stored", the operator would submit
-        under another id, and the letters would go out twice.
+        A failed connection and a lost answer look alike to the operator. If a job that may be
+        stored were reported as not stored, the operator would submit it again under another id and
+        it would run twice.
         """
         cases = [
             (BatchProblem("no worker can hold it"), 409, ExitCode.REFUSED, "no worker"),
--- a/fireflyfork/programs/tests/test_ctl_account.py
+++ b/fireflyfork/programs/tests/test_ctl_account.py
@@ -1,4 +1,4 @@
-"""The command ``account`` on files of log lines."""
+"""Tests of the command ``account`` on files of log lines."""
 
 import unittest
 from contextlib import redirect_stderr, redirect_stdout
@@ -29,7 +29,7 @@
 
 
 class AccountCommandTest(unittest.TestCase):
-    """What is printed."""
+    """The exit code and the printed tables."""
 
     def setUp(self) -> None:
         folder = TemporaryDirectory()
@@ -59,7 +59,7 @@
         self.assertRegex(text, r"watch work +4 +600\.0 +3\.0")
 
     def test_logs_without_what_is_asked_for(self) -> None:
-        """Guards against an empty table, which looks as if nothing had been late or spent."""
+        """Logs without the data fail; an empty table would look as if no job was late."""
         for lines, loops in ((LATE_JOB, True), (LOOPS, False)):
             with self.subTest(loops=loops):
                 self.assertIs(self._run(lines, loops)[0], ExitCode.NOT_FOUND)
--- a/fireflyfork/programs/tests/test_ctl_store.py
+++ b/fireflyfork/programs/tests/test_ctl_store.py
@@ -1,4 +1,4 @@
-"""Changing the stored configuration while the store and other operators misbehave."""
+"""Tests of changes to the stored configuration under store faults and concurrent operators."""
 
 import random
 import unittest
@@ -21,7 +21,7 @@
 
 
 def in_virtual_time(body: Callable[[], Awaitable[None]]) -> None:
-    """Run ``body`` on a clock that jumps over every pause."""
+    """Run ``body`` on a clock that skips all waiting times."""
 
     async def main() -> None:
         await body()
@@ -30,19 +30,19 @@
 
 
 def configuration_store(store: MemoryStore, seed: int = 0) -> ConfigurationStore:
-    """A client whose change ids are the same in every run."""
+    """Return a client whose change ids are the same in every run."""
     return ConfigurationStore(store, randomness=random.Random(seed))
 
 
 def prepared(
     stored: ConfigurationStore, proposed: Configuration, current: Current, name: str
 ) -> Configuration:
-    """What to write, with a change id that a test can name."""
+    """Return the configuration to write, with a given change id."""
     return replace(stored.prepare(proposed, current, ""), change_id=ChangeId(name))
 
 
 async def change(stored: ConfigurationStore, partitions: int, name: str) -> Configuration:
-    """Read what is in force and replace it, as one operator does; returns what was written."""
+    """Replace the configuration in force, as one operator does, and return what was written."""
     current = await stored.current()
     proposed = replace(BASE, partitions_per_region=partitions)
     written = prepared(stored, proposed, current, name)
@@ -51,10 +51,10 @@
 
 
 class ReplaceTest(unittest.TestCase):
-    """One change at a time."""
+    """Single changes, with one fault each."""
 
     def test_versions_and_history(self) -> None:
-        """Three changes make versions 1 to 3, and each can be read again."""
+        """Three changes make versions 1 to 3, and each version can be read again."""
 
         async def body() -> None:
             stored = configuration_store(MemoryStore())
@@ -68,7 +68,7 @@
         in_virtual_time(body)
 
     def test_history_is_bounded(self) -> None:
-        """Thousands of changes a day must not fill the store."""
+        """Old versions are deleted, so that frequent changes don't fill the store."""
 
         async def body() -> None:
             stored = configuration_store(MemoryStore())
@@ -79,9 +79,9 @@
         in_virtual_time(body)
 
     def test_lost_answer_is_settled(self) -> None:
-        """The store takes the change, and the answer is lost on its way back.
+        """The store applies a change, but its answer is lost.
 
-        The operator must be told that it is in force, and it must not count as two versions.
+        The change must be reported as in force and must not be written as a second version.
         """
 
         async def body() -> None:
@@ -97,10 +97,10 @@
         in_virtual_time(body)
 
     def test_lost_answer_and_replaced_since(self) -> None:
-        """A change takes effect, its answer is lost, and a second operator replaces it at once.
+        """An operator's change takes effect, its answer is lost, and a second operator replaces it.
 
-        The first operator reads back a change id that is not theirs. Told that they lost the
-        race, they would apply again and undo the second operator's change.
+        The first operator reads back another change id. If that were reported as a lost race, the
+        first operator would apply again and undo the second operator's change.
         """
 
         async def body() -> None:
@@ -123,7 +123,7 @@
         in_virtual_time(body)
 
     def test_loser_of_a_race(self) -> None:
-        """Two operators change the same version at once; the second is told and changes nothing."""
+        """Of two operators who change the same version, the second fails and changes nothing."""
 
         async def body() -> None:
             store = MemoryStore()
@@ -139,7 +139,7 @@
         in_virtual_time(body)
 
     def test_outage_before_the_write(self) -> None:
-        """The store is down when the operator applies: the error says that nothing changed."""
+        """If the store fails before the write, the error says that nothing was changed."""
 
         async def body() -> None:
             store = MemoryStore()
@@ -154,10 +154,9 @@
         in_virtual_time(body)
 
     def test_outage_after_the_write(self) -> None:
-        """The store goes down in the middle of a change and stays down.
+        """The store goes down during a change and stays down.
 
-        Nobody can know whether it took effect, so the operator is told exactly that, with the
-        change id to look for.
+        Whether the change took effect can't be known, so the error says so and names the change id.
         """
 
         async def body() -> None:
@@ -171,10 +170,10 @@
         in_virtual_time(body)
 
     def test_a_wiped_store_does_not_start_again_at_version_1(self) -> None:
-        """The platform loses the store's contents, and the operator applies the file again.
+        """The store loses its contents, and the operator applies the file again.
 
-        Entries hold version 5 and never go back; a new version 1 would be ignored everywhere
-        while the operator believes it to be in force.
+        Entries have version 5 and never go back to a lower version. They would ignore a new version
+        1, although the operator was told that it is in force.
         """
 
         async def body() -> None:
@@ -189,7 +188,7 @@
 
 
 class ConcurrentChangesTest(unittest.TestCase):
-    """Several operators at once, over a store that refuses calls and loses answers."""
+    """Concurrent operators, with a store that refuses calls and loses answers."""
 
     @settings(max_examples=80)
     @given(
@@ -200,10 +199,10 @@
     def test_every_operator_is_told_the_truth(
         self, faults: list[Fault], operators: int, seed: int
     ) -> None:
-        """Each change that is reported in force is in the history once, and no other is.
+        """Each change reported as accepted is in the history once, and no refused change is.
 
-        Operators race while answers are lost. One who is told "in force" when it is not, or "not
-        changed" when it is, makes the next mistake from a false belief.
+        Guards against a wrong report to one of several operators who race while answers are lost: a
+        change reported as accepted that is not in force, or as refused that is.
         """
 
         async def body() -> None:
@@ -236,7 +235,7 @@
 
 
 async def _changes(store: MemoryStore) -> list[str]:
-    """The change ids of every version, oldest first."""
+    """Return the change ids of all versions, oldest first."""
     stored = configuration_store(store)
     versions = [await stored.version(version) for version in await stored.versions()]
     versions.append((await stored.current()).configuration)
--- a/fireflyfork/programs/tests/test_planner_attempts.py
+++ b/fireflyfork/programs/tests/test_planner_attempts.py
@@ -1,4 +1,4 @@
-"""What a planner starts, and when: single failures, one at a time."""
+"""Tests of the attempts that a planner starts under single failures."""
 
 import unittest
 from dataclasses import replace
@@ -15,11 +15,11 @@
 JOB = JobId("night")
 FIRST = TaskId("night/0")
 LONG_LEASES = PlanningRules(LeaseRules(lease=30.0, silence=8.0, margin=3.0))
-"""A worker that falls silent runs on for a while after the planner has noticed."""
+"""Leases that outlast ``silence``, so an unreachable worker runs on after the planner notices."""
 
 
 def starts_of(planners: Planners, task_id: TaskId) -> list[tuple[int, WorkerId]]:
-    """The attempts of a task that were started, and where."""
+    """Return the attempt number and worker of each start of a task."""
     return [
         (event.attempt, event.worker_id)
         for event in planners.workers.history
@@ -28,17 +28,17 @@
 
 
 def state_of(planners: Planners, task_id: TaskId) -> TaskState | None:
-    """The state of an open task at the present owner."""
+    """Return the state of an open task at the current owner."""
     state = planners.runner.state
     task = state.table.tasks.get(task_id) if state is not None else None
     return task.state if task is not None else None
 
 
 class StartsTest(unittest.TestCase):
-    """No start without a stored intent, and none twice."""
+    """Tasks start only after their intent is stored, and only once."""
 
     def test_nothing_starts_while_the_store_is_away(self) -> None:
-        """Guards against a start without a stored intent, which the next planner repeats."""
+        """Guards against a start without a stored intent, which the next planner would repeat."""
 
         async def body() -> None:
             async with trio.open_nursery() as nursery:
@@ -55,7 +55,7 @@
         run_simulated(body)
 
     def test_running_work_goes_on_in_a_store_outage(self) -> None:
-        """The store is away for longer than a lease lasts; what runs must not be stopped for it."""
+        """Running tasks must continue while the store is unavailable for longer than a lease."""
 
         async def body() -> None:
             async with trio.open_nursery() as nursery:
@@ -72,7 +72,7 @@
         run_simulated(body)
 
     def test_a_start_that_arrives_late(self) -> None:
-        """Guards against a task that runs in two places by an order that was stuck on its way."""
+        """Guards against a task that runs on two workers because a delayed start order arrives."""
 
         async def body() -> None:
             async with trio.open_nursery() as nursery:
@@ -91,7 +91,7 @@
         run_simulated(body)
 
     def test_a_renewal_that_arrives_late(self) -> None:
-        """Guards against a given-up run that goes on by a renewal that was stuck on its way."""
+        """Guards against a run that was given up but continues because a delayed renewal arrives."""
 
         async def body() -> None:
             async with trio.open_nursery() as nursery:
@@ -119,7 +119,7 @@
         run_simulated(body)
 
     def test_cancelled_work_never_runs_again(self) -> None:
-        """A job is cancelled while half of it runs, and the planner dies before it could stop it."""
+        """A job is cancelled, and the planner crashes before it can stop the running tasks."""
 
         async def body() -> None:
             async with trio.open_nursery() as nursery:
@@ -148,10 +148,10 @@
 
 
 class IdleWorkersTest(unittest.TestCase):
-    """Workers that had nothing to do for long."""
+    """Workers that have been idle for a long time."""
 
     def test_the_first_task_on_a_worker_that_was_idle(self) -> None:
-        """Guards against the eviction of the first task on a worker that had nothing to report."""
+        """Guards against evicting the first task on a worker that had nothing to report before."""
 
         async def body() -> None:
             async with trio.open_nursery() as nursery:
@@ -169,7 +169,7 @@
     """Workers and tasks that fail."""
 
     def test_a_worker_that_fails_everything(self) -> None:
-        """One worker of three fails all it is given; the work goes to the others and finishes."""
+        """If one of three workers fails all its tasks, the other workers finish the job."""
 
         async def body() -> None:
             async with trio.open_nursery() as nursery:
@@ -185,7 +185,7 @@
         run_simulated(body)
 
     def test_a_task_that_fails_everywhere_is_given_up(self) -> None:
-        """A task that can never run must end with a reason and not go round for ever."""
+        """A task that can never run must fail with a reason instead of being retried forever."""
 
         async def body() -> None:
             async with trio.open_nursery() as nursery:
@@ -204,7 +204,7 @@
         run_simulated(body)
 
     def test_a_worker_that_falls_silent(self) -> None:
-        """A rack loses its link; its tasks go on elsewhere, but only once their leases are over."""
+        """Tasks of an unreachable worker start elsewhere, but only after their leases have ended."""
 
         async def body() -> None:
             async with trio.open_nursery() as nursery:
--- a/fireflyfork/programs/tests/test_planner_endpoint.py
+++ b/fireflyfork/programs/tests/test_planner_endpoint.py
@@ -1,4 +1,4 @@
-"""The planner's endpoint for operators, over real sockets, with the store and platform in memory."""
+"""Tests of the planner's endpoint over real sockets, with an in-memory store and platform."""
 
 import json
 import unittest
@@ -29,7 +29,7 @@
 
 
 class Served:
-    """A planner that listens, and clients to it."""
+    """A planner that serves on a socket, and clients connected to it."""
 
     def __init__(self, store: MemoryStore, runner: PartitionRunner, address: Address) -> None:
         self.store = store
@@ -40,7 +40,7 @@
 
 
 def run_served(body: Body) -> None:
-    """Run ``body`` with a planner at a free port."""
+    """Run ``body`` with a planner on a free port."""
 
     async def main() -> None:
         store = MemoryStore()
@@ -60,7 +60,7 @@
 
 
 def make_request(name: str = "night", **fields: object) -> JobRequest:
-    """A job of confirmation letters."""
+    """Return a job of confirmation letters."""
     values: dict[str, object] = {
         "job_id": JobId(name),
         "team": TeamName("letters"),
@@ -73,10 +73,10 @@
 
 
 class EndpointTest(unittest.TestCase):
-    """What operators are told."""
+    """The answers to operators' requests."""
 
     def test_a_repeated_submission_changes_nothing(self) -> None:
-        """The answer to a submission is lost and the operator submits again."""
+        """A submission that is repeated after a lost answer has no further effect."""
 
         async def body(served: Served) -> None:
             first = await served.client.submit(make_request())
@@ -90,7 +90,7 @@
         run_served(body)
 
     def test_hopeless_jobs_are_refused_with_a_reason(self) -> None:
-        """A job that could never run must be refused at once and not wait for ever."""
+        """A job that could never run must be refused at once instead of waiting forever."""
         cases: list[tuple[dict[str, object], int, str]] = [
             ({"resources": Resources(5000, 1)}, 409, "no worker is large enough"),
             ({"team": TeamName("nobody")}, 409, "no team"),
@@ -113,7 +113,10 @@
         run_served(body)
 
     def test_a_submission_is_answered_only_when_stored(self) -> None:
-        """The store is away; an answer now would promise a job that the next planner never saw."""
+        """While the store is down, a submission must not be answered.
+
+        An answer would promise a job that the next owner of the partition does not have.
+        """
 
         async def body(served: Served) -> None:
             served.store.down = True
@@ -135,7 +138,7 @@
         run_served(body)
 
     def test_status_explain_and_cancel(self) -> None:
-        """An operator follows a job, asks about a task, and cancels."""
+        """An operator reads a job's status, explains its tasks and cancels them."""
 
         async def body(served: Served) -> None:
             await served.client.submit(make_request(tasks=10))
@@ -165,7 +168,7 @@
         run_served(body)
 
     def test_metrics_for_a_scraper(self) -> None:
-        """The figures of each partition, and how long tasks waited for their starts."""
+        """The metrics include each partition's values and how long tasks waited for their start."""
 
         async def body(served: Served) -> None:
             await served.client.submit(make_request(tasks=2))
@@ -180,7 +183,7 @@
         run_served(body)
 
     def test_malformed_calls(self) -> None:
-        """Bad input gets a clear status and a reason as JSON, and the planner lives on."""
+        """Malformed requests get an error status and a JSON reason, and the planner keeps serving."""
         cases = [
             ("POST", "/v1/jobs", b"{", 400),
             ("POST", "/v1/jobs", b'{"job_id": 1}', 400),
@@ -202,7 +205,10 @@
         run_served(body)
 
     def test_a_refused_connection_proves_that_nothing_was_accepted(self) -> None:
-        """No planner listens; an operator told "unknown" would have to look before going on."""
+        """A refused connection is reported as not accepted, and the next planner is tried.
+
+        Reported as unknown, it would force the operator to check whether the job was stored.
+        """
 
         async def body(served: Served) -> None:
             listeners = await listen("127.0.0.1", 0)
@@ -217,7 +223,7 @@
         run_served(body)
 
     def test_another_planner_redirects_to_the_owner(self) -> None:
-        """An operator asks a planner that does not own the job's partition."""
+        """A planner that does not own the job's partition redirects to the owner."""
 
         async def body(served: Served) -> None:
             rights = SettledRights(frozenset(), {PARTITION: served.address})
--- a/fireflyfork/programs/tests/test_planner_faults.py
+++ b/fireflyfork/programs/tests/test_planner_faults.py
@@ -1,4 +1,4 @@
-"""Planners under faults: whatever happens, the history of what ran stays right."""
+"""Tests of the history of runs while faults are injected into planners."""
 
 import unittest
 from collections.abc import Callable
@@ -33,7 +33,7 @@
 def problems_after(
     faults: list[Fault], new_policy: Callable[[], PlacementPolicy] = FirstFitPolicy
 ) -> list[str]:
-    """Run a job of letters under ``faults`` and say what went wrong."""
+    """Run a job under ``faults`` and return the problems found."""
     problems: list[str] = []
 
     async def body() -> None:
@@ -62,20 +62,23 @@
 
 
 class FaultsTest(unittest.TestCase):
-    """Generated faults, several at a time."""
+    """Generated combinations of faults."""
 
     @settings(max_examples=25)
     @given(FAULTS)
     def test_history_stays_right_with_learned_placement(self, faults: list[Fault]) -> None:
-        """The same while sizes and interference are learned and bad workers are avoided."""
+        """Like ``test_history_stays_right``, with the policy that learns sizes and interference."""
         self.assertEqual(problems_after(faults, InterferenceAwarePolicy), [])
 
     @settings(max_examples=40)
     @given(FAULTS)
     def test_history_stays_right(self, faults: list[Fault]) -> None:
-        """Guards against tasks that run in two places, or are lost, when anything fails."""
+        """Guards against tasks that run on two workers at once or are lost during faults."""
         self.assertEqual(problems_after(faults), [])
 
     def test_planner_paused_while_it_recovers(self) -> None:
-        """Guards against a takeover that a paused planner overwrites, so that nobody runs the partition."""
+        """A planner that is paused during recovery must not undo a later planner's takeover.
+
+        Otherwise no planner would run the partition.
+        """
         self.assertEqual(problems_after([Fault(FaultKind.PLANNER_PAUSED, 0.0, 1.0, 0)]), [])
--- a/fireflyfork/programs/tests/test_planner_journal.py
+++ b/fireflyfork/programs/tests/test_planner_journal.py
@@ -1,4 +1,4 @@
-"""The journal of a partition against a store that loses answers, fails, and has other writers."""
+"""Tests of a partition's journal with lost answers, store failures and concurrent writers."""
 
 import unittest
 
@@ -18,29 +18,29 @@
 
 
 def always() -> bool:
-    """The right to take the partition."""
+    """Allow a takeover."""
     return True
 
 
 def accepted(number: int, tasks: int = 2) -> JobAccepted:
-    """A job of letters."""
+    """Return the change that accepts a job of letters."""
     submission = make_submission()
     return JobAccepted(JobNumber(number), JobId(f"job-{number}"), submission.shape, tasks, 1.0)
 
 
 def make_journal(store: MemoryStore) -> PartitionJournal:
-    """A journal that has not recovered yet."""
+    """Return a journal that has not recovered yet."""
     return PartitionJournal(store, PARTITION)
 
 
 class JournalTest(unittest.TestCase):
-    """Who may write, and what is found again."""
+    """Which writers succeed, and what recovery reads."""
 
     def test_a_lost_answer_is_settled_by_reading_back(self) -> None:
-        """The store applies a write, and its answer is lost on the way.
+        """The store applies a write, but its answer is lost.
 
-        A planner that repeated the write would take its own effect for another owner's and give
-        its partition up; submitters would see an error for jobs that are stored.
+        A planner that repeated the write would mistake its own write for another owner's and give
+        up its partition, and submitters would see errors for jobs that are stored.
         """
 
         async def body() -> None:
@@ -62,9 +62,9 @@
         run_simulated(body)
 
     def test_nothing_of_an_earlier_owner_is_stored(self) -> None:
-        """A planner is paused before a commit, and another takes its partition over.
+        """A planner is paused before a commit while another planner takes over its partition.
 
-        Were the commit still stored, the two would start different attempts of the same tasks.
+        If the commit succeeded, the two planners would start different attempts of the same tasks.
         """
 
         async def body() -> None:
@@ -82,7 +82,7 @@
         run_simulated(body)
 
     def test_commit_under_way_while_another_takes_over(self) -> None:
-        """Both write at the same moment; either the commit is found by the new owner or it fails."""
+        """A commit during a takeover either fails or is read by the new owner."""
 
         async def body() -> None:
             store = MemoryStore()
@@ -115,9 +115,9 @@
         run_simulated(body)
 
     def test_the_ring_is_used_again_and_again(self) -> None:
-        """Planners die in turn over three rounds of the ring; everything stored is found.
+        """Planners crash in turn over three rounds of the ring, and no change is lost.
 
-        A slot that was overwritten before a snapshot covered it would lose accepted jobs.
+        Overwriting a slot before a snapshot covers it would lose accepted jobs.
         """
 
         async def body() -> None:
@@ -144,9 +144,9 @@
         run_simulated(body)
 
     def test_a_late_snapshot_of_an_earlier_owner(self) -> None:
-        """A paused planner's snapshot arrives after the new owner has read the one before.
+        """A paused planner's snapshot arrives after the new owner has read the previous snapshot.
 
-        The new owner's snapshot must win all the same, or the ring fills up and commits end.
+        The new owner must be able to replace it. Otherwise the ring fills up and commits stop.
         """
 
         async def body() -> None:
@@ -171,7 +171,10 @@
         run_simulated(body)
 
     def test_takeovers_without_a_commit_do_not_fill_the_ring(self) -> None:
-        """Planners keep dying right after their takeover, more often than the ring has slots."""
+        """Planners crash right after their takeover, more often than the ring has slots.
+
+        Without a snapshot during recovery, their takeover segments would fill the ring.
+        """
 
         async def body() -> None:
             store = MemoryStore()
--- a/fireflyfork/programs/tests/test_planner_partition.py
+++ b/fireflyfork/programs/tests/test_planner_partition.py
@@ -1,4 +1,4 @@
-"""A partition's runner against the store and the platform in memory, in simulated time."""
+"""Tests of PartitionRunner with an in-memory store and platform in simulated time."""
 
 import unittest
 
@@ -21,10 +21,10 @@
 
 
 class ThinPathTest(unittest.TestCase):
-    """The ordinary life of a job."""
+    """A job without faults."""
 
     def test_a_job_runs_and_its_end_is_visible(self) -> None:
-        """A batch of letters larger than the fleet is submitted; every letter goes out."""
+        """A job with more tasks than the workers can hold at once finishes completely."""
 
         async def body() -> None:
             store = MemoryStore()
--- a/fireflyfork/programs/tests/test_planner_settings.py
+++ b/fireflyfork/programs/tests/test_planner_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a planner that are well typed and still can't work."""
+"""Tests of planner settings that have the right types but break rules."""
 
 import unittest
 
@@ -20,21 +20,21 @@
 
 
 def check(**changes: str) -> None:
-    """Decode and check good settings with ``changes``."""
+    """Decode and check valid settings with ``changes`` applied."""
     fields = {**GOOD, **changes}
     text = ",\n".join(f'"{name}": {value}' for name, value in fields.items())
     decode_settings(f"{{ // a planner\n{text}}}", PlannerSettings, "planner.jsonc").check()
 
 
 class PlannerSettingsTest(unittest.TestCase):
-    """Each bad value is named with its path."""
+    """The checks of PlannerSettings."""
 
     def test_good_settings(self) -> None:
-        """What may be left out has a default."""
+        """Optional settings have defaults."""
         check()
 
     def test_bad_settings(self) -> None:
-        """A planner that starts with them would fail later, when nobody looks."""
+        """Each invalid setting is rejected before the planner starts, with its path in the error."""
         cases = [
             ({"operator_address": '"suva-1:9000"'}, "$.operator_address"),
             ({"peer_key": '"short"'}, "$.peer_key"),
