--- a/fireflyfork/programs/tests/builders_faults.py
+++ b/fireflyfork/programs/tests/builders_faults.py
@@ -172,7 +172,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault. ``delay`` is counted from the previous fault; times are in seconds."""
+    """One fault. ``delay_seconds`` is counted from the previous fault."""
 
     kind: FaultKind
     after: float
