--- a/fireflyfork/programs/_batch_client.py
+++ b/fireflyfork/programs/_batch_client.py
@@ -22,9 +22,9 @@
 
 Answer = TypeVar("Answer")
 
-_MOST_REDIRECTS = 3
+_MAX_REDIRECTS = 3
 _TIMEOUT_SECONDS = 15.0
-_LONGEST_ANSWER_BYTES = 1 << 26
+_MAX_ANSWER_BYTES = 1 << 26
 
 
 class BatchCallError(FireflyforkError):
@@ -88,7 +88,7 @@
         accepted = "no"
         for planner in self._planners:
             try:
-                head, answer = await self._follow(planner, method, target, body)
+                head, answer = await self._request_with_redirects(planner, method, target, body)
             except _NotConnectedError as error:
                 problem = BatchCallError(BatchProblem(str(error), accepted), None)
                 continue
@@ -98,27 +98,27 @@
                 continue
             if head.status == 200:
                 return _decode(answer, answer_type)
-            found = _decode(answer, BatchProblem)
+            reported = _decode(answer, BatchProblem)
             # An earlier planner may have stored the change before it stopped responding. The "no"
             # of a later planner covers only its own attempt and must not override that.
-            accepted = "unknown" if "unknown" in (accepted, found.accepted) else "no"
-            problem = BatchCallError(BatchProblem(found.error, accepted), head.status)
+            accepted = "unknown" if "unknown" in (accepted, reported.accepted) else "no"
+            problem = BatchCallError(BatchProblem(reported.error, accepted), head.status)
             if head.status != 503:
                 break
         raise problem
 
-    async def _follow(
+    async def _request_with_redirects(
         self, planner: Address, method: str, target: str, body: bytes
     ) -> tuple[ResponseHead, bytes]:
-        for _ in range(_MOST_REDIRECTS):
-            head, answer = await self._ask(planner, method, target, body)
+        for _ in range(_MAX_REDIRECTS):
+            head, answer = await self._send_request(planner, method, target, body)
             location = head.header(b"location")
             if head.status != 307 or location is None:
                 return head, answer
             planner = Address.parse(urlsplit(location).netloc)
-        raise _NotConnectedError(f"more than {_MOST_REDIRECTS} redirects")
+        raise _NotConnectedError(f"more than {_MAX_REDIRECTS} redirects")
 
-    async def _ask(
+    async def _send_request(
         self, planner: Address, method: str, target: str, body: bytes
     ) -> tuple[ResponseHead, bytes]:
         try:
@@ -132,7 +132,7 @@
         head = RequestHead(method, target, headers)
         try:
             with trio.fail_after(self._timeout):
-                return await connection.request(head, body, _LONGEST_ANSWER_BYTES)
+                return await connection.request(head, body, _MAX_ANSWER_BYTES)
         except trio.TooSlowError as error:
             raise HttpError(f"no answer from {planner} in time") from error
         finally:
--- a/fireflyfork/programs/_batch_views.py
+++ b/fireflyfork/programs/_batch_views.py
@@ -43,7 +43,7 @@
     return TaskExplanation(
         task.task_id,
         task.state.value,
-        _words(partition, task, why),
+        _describe_task(partition, task, why),
         task.attempt,
         task.worker_id,
         task.progress,
@@ -82,21 +82,19 @@
     return TaskExplanation(task_id, state, f"it has ended ({' or '.join(possible)})")
 
 
-def _words(partition: Partition, task: Task, why: Reason | None) -> str:
+def _describe_task(partition: Partition, task: Task, why: Reason | None) -> str:
     if task.holds_reservation:
         reason = f": {task.reason}" if task.reason else ""
         return f"attempt {task.attempt} is {task.state.value} on {task.worker_id}{reason}"
-    before = f"{task.state.value} after attempt {task.attempt} ({task.reason})"
-    first = before if task.attempt else "accepted and not started yet"
+    previous_attempt = f"{task.state.value} after attempt {task.attempt} ({task.reason})"
+    summary = previous_attempt if task.attempt else "accepted and not started yet"
     if why is not None:
-        return f"{first}: {why.sentence()}"
+        return f"{summary}: {why.sentence()}"
     size = task.shape.resources
-    room = sum(
+    workers_with_room = sum(
         size.fits_in(worker.capacity - partition.table.reserved.get(worker_id, size - size))
         for worker_id, worker in partition.workers.items()
     )
-    if not room:
-        return f"{first}; no worker has room for its declared size now"
-    return (
-        f"{first}; {room} workers have room for its declared size, so a quota or a turn is awaited"
-    )
+    if not workers_with_room:
+        return f"{summary}; no worker has room for its declared size now"
+    return f"{summary}; {workers_with_room} workers have room for its declared size, so a quota or a turn is awaited"
--- a/fireflyfork/programs/_ctl_account.py
+++ b/fireflyfork/programs/_ctl_account.py
@@ -19,7 +19,7 @@
     late_seconds_by_cause,
     summarize,
 )
-from ._ctl_output import CommandError, ExitCode, Output, finish, table
+from ._ctl_output import CommandError, ExitCode, Output, format_table, run_and_report
 from ._ctl_trace import read_lines
 
 INSTANCES_SHOWN = 10
@@ -48,8 +48,8 @@
     output = Output(json)
     lines = chain.from_iterable(map(read_lines, files)) if files else sys.stdin
     if loops:
-        return finish(output, lambda: _show_loops(lines, output))
-    return finish(output, lambda: _show_jobs(lines, output, plot))
+        return run_and_report(output, lambda: _show_loops(lines, output))
+    return run_and_report(output, lambda: _show_jobs(lines, output, plot))
 
 
 def _show_jobs(lines: Iterable[str], output: Output, plot: Path | None) -> ExitCode:
@@ -60,8 +60,8 @@
             "no accepted job is in these logs",
             "give the logs of all instances: each logs the jobs that it accepted",
         )
-    late = [one for one in accounts.jobs if one.late]
-    output.result(late, _report(accounts, late))
+    late = [job for job in accounts.jobs if job.late]
+    output.result(late, _job_report(accounts, late))
     if plot is not None:
         _draw(accounts.jobs, plot)
     return ExitCode.DONE
@@ -79,7 +79,7 @@
     return ExitCode.DONE
 
 
-def _report(accounts: JobAccounts, late: list[JobAccount]) -> Iterator[str]:
+def _job_report(accounts: JobAccounts, late: list[JobAccount]) -> Iterator[str]:
     yield f"{len(late)} of {len(accounts.jobs)} jobs were late or never ended"
     if accounts.share < 1:
         yield f"an owner was busy: this is a sample of {accounts.share:.1%} of all jobs"
@@ -87,55 +87,57 @@
         return
     yield ""
     rows = [(row.queue, row.cause.value, row.jobs, f"{row.seconds:.1f}") for row in summarize(late)]
-    yield from table(("queue", "main cause", "late jobs", "seconds of it"), rows)
+    yield from format_table(("queue", "main cause", "late jobs", "seconds of it"), rows)
     yield ""
     sums = [
         (queue, cause.value, f"{seconds:.1f}")
         for queue, causes in sorted(late_seconds_by_cause(late).items())
-        for cause, seconds in sorted(causes.items(), key=lambda one: -one[1])
+        for cause, seconds in sorted(causes.items(), key=lambda item: -item[1])
     ]
-    yield from table(("queue", "time of late jobs", "seconds"), sums)
+    yield from format_table(("queue", "time of late jobs", "seconds"), sums)
 
 
 def _loop_report(accounts: dict[str, LoopAccount]) -> Iterator[str]:
     instances = [
         (
             name,
-            f"{one.share:.2f}",
-            one.store_calls.total(),
-            _kilobytes(one.store_received.total()),
-            _kilobytes(one.store_sent.total()),
-            one.worst_lag_ms,
+            f"{loop_account.share:.2f}",
+            loop_account.store_calls.total(),
+            _kilobytes(loop_account.store_received.total()),
+            _kilobytes(loop_account.store_sent.total()),
+            loop_account.worst_lag_ms,
         )
-        for name, one in islice(accounts.items(), INSTANCES_SHOWN)
+        for name, loop_account in islice(accounts.items(), INSTANCES_SHOWN)
     ]
-    yield from table(
+    yield from format_table(
         ("instance", "processors", "store calls", "KB received", "KB sent", "worst lag ms"),
         instances,
     )
     busiest, *others = accounts.values()
     yield ""
-    yield from table(("the busiest: activity", "processors"), _share_rows(busiest.shares))
+    yield from format_table(("the busiest: activity", "processors"), _share_rows(busiest.shares))
     shares: dict[str, float] = defaultdict(float)
-    for one in others:
-        for activity, share in one.shares.items():
+    for loop_account in others:
+        for activity, share in loop_account.shares.items():
             shares[activity] += share
     yield ""
-    yield from table(("all others: activity", "processors"), _share_rows(shares))
+    yield from format_table(("all others: activity", "processors"), _share_rows(shares))
     yield ""
-    yield from table(("store calls", "number", "KB received", "KB sent"), _store_rows(accounts))
+    yield from format_table(
+        ("store calls", "number", "KB received", "KB sent"), _store_rows(accounts)
+    )
     yield ""
-    yield from table(("relays in", "KB received", "KB sent"), _relay_rows(accounts))
+    yield from format_table(("relays in", "KB received", "KB sent"), _relay_rows(accounts))
 
 
 def _store_rows(accounts: Mapping[str, LoopAccount]) -> Iterator[tuple[str, int, str, str]]:
     calls: Counter[str] = Counter()
     received: Counter[str] = Counter()
     sent: Counter[str] = Counter()
-    for one in accounts.values():
-        calls.update(one.store_calls)
-        received.update(one.store_received)
-        sent.update(one.store_sent)
+    for loop_account in accounts.values():
+        calls.update(loop_account.store_calls)
+        received.update(loop_account.store_received)
+        sent.update(loop_account.store_sent)
     for purpose, number in calls.most_common():
         yield purpose, number, _kilobytes(received[purpose]), _kilobytes(sent[purpose])
 
@@ -143,9 +145,9 @@
 def _relay_rows(accounts: Mapping[str, LoopAccount]) -> Iterator[tuple[str, str, str]]:
     received: Counter[str] = Counter()
     sent: Counter[str] = Counter()
-    for one in accounts.values():
-        received.update(one.relay_received)
-        sent.update(one.relay_sent)
+    for loop_account in accounts.values():
+        received.update(loop_account.relay_received)
+        sent.update(loop_account.relay_sent)
     for domain in sorted(received.keys() | sent.keys()):
         yield domain, _kilobytes(received[domain]), _kilobytes(sent[domain])
 
@@ -156,7 +158,7 @@
 
 def _share_rows(shares: Mapping[str, float]) -> list[tuple[str, str]]:
     ordered = sorted(shares.items(), key=lambda item: -item[1])
-    return [(activity, f"{one:.3f}") for activity, one in ordered]
+    return [(activity, f"{share:.3f}") for activity, share in ordered]
 
 
 def _draw(accounts: tuple[JobAccount, ...], path: Path) -> None:
--- a/fireflyfork/programs/_ctl_addresses.py
+++ b/fireflyfork/programs/_ctl_addresses.py
@@ -16,26 +16,26 @@
 
 def store_address(given: Address | None) -> Address:
     """Return the store's address. Raises CommandError."""
-    found = _addresses([given] if given is not None else None, STORE_VARIABLE)
-    if not found:
-        raise _unnamed("no store is named", "--store", STORE_VARIABLE)
-    return found[0]
+    addresses = _addresses([given] if given is not None else None, STORE_VARIABLE)
+    if not addresses:
+        raise _missing_address_error("no store is named", "--store", STORE_VARIABLE)
+    return addresses[0]
 
 
 def entry_addresses(given: list[Address] | None, *, required: bool = True) -> tuple[Address, ...]:
     """Return the operator addresses of entries. Raises CommandError."""
-    found = _addresses(given, ENTRIES_VARIABLE)
-    if required and not found:
-        raise _unnamed("no entry is named", "--entries", ENTRIES_VARIABLE)
-    return found
+    addresses = _addresses(given, ENTRIES_VARIABLE)
+    if required and not addresses:
+        raise _missing_address_error("no entry is named", "--entries", ENTRIES_VARIABLE)
+    return addresses
 
 
 def planner_addresses(given: list[Address] | None, *, required: bool = True) -> tuple[Address, ...]:
     """Return the addresses of planners. Raises CommandError."""
-    found = _addresses(given, PLANNERS_VARIABLE)
-    if required and not found:
-        raise _unnamed("no planner is named", "--planners", PLANNERS_VARIABLE)
-    return found
+    addresses = _addresses(given, PLANNERS_VARIABLE)
+    if required and not addresses:
+        raise _missing_address_error("no planner is named", "--planners", PLANNERS_VARIABLE)
+    return addresses
 
 
 def _addresses(given: list[Address] | None, variable: str) -> tuple[Address, ...]:
@@ -49,7 +49,7 @@
         raise CommandError(ExitCode.USAGE, f"{variable}: {error}") from error
 
 
-def _unnamed(message: str, option: str, variable: str) -> CommandError:
+def _missing_address_error(message: str, option: str, variable: str) -> CommandError:
     return CommandError(
         ExitCode.USAGE, message, f"give {option} IP:PORT or set the variable {variable}"
     )
--- a/fireflyfork/programs/_ctl_configuration.py
+++ b/fireflyfork/programs/_ctl_configuration.py
@@ -19,11 +19,11 @@
     with_version,
 )
 from ._ctl_addresses import entry_addresses, store_address
-from ._ctl_change import Change, find_version
+from ._ctl_change import ConfigurationChange, find_version
 from ._ctl_entries import has_version, reports_once_in_force
 from ._ctl_files import read_configuration, read_text
-from ._ctl_output import ExitCode, Output, finish, table
-from ._ctl_run import run_command
+from ._ctl_output import ExitCode, Output, format_table, run_and_report
+from ._ctl_run import run_store_command
 from ._ctl_store import ConfigurationStore
 
 _IN_FORCE_SECONDS = 10.0
@@ -45,7 +45,7 @@
     :param json: print the violations as JSON
     """
     output = Output(json)
-    return finish(output, lambda: _check(file, output))
+    return run_and_report(output, lambda: _check(file, output))
 
 
 def apply(
@@ -89,21 +89,21 @@
     output = Output(json)
 
     def command() -> ExitCode:
-        asked = entry_addresses(entries, required=False)
+        named_entries = entry_addresses(entries, required=False)
         proposed = _read_valid(file, output)
         if proposed is None:
             return ExitCode.INVALID
         if base is not None:
             proposed = _with_base(proposed, ConfigurationVersion(base))
-        change = Change(output, dry_run, note, accept_unusual)
-        stored = _stored(store, output, patience)
-        version = run_command(lambda: change.apply(stored, proposed))
+        change = ConfigurationChange(output, dry_run, note, accept_unusual)
+        config_store = _configuration_store(store, output, patience)
+        version = run_store_command(lambda: change.apply(config_store, proposed))
         if version is None:
             return ExitCode.DONE
         _record_version(file, version, output)
-        return _wait_in_force(asked, version, output)
+        return _wait_in_force(named_entries, version, output)
 
-    return finish(output, command)
+    return run_and_report(output, command)
 
 
 def rollback(
@@ -137,14 +137,16 @@
     output = Output(json)
 
     def command() -> ExitCode:
-        asked = entry_addresses(entries, required=False)
+        named_entries = entry_addresses(entries, required=False)
         reason = note or f"rollback to version {version}"
-        change = Change(output, dry_run, reason, accept_unusual=True)
-        stored = _stored(store, output, patience)
-        new = run_command(lambda: change.roll_back(stored, ConfigurationVersion(version)))
-        return _wait_in_force(asked, new, output) if new is not None else ExitCode.DONE
+        change = ConfigurationChange(output, dry_run, reason, accept_unusual=True)
+        config_store = _configuration_store(store, output, patience)
+        new = run_store_command(
+            lambda: change.roll_back(config_store, ConfigurationVersion(version))
+        )
+        return _wait_in_force(named_entries, new, output) if new is not None else ExitCode.DONE
 
-    return finish(output, command)
+    return run_and_report(output, command)
 
 
 def show(
@@ -164,13 +166,13 @@
     output = Output(json)
 
     def command() -> ExitCode:
-        stored = _stored(store, output)
-        found = run_command(lambda: find_version(stored, version))
-        title = f"Version {found.version}, change {found.change_id}."
-        output.result(found, [render_configuration(found, title).rstrip()])
+        config_store = _configuration_store(store, output)
+        configuration = run_store_command(lambda: find_version(config_store, version))
+        title = f"Version {configuration.version}, change {configuration.change_id}."
+        output.result(configuration, [render_configuration(configuration, title).rstrip()])
         return ExitCode.DONE
 
-    return finish(output, command)
+    return run_and_report(output, command)
 
 
 def history(*, store: Address | None = None, last: int = 20, json: bool = False) -> ExitCode:
@@ -188,16 +190,16 @@
     output = Output(json)
 
     def command() -> ExitCode:
-        stored = _stored(store, output)
-        found = run_command(lambda: _last_versions(stored, last))
-        pairs = zip([None, *found], found, strict=False)
+        config_store = _configuration_store(store, output)
+        versions = run_store_command(lambda: _last_versions(config_store, last))
+        pairs = zip([None, *versions], versions, strict=False)
         rows = [_history_row(earlier, each) for earlier, each in pairs][-last:]
         header = ("version", "time", "changes", "note")
-        lines = table(header, rows)
+        lines = format_table(header, rows)
         output.result([dict(zip(header, row, strict=True)) for row in rows], lines)
         return ExitCode.DONE
 
-    return finish(output, command)
+    return run_and_report(output, command)
 
 
 def _check(file: Path, output: Output) -> ExitCode:
@@ -235,27 +237,29 @@
     if not entries:
         return ExitCode.DONE
     reports = trio.run(reports_once_in_force, entries, version, _IN_FORCE_SECONDS, output)
-    held = sum(has_version((report,), version) for report in reports)
-    output.progress(f"version {version} is in force at {held} of {len(reports)} entries")
-    return ExitCode.DONE if held == len(reports) else ExitCode.FAILED
+    in_force_count = sum(has_version((report,), version) for report in reports)
+    output.progress(f"version {version} is in force at {in_force_count} of {len(reports)} entries")
+    return ExitCode.DONE if in_force_count == len(reports) else ExitCode.FAILED
 
 
 def _with_base(proposed: Configuration, base: ConfigurationVersion) -> Configuration:
     return replace(proposed, version=base)
 
 
-def _stored(store: Address | None, output: Output, patience: float = 30.0) -> ConfigurationStore:
+def _configuration_store(
+    store: Address | None, output: Output, patience: float = 30.0
+) -> ConfigurationStore:
     return ConfigurationStore(HttpStore(store_address(store)), patience, output.progress)
 
 
-async def _last_versions(stored: ConfigurationStore, last: int) -> list[Configuration]:
+async def _last_versions(config_store: ConfigurationStore, last: int) -> list[Configuration]:
     """Return the latest versions and the version before them, oldest first."""
-    present = (await stored.current()).configuration
-    if present is None:
+    in_force = (await config_store.current()).configuration
+    if in_force is None:
         return []
-    earlier = [version for version in await stored.versions() if version < present.version]
-    found = [await stored.version(version) for version in earlier[-last:]]
-    return [configuration for configuration in found if configuration is not None] + [present]
+    earlier = [version for version in await config_store.versions() if version < in_force.version]
+    archived = [await config_store.version(version) for version in earlier[-last:]]
+    return [configuration for configuration in archived if configuration is not None] + [in_force]
 
 
 def _history_row(earlier: Configuration | None, configuration: Configuration) -> tuple[object, ...]:
--- a/fireflyfork/programs/_ctl_entries.py
+++ b/fireflyfork/programs/_ctl_entries.py
@@ -15,7 +15,7 @@
 from ._batch_client import BatchCallError, BatchClient
 from ._batch_messages import PlannerMetrics
 from ._ctl_addresses import entry_addresses, planner_addresses
-from ._ctl_output import CommandError, ExitCode, Output, finish, table
+from ._ctl_output import CommandError, ExitCode, Output, format_table, run_and_report
 from ._entry_messages import EntryStatus
 
 _TIMEOUT_SECONDS = 5.0
@@ -80,7 +80,7 @@
         output.result(plain, [f"{entry}: {_DRAIN_OUTCOMES[outcome]}"])
         return ExitCode.DONE if has_ended or not wait else ExitCode.FAILED
 
-    return finish(output, command)
+    return run_and_report(output, command)
 
 
 def metrics(
@@ -106,22 +106,26 @@
     output = Output(json)
 
     def command() -> ExitCode:
-        wanted = entry_addresses(entries, required=False)
-        asked = planner_addresses(planners, required=False)
-        if not wanted and not asked:
+        named_entries = entry_addresses(entries, required=False)
+        named_planners = planner_addresses(planners, required=False)
+        if not named_entries and not named_planners:
             entry_addresses(None)
-        pages = [(address, trio.run(_page, address)) for address in wanted]
+        pages = [(address, trio.run(_metrics_page, address)) for address in named_entries]
         if raw:
             output.result({str(address): page for address, page in pages}, [p for _, p in pages])
             return ExitCode.DONE
         samples = {str(address): tuple(read_samples(page)) for address, page in pages}
-        figures = [planner_metrics(address) for address in asked]
-        lines = [line for address, found in samples.items() for line in _lines(address, found)]
+        figures = [planner_metrics(address) for address in named_planners]
+        lines = [
+            line
+            for address, entry_samples in samples.items()
+            for line in _sample_lines(address, entry_samples)
+        ]
         lines += [line for each in figures for line in _planner_lines(each)]
         output.result({"entries": samples, "planners": figures}, lines)
         return ExitCode.DONE
 
-    return finish(output, command)
+    return run_and_report(output, command)
 
 
 async def entry_report(address: Address) -> EntryReport:
@@ -129,8 +133,8 @@
     try:
         _, readiness_body = await _call(address, "GET", "/readyz")
         _, status_body = await _call(address, "GET", "/status")
-        readiness = _decoded(readiness_body, _Readiness)
-        status = _decoded(status_body, EntryStatus)
+        readiness = _decode(readiness_body, _Readiness)
+        status = _decode(status_body, EntryStatus)
     except CommandError as error:
         problem = "no answer" if error.code is ExitCode.UNAVAILABLE else error.message
         return EntryReport(str(address), False, None, problem)
@@ -143,25 +147,27 @@
     """Poll the entries until each has ``version`` in force or ``wait`` seconds have passed."""
     deadline = trio.current_time() + wait
     while True:
-        reports = [await entry_report(address) for address in addresses]
-        found = tuple(reports)
-        if has_version(found, version) or trio.current_time() >= deadline:
-            return found
-        behind = [report.address for report in found if not has_version((report,), version)]
+        collected = [await entry_report(address) for address in addresses]
+        reports = tuple(collected)
+        if has_version(reports, version) or trio.current_time() >= deadline:
+            return reports
+        behind = [report.address for report in reports if not has_version((report,), version)]
         output.progress(f"version {version} is not yet in force at {', '.join(behind)}")
         await trio.sleep(_POLL_SECONDS)
 
 
 def has_version(reports: tuple[EntryReport, ...], version: int) -> bool:
     """Return whether every entry has ``version`` or a later one in force; always True for 0."""
-    held = (each.status.configuration_version if each.status else -1 for each in reports)
-    return not version or all(number >= version for number in held)
+    versions_in_force = (
+        each.status.configuration_version if each.status else -1 for each in reports
+    )
+    return not version or all(number >= version for number in versions_in_force)
 
 
 def entry_lines(reports: tuple[EntryReport, ...]) -> list[str]:
     """Format the entries as a table."""
     header = ("entry", "member", "ready", "configuration", "targets", "free slots", "queued")
-    return table(header, (_entry_row(report) for report in reports))
+    return format_table(header, (_entry_row(report) for report in reports))
 
 
 def planner_metrics(address: Address) -> PlannerMetrics:
@@ -189,7 +195,7 @@
     return head.status, body
 
 
-async def _page(address: Address) -> str:
+async def _metrics_page(address: Address) -> str:
     _, body = await _call(address, "GET", "/metrics")
     return body.decode("utf-8", "replace")
 
@@ -207,7 +213,7 @@
     return False
 
 
-def _decoded(body: bytes, kind: type[Answer]) -> Answer:
+def _decode(body: bytes, kind: type[Answer]) -> Answer:
     try:
         return msgspec.json.decode(body, type=kind)
     except msgspec.DecodeError as error:
@@ -230,9 +236,9 @@
     )
 
 
-def _lines(address: str, samples: tuple[Sample, ...]) -> list[str]:
+def _sample_lines(address: str, samples: tuple[Sample, ...]) -> list[str]:
     rows = ((sample.name, _labels(sample.labels), f"{sample.value:g}") for sample in samples)
-    return [address, *(f"  {line}" for line in table(("metric", "labels", "value"), rows))]
+    return [address, *(f"  {line}" for line in format_table(("metric", "labels", "value"), rows))]
 
 
 def _labels(labels: Mapping[str, str]) -> str:
@@ -243,4 +249,4 @@
     plain: list[dict[str, Any]] = [msgspec.to_builtins(each) for each in figures.partitions]
     header = tuple(plain[0]) if plain else ("partition",)
     rows = (tuple(row.values()) for row in plain)
-    return [figures.member, *(f"  {line}" for line in table(header, rows))]
+    return [figures.member, *(f"  {line}" for line in format_table(header, rows))]
--- a/fireflyfork/programs/_ctl_jobs.py
+++ b/fireflyfork/programs/_ctl_jobs.py
@@ -15,12 +15,12 @@
 from ._batch_client import BatchCallError, BatchClient
 from ._batch_messages import JobRequest, JobStatus, TaskExplanation
 from ._ctl_addresses import planner_addresses
-from ._ctl_output import CommandError, ExitCode, Output, finish, table
+from ._ctl_output import CommandError, ExitCode, Output, format_table, run_and_report
 
 _POLL_SECONDS = 1.0
-_REFUSED = frozenset({400, 409, 413})
-_NOT_FOUND = 404
-_PASSING = frozenset({None, 503})
+_REFUSED_STATUSES = frozenset({400, 409, 413})
+_NOT_FOUND_STATUS = 404
+_TRANSIENT_STATUSES = frozenset({None, 503})
 """No answer, or a partition that is being taken over. Both are expected to pass."""
 
 T = TypeVar("T")
@@ -81,12 +81,12 @@
 
     def command() -> ExitCode:
         client = BatchClient(planner_addresses(planners))
-        ask(lambda: client.submit(request))
-        status = ask(lambda: job_after(client, JobId(job), wait, output))
+        call_planner(lambda: client.submit(request))
+        status = call_planner(lambda: wait_for_job(client, JobId(job), wait, output))
         output.result(status, job_lines((status,)))
         return job_exit_code(status) if wait else ExitCode.DONE
 
-    return finish(output, command)
+    return run_and_report(output, command)
 
 
 def cancel(
@@ -114,11 +114,11 @@
 
     def command() -> ExitCode:
         client = BatchClient(planner_addresses(planners))
-        status = ask(lambda: client.cancel(JobId(job), task))
+        status = call_planner(lambda: client.cancel(JobId(job), task))
         output.result(status, job_lines((status,)))
         return ExitCode.DONE
 
-    return finish(output, command)
+    return run_and_report(output, command)
 
 
 def explain(
@@ -139,11 +139,11 @@
 
     def command() -> ExitCode:
         client = BatchClient(planner_addresses(planners))
-        explanation = ask(lambda: client.explain(JobId(job), task))
+        explanation = call_planner(lambda: client.explain(JobId(job), task))
         output.result(explanation, _explanation_lines(explanation))
         return ExitCode.DONE
 
-    return finish(output, command)
+    return run_and_report(output, command)
 
 
 def job_lines(statuses: tuple[JobStatus, ...]) -> list[str]:
@@ -151,33 +151,33 @@
     if not statuses:
         return ["no jobs"]
     rows = ((each.job_id, each.state, each.tasks, _counts(each)) for each in statuses)
-    lines = table(("job", "state", "tasks", "of them"), rows)
+    lines = format_table(("job", "state", "tasks", "of them"), rows)
     for each in statuses:
         lines += [f"  task {failure.task_id}: {failure.reason}" for failure in each.failures]
     return lines
 
 
-async def job_after(client: BatchClient, job: JobId, wait: float, output: Output) -> JobStatus:
+async def wait_for_job(client: BatchClient, job: JobId, wait: float, output: Output) -> JobStatus:
     """Poll a job until it has ended or ``wait`` seconds have passed. Raises BatchCallError.
 
     While the wait lasts, a planner that is restarting is polled again.
     """
     deadline = trio.current_time() + wait
     while True:
-        is_over = trio.current_time() >= deadline
+        timed_out = trio.current_time() >= deadline
         try:
             status = await client.status(job)
-            if status.state != "open" or is_over:
+            if status.state != "open" or timed_out:
                 return status
             output.progress(f"{job}: {_counts(status)}")
         except BatchCallError as error:
-            if is_over or error.status not in _PASSING:
+            if timed_out or error.status not in _TRANSIENT_STATUSES:
                 raise
             output.progress(f"{job}: no answer from a planner: {error}")
         await trio.sleep(_POLL_SECONDS)
 
 
-def ask(call: Callable[[], Awaitable[T]]) -> T:
+def call_planner(call: Callable[[], Awaitable[T]]) -> T:
     """Run an asynchronous call to the planners. Raises CommandError in place of BatchCallError."""
 
     async def main() -> T:
@@ -193,9 +193,9 @@
     if error.problem.accepted == "unknown":
         hint = "repeat the command: a job id is never accepted twice"
         return CommandError(ExitCode.UNKNOWN, f"it may have been stored: {error}", hint)
-    if error.status == _NOT_FOUND:
+    if error.status == _NOT_FOUND_STATUS:
         return CommandError(ExitCode.NOT_FOUND, str(error))
-    if error.status in _REFUSED:
+    if error.status in _REFUSED_STATUSES:
         return CommandError(ExitCode.REFUSED, f"refused, nothing was stored: {error}")
     hint = "running tasks are not affected; try again, or name other planners"
     return CommandError(ExitCode.UNAVAILABLE, f"nothing was changed: {error}", hint)
--- a/fireflyfork/programs/_ctl_output.py
+++ b/fireflyfork/programs/_ctl_output.py
@@ -103,7 +103,7 @@
     )
 
 
-def finish(output: Output, command: Callable[[], ExitCode]) -> ExitCode:
+def run_and_report(output: Output, command: Callable[[], ExitCode]) -> ExitCode:
     """Run a command and return its exit code; a CommandError is printed and becomes its exit code."""
     try:
         return command()
@@ -112,7 +112,7 @@
         return error.code
 
 
-def table(header: tuple[str, ...], rows: Iterable[tuple[object, ...]]) -> list[str]:
+def format_table(header: tuple[str, ...], rows: Iterable[tuple[object, ...]]) -> list[str]:
     """Format rows as lines of left-aligned columns under their headers."""
     cells = [header, *(tuple(str(cell) for cell in row) for row in rows)]
     widths = [max(len(row[column]) for row in cells) for column in range(len(header))]
--- a/fireflyfork/programs/_ctl_questionnaire.py
+++ b/fireflyfork/programs/_ctl_questionnaire.py
@@ -20,7 +20,7 @@
     unusable_addresses,
 )
 from ._ctl_files import read_text, write_text
-from ._ctl_output import CommandError, ExitCode, Output, finish
+from ._ctl_output import CommandError, ExitCode, Output, run_and_report
 
 
 def questionnaire(*, output: Path, answers: Path | None = None, json: bool = False) -> ExitCode:
@@ -49,7 +49,7 @@
             _interview_and_save(source, printer)
         return _generate(_read_answers(source, printer), source.name, output, printer)
 
-    return finish(printer, command)
+    return run_and_report(printer, command)
 
 
 def _saved_answers_file(output: Path) -> Path:
@@ -59,14 +59,14 @@
 def _interview_and_save(file: Path, output: Output) -> None:
     """Ask all questions and save the answers before generating a configuration."""
     try:
-        given = _ask_at_terminal(output)
+        answers = _ask_at_terminal(output)
     except EOFError:
         raise CommandError(
             ExitCode.USAGE,
             "the input ended before all questions were answered; nothing was written",
             "give --answers FILE to answer from a file; examples/naidu/answers.jsonc shows one",
         ) from None
-    write_text(file, render_answers(given, f"Answers of {given.organisation}."))
+    write_text(file, render_answers(answers, f"Answers of {answers.organisation}."))
     output.progress(f"your answers are in {file}; change them there and run with --answers")
 
 
@@ -107,8 +107,8 @@
 
 
 def _generate(answers: Answers, source: str, file: Path, output: Output) -> ExitCode:
-    before = _present(file)
-    version = before.version if before is not None else UNAPPLIED
+    existing = _existing_configuration(file)
+    version = existing.version if existing is not None else UNAPPLIED
     generated = generate(answers, version)
     title = (
         f"{answers.organisation}: made by fireflyfork-ctl questionnaire from {source}.\n"
@@ -119,23 +119,25 @@
     if violations:
         output.violations(str(file), violations)
         return ExitCode.INVALID
-    _tell(file, before, generated.configuration, output)
+    _print_result(file, existing, generated.configuration, output)
     return ExitCode.DONE
 
 
-def _tell(file: Path, before: Configuration | None, after: Configuration, output: Output) -> None:
+def _print_result(
+    file: Path, before: Configuration | None, after: Configuration, output: Output
+) -> None:
     """Print what was written and how it differs from the previous file."""
-    found = differences(before, after) if before is not None else ()
+    changes = differences(before, after) if before is not None else ()
     lines = [
         f"{file}: {len(after.services)} service(s) with {len(after.targets)} targets; "
         "all rules hold",
-        *(["against the file before:"] if found else []),
-        *(f"  {difference}" for difference in found),
+        *(["against the file before:"] if changes else []),
+        *(f"  {difference}" for difference in changes),
     ]
-    output.result({"file": str(file), "violations": [], "differences": found}, lines)
+    output.result({"file": str(file), "violations": [], "differences": changes}, lines)
 
 
-def _present(file: Path) -> Configuration | None:
+def _existing_configuration(file: Path) -> Configuration | None:
     """Return the configuration that the file already contains, or None."""
     if not file.exists():
         return None
--- a/fireflyfork/programs/_ctl_run.py
+++ b/fireflyfork/programs/_ctl_run.py
@@ -14,7 +14,7 @@
 T = TypeVar("T")
 
 
-def run_command(call: Callable[[], Awaitable[T]]) -> T:
+def run_store_command(call: Callable[[], Awaitable[T]]) -> T:
     """Run an asynchronous call to the store. Raises CommandError in place of the store's errors."""
 
     async def main() -> T:
--- a/fireflyfork/programs/_ctl_status.py
+++ b/fireflyfork/programs/_ctl_status.py
@@ -12,8 +12,8 @@
 from ._batch_messages import JobStatus
 from ._ctl_addresses import entry_addresses, planner_addresses
 from ._ctl_entries import entry_lines, has_version, reports_once_in_force
-from ._ctl_jobs import ask, job_after, job_exit_code, job_lines
-from ._ctl_output import CommandError, ExitCode, Output, finish
+from ._ctl_jobs import call_planner, job_exit_code, job_lines, wait_for_job
+from ._ctl_output import CommandError, ExitCode, Output, run_and_report
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,12 +61,12 @@
             return _show_job(JobId(job), planners, wait, output)
         return _show_all(entries, planners, version, wait, output)
 
-    return finish(output, command)
+    return run_and_report(output, command)
 
 
 def _show_job(job: JobId, planners: list[Address] | None, wait: float, output: Output) -> ExitCode:
     client = BatchClient(planner_addresses(planners))
-    status = ask(lambda: job_after(client, job, wait, output))
+    status = call_planner(lambda: wait_for_job(client, job, wait, output))
     output.result(status, job_lines((status,)))
     return job_exit_code(status) if wait else ExitCode.DONE
 
@@ -78,14 +78,14 @@
     wait: float,
     output: Output,
 ) -> ExitCode:
-    wanted = entry_addresses(entries, required=False)
-    asked = planner_addresses(planners, required=False)
-    if not wanted and not asked:
+    named_entries = entry_addresses(entries, required=False)
+    named_planners = planner_addresses(planners, required=False)
+    if not named_entries and not named_planners:
         entry_addresses(None)
-    reports = trio.run(reports_once_in_force, wanted, version, wait, output)
-    views = trio.run(_planner_views, asked)
+    reports = trio.run(reports_once_in_force, named_entries, version, wait, output)
+    views = trio.run(_planner_views, named_planners)
     lines = [*(entry_lines(reports) if reports else []), *_planner_lines(views)]
-    output.result({"entries": reports, "planners": views, "jobs": _jobs(views)}, lines)
+    output.result({"entries": reports, "planners": views, "jobs": _unique_jobs(views)}, lines)
     answered = [report.status is not None for report in reports]
     answered += [not view.problem for view in views]
     if not any(answered):
@@ -104,14 +104,14 @@
         return PlannerView(str(planner), (), str(error))
 
 
-def _jobs(views: tuple[PlannerView, ...]) -> tuple[JobStatus, ...]:
+def _unique_jobs(views: tuple[PlannerView, ...]) -> tuple[JobStatus, ...]:
     """Return the jobs that the planners report, each once, latest first."""
-    known = {status.job_id: status for view in reversed(views) for status in view.jobs}
-    return tuple(sorted(known.values(), key=lambda each: -each.submitted))
+    statuses_by_id = {status.job_id: status for view in reversed(views) for status in view.jobs}
+    return tuple(sorted(statuses_by_id.values(), key=lambda each: -each.submitted))
 
 
 def _planner_lines(views: tuple[PlannerView, ...]) -> list[str]:
     if not views:
         return []
-    silent = [f"planner {view.planner}: {view.problem}" for view in views if view.problem]
-    return ["", *silent, *job_lines(_jobs(views))]
+    problems = [f"planner {view.planner}: {view.problem}" for view in views if view.problem]
+    return ["", *problems, *job_lines(_unique_jobs(views))]
--- a/fireflyfork/programs/_ctl_store.py
+++ b/fireflyfork/programs/_ctl_store.py
@@ -35,8 +35,8 @@
     version_of_history_key,
 )
 
-_FIRST_PAUSE_SECONDS = 0.2
-_LONGEST_PAUSE_SECONDS = 5.0
+_INITIAL_PAUSE_SECONDS = 0.2
+_MAX_PAUSE_SECONDS = 5.0
 _ARCHIVE_PAUSES_SECONDS = (0.2, 1.0)
 
 
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Current:
+class CurrentConfiguration:
     """The stored configuration and the revision of its key; None and 0 if the store is empty."""
 
     offer: ConfigurationOffer | None
@@ -97,12 +97,12 @@
         self._progress = progress
         self._randomness = randomness or random.SystemRandom()
 
-    async def current(self) -> Current:
+    async def current(self) -> CurrentConfiguration:
         """Read the configuration in force. Raises StoreUnavailableError and SettingsError."""
         stored = await self._store.read(CONFIGURATION_KEY)
         if stored is None:
-            return Current(None, Revision(0))
-        return Current(decode_configuration(stored.value), stored.revision)
+            return CurrentConfiguration(None, Revision(0))
+        return CurrentConfiguration(decode_configuration(stored.value), stored.revision)
 
     async def version(self, version: ConfigurationVersion) -> Configuration | None:
         """Return one version, in force or archived, or None. Raises as ``current`` does."""
@@ -117,7 +117,9 @@
         keys = await self._store.keys(HISTORY_PREFIX)
         return tuple(version_of_history_key(key) for key in keys)
 
-    def prepare(self, proposed: Configuration, current: Current, note: str) -> Configuration:
+    def prepare(
+        self, proposed: Configuration, current: CurrentConfiguration, note: str
+    ) -> Configuration:
         """Return ``proposed`` as the version that follows ``current``, with a new change id.
 
         The new version is higher than both the stored version and the version that the file was
@@ -129,7 +131,7 @@
         change_id = mint_change_id(time.time(), self._randomness)
         return replace(proposed, version=version, change_id=change_id, note=note)
 
-    async def replace(self, current: Current, written: Configuration) -> None:
+    async def replace(self, current: CurrentConfiguration, written: Configuration) -> None:
         """Replace ``current`` by ``written``.
 
         Raises ChangeLostError, ChangeUnknownError, and StoreUnavailableError if the store failed
@@ -143,32 +145,32 @@
             highest_seen=ConfigurationVersion(written.version - 1),
         )
         state = apply_read(state, current.offer, current.revision)
-        await self._follow(state)
+        await self._write_until_settled(state)
         await self._prune(written.version)
 
-    async def _follow(self, state: ApplyState) -> None:
+    async def _write_until_settled(self, state: ApplyState) -> None:
         """Retry a write, reading back after errors, until its outcome is known.
 
         Either the request or its answer may be lost. If a lost answer were treated as a failure,
         the operator would apply the change again and overwrite what another operator has changed
         since.
         """
-        pause = _FIRST_PAUSE_SECONDS
+        pause = _INITIAL_PAUSE_SECONDS
         deadline = trio.current_time() + self._patience
         while state.phase not in (ApplyPhase.ACCEPTED, ApplyPhase.REFUSED):
             if trio.current_time() > deadline:
                 raise ChangeUnknownError(state.change_id)
             try:
-                state = await self._step(state)
+                state = await self._advance(state)
             except StoreUnavailableError:
                 self._progress(f"no answer from the store; reading back change {state.change_id}")
                 await trio.sleep(pause)
-                pause = min(2 * pause, _LONGEST_PAUSE_SECONDS)
+                pause = min(2 * pause, _MAX_PAUSE_SECONDS)
         if state.phase is ApplyPhase.REFUSED:
-            current = Current(state.current, state.expected)
+            current = CurrentConfiguration(state.current, state.expected)
             raise ChangeLostError(current.configuration)
 
-    async def _step(self, state: ApplyState) -> ApplyState:
+    async def _advance(self, state: ApplyState) -> ApplyState:
         """Perform one read or write and return the new state.
 
         Raises StoreUnavailableError when a read fails; an unanswered write becomes part of the
--- a/fireflyfork/programs/_ctl_trace.py
+++ b/fireflyfork/programs/_ctl_trace.py
@@ -9,7 +9,7 @@
 
 from .._traces import Span
 from ..operations import draw_trees, find_trace, read_spans, span_trees
-from ._ctl_output import CommandError, ExitCode, Output, finish
+from ._ctl_output import CommandError, ExitCode, Output, run_and_report
 
 
 def trace(wanted: str, *files: Path, json: bool = False) -> ExitCode:
@@ -39,13 +39,13 @@
                 "a request is traced when its traceparent header says so or it came without one; "
                 "look in the files of every process that it passed",
             )
-        output.result(spans, _drawn(spans))
+        output.result(spans, _trace_lines(spans))
         return ExitCode.DONE
 
-    return finish(output, command)
+    return run_and_report(output, command)
 
 
-def _drawn(spans: tuple[Span, ...]) -> Iterator[str]:
+def _trace_lines(spans: tuple[Span, ...]) -> Iterator[str]:
     """Yield the lines of each trace; several traces can share one idempotency key."""
     for trace_id in dict.fromkeys(span.trace_id for span in spans):
         yield f"trace {trace_id}"
--- a/fireflyfork/programs/_partition_plan.py
+++ b/fireflyfork/programs/_partition_plan.py
@@ -51,16 +51,16 @@
     """The regions whose workers the partitions divide among themselves."""
     new_policy: Callable[[], PlacementPolicy]
     """Creates a placement policy for each term of ownership."""
-    number: int = 0
+    share_index: int = 0
     """The index of this partition's share of the workers, from 0 to ``share_count`` - 1."""
-    count: int = 1
+    share_count: int = 1
     rules: PlanningRules = field(default_factory=PlanningRules)
     pace: PlannerPace = field(default_factory=PlannerPace)
 
-    def has(self, worker: Worker) -> bool:
+    def includes(self, worker: Worker) -> bool:
         """Return whether a worker belongs to this share."""
-        place = xxhash.xxh64_intdigest(worker.worker_id.encode()) % self.count
-        return place == self.number
+        share = xxhash.xxh64_intdigest(worker.worker_id.encode()) % self.share_count
+        return share == self.share_index
 
     def configured(self, state: Partition, configuration: Configuration) -> Partition:
         """Return the partition's state with ``configuration`` applied."""
@@ -76,9 +76,9 @@
         # whole quota, the team would get its quota once for every partition.
         quota = team.quota
         share = Resources(
-            quota.millicores // self.count,
-            quota.memory // self.count,
-            quota.accelerators // self.count,
+            quota.millicores // self.share_count,
+            quota.memory // self.share_count,
+            quota.accelerators // self.share_count,
         )
         return replace(team, quota=share)
 
--- a/fireflyfork/programs/_planner.py
+++ b/fireflyfork/programs/_planner.py
@@ -21,7 +21,7 @@
 BATCH_REGION = RegionName("batch")
 """The region in the planners' fleet record. Any planner may own any share of the workers."""
 
-_OWNERSHIP_SECONDS = 1.0
+_OWNERSHIP_CHECK_SECONDS = 1.0
 
 _POLICIES: dict[PolicyName, Callable[[], PlacementPolicy]] = {
     PolicyName.INTERFERENCE_AWARE: InterferenceAwarePolicy,
@@ -51,7 +51,7 @@
         self._rights = rights
         self._runners = {
             plan.partition: PartitionRunner(plan, store, platform, rights, clock, metrics)
-            for plan in _plans(settings)
+            for plan in _partition_plans(settings)
         }
         self._server = HttpServer(PlannerEndpoint(self._runners, rights))
         self._stopping = False
@@ -82,11 +82,11 @@
             if partition in self._rights.owned():
                 await runner.run()
             if not self._stopping:
-                with trio.move_on_after(_OWNERSHIP_SECONDS):
+                with trio.move_on_after(_OWNERSHIP_CHECK_SECONDS):
                     await self._rights.changed()
 
 
-def _plans(settings: PlannerSettings) -> list[PartitionPlan]:
+def _partition_plans(settings: PlannerSettings) -> list[PartitionPlan]:
     return [
         PartitionPlan(
             partition_id(BATCH_REGION, number),
--- a/fireflyfork/programs/_planner_endpoint.py
+++ b/fireflyfork/programs/_planner_endpoint.py
@@ -34,12 +34,12 @@
 from ._planner_partition import PartitionRunner
 from ._planner_rights import PartitionRights
 
-_LONGEST_REQUEST_BYTES = 65_536
-_LONGEST_COMMIT_SECONDS = 10.0
+_MAX_REQUEST_BYTES = 65_536
+_COMMIT_TIMEOUT_SECONDS = 10.0
 """How long a request waits for the store before it is answered with an unknown outcome."""
 _RETRY_AFTER = (b"retry-after", b"2")
 _ID = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,127}")
-_LONGEST_RUN_SECONDS = 30 * 86_400.0
+_MAX_RUN_SECONDS = 30 * 86_400.0
 
 
 Outcome = TypeVar("Outcome")
@@ -95,7 +95,7 @@
             case "GET", ["healthz"]:
                 await exchange.answer_json(200, {"alive": True})
             case "GET", ["readyz"]:
-                await self._ready(exchange)
+                await self._answer_readiness(exchange)
             case "GET", ["metrics"]:
                 text = (
                     prometheus_text(self._metrics())
@@ -107,19 +107,19 @@
             case "POST", ["v1", "jobs"]:
                 await self._submit(exchange)
             case "GET", ["v1", "jobs"]:
-                await self._list(exchange)
+                await self._answer_job_list(exchange)
             case "GET", ["v1", "jobs", job]:
-                await self._status(exchange, job)
+                await self._answer_status(exchange, job)
             case "POST", ["v1", "jobs", job, "cancel"]:
                 await self._cancel(exchange, job, None)
             case "GET", ["v1", "tasks", job, index]:
-                await self._explain(exchange, job, _index(index))
+                await self._explain(exchange, job, _parse_task_index(index))
             case "POST", ["v1", "tasks", job, index, "cancel"]:
-                await self._cancel(exchange, job, _index(index))
+                await self._cancel(exchange, job, _parse_task_index(index))
             case _:
                 raise _ProblemError(404, f"there is no {exchange.head.method} {path}")
 
-    async def _ready(self, exchange: Exchange) -> None:
+    async def _answer_readiness(self, exchange: Exchange) -> None:
         owned = self._rights.owned()
         ownerless = {name for name in self._partitions if not self._has_owner(name)}
         unready = {name for name in owned if not self._runners[name].is_ready}
@@ -130,30 +130,30 @@
     async def _submit(self, exchange: Exchange) -> None:
         request = await _read_job(exchange)
         runner = self._owned_runner(request.job_id, exchange)
-        submission = Submission(request.job_id, _shape(request), request.tasks)
-        refusal = await _settled(runner.submit(submission))
+        submission = Submission(request.job_id, _task_shape(request), request.tasks)
+        refusal = await _wait_for_commit(runner.submit(submission))
         if isinstance(refusal, Refusal):
             raise _ProblemError(409 if refusal.permanent else 503, refusal.reason)
-        await self._status(exchange, request.job_id)
+        await self._answer_status(exchange, request.job_id)
 
     async def _cancel(self, exchange: Exchange, job_id: str, index: int | None) -> None:
         runner = self._owned_runner(JobId(job_id), exchange)
-        if not await _settled(runner.cancel(JobId(job_id), index)):
+        if not await _wait_for_commit(runner.cancel(JobId(job_id), index)):
             raise _unknown_job(job_id)
-        await self._status(exchange, job_id)
+        await self._answer_status(exchange, job_id)
 
-    async def _status(self, exchange: Exchange, job_id: str) -> None:
-        state, job = self._find(JobId(job_id), exchange)
+    async def _answer_status(self, exchange: Exchange, job_id: str) -> None:
+        state, job = self._find_job(JobId(job_id), exchange)
         await exchange.answer_json(200, job_status(state, job))
 
     async def _explain(self, exchange: Exchange, job_id: str, index: int) -> None:
-        state, job = self._find(JobId(job_id), exchange)
+        state, job = self._find_job(JobId(job_id), exchange)
         explanation = explain_task(state, job, index, time.time())
         if explanation is None:
             raise _ProblemError(404, f"job {job_id} has tasks 0 to {job.task_count - 1}")
         await exchange.answer_json(200, explanation)
 
-    async def _list(self, exchange: Exchange) -> None:
+    async def _answer_job_list(self, exchange: Exchange) -> None:
         statuses = [
             job_status(runner.state, job)
             for runner in self._runners.values()
@@ -162,7 +162,7 @@
         ]
         await exchange.answer_json(200, statuses)
 
-    def _find(self, job_id: JobId, exchange: Exchange) -> tuple[Partition, Job]:
+    def _find_job(self, job_id: JobId, exchange: Exchange) -> tuple[Partition, Job]:
         state = self._owned_runner(job_id, exchange).state
         if state is None:
             raise _ProblemError(503, "the partition is being taken over")
@@ -172,8 +172,8 @@
         return state, job
 
     def _owned_runner(self, job_id: JobId, exchange: Exchange) -> PartitionRunner:
-        place = xxhash.xxh64_intdigest(job_id.encode()) % len(self._partitions)
-        partition = self._partitions[place]
+        position = xxhash.xxh64_intdigest(job_id.encode()) % len(self._partitions)
+        partition = self._partitions[position]
         if partition in self._rights.owned():
             return self._runners[partition]
         address = self._rights.owner_address(partition)
@@ -191,13 +191,13 @@
         return PlannerMetrics(self._rights.member, partitions)
 
 
-async def _settled(call: Awaitable[Outcome]) -> Outcome:
+async def _wait_for_commit(call: Awaitable[Outcome]) -> Outcome:
     """Wait for a change to be stored and return its outcome.
 
     Raises _ProblemError that states whether the change may still be stored.
     """
     try:
-        with trio.fail_after(_LONGEST_COMMIT_SECONDS):
+        with trio.fail_after(_COMMIT_TIMEOUT_SECONDS):
             return await call
     except NotReadyError as error:
         raise _ProblemError(503, str(error)) from error
@@ -210,32 +210,32 @@
 
 async def _read_job(exchange: Exchange) -> JobRequest:
     try:
-        body = await collect(exchange.body(), _LONGEST_REQUEST_BYTES)
+        body = await collect(exchange.body(), _MAX_REQUEST_BYTES)
     except HttpError as error:
         raise _ProblemError(413, str(error)) from error
     try:
         request = msgspec.json.decode(body, type=JobRequest)
     except msgspec.DecodeError as error:
         raise _ProblemError(400, str(error)) from error
-    problem = _problem_of(request)
+    problem = _validation_problem(request)
     if problem:
         raise _ProblemError(400, problem)
     return request
 
 
-def _problem_of(request: JobRequest) -> str:
+def _validation_problem(request: JobRequest) -> str:
     for name, value in (("job_id", request.job_id), ("task_class", request.task_class)):
         if not _ID.fullmatch(value):
             return f"{name} {value!r} must match {_ID.pattern}"
-    if not 0 < request.run_seconds <= _LONGEST_RUN_SECONDS:
-        return f"run_seconds must be above 0 and at most {_LONGEST_RUN_SECONDS:.0f}"
+    if not 0 < request.run_seconds <= _MAX_RUN_SECONDS:
+        return f"run_seconds must be above 0 and at most {_MAX_RUN_SECONDS:.0f}"
     size = request.resources
     if min(size.millicores, size.memory, size.accelerators) < 0 or size.millicores == 0:
         return "resources must not be negative, and a task needs processor time"
     return ""
 
 
-def _shape(request: JobRequest) -> TaskShape:
+def _task_shape(request: JobRequest) -> TaskShape:
     return TaskShape(
         request.team,
         request.task_class,
@@ -246,7 +246,7 @@
     )
 
 
-def _index(text: str) -> int:
+def _parse_task_index(text: str) -> int:
     if not text.isascii() or not text.isdigit() or len(text) > 9:
         raise _ProblemError(400, f"{text!r} is not the number of a task")
     return int(text)
--- a/fireflyfork/programs/_planner_journal.py
+++ b/fireflyfork/programs/_planner_journal.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Write:
+class _PendingWrite:
     """A compare-and-swap that is repeated until its outcome is known."""
 
     key: str
@@ -85,7 +85,7 @@
         """The position in the ring of segments, with the last known revisions of its keys."""
         return self._position
 
-    async def recover(self, owner: MemberId, may_take: Callable[[], bool]) -> TaskTable:
+    async def recover(self, owner: MemberId, may_take_over: Callable[[], bool]) -> TaskTable:
         """Read the journal, then take over the partition by storing an empty segment.
 
         From then on, every write by an earlier owner fails. ``may_take_over`` is called immediately
@@ -96,10 +96,10 @@
         table = await self._read_snapshot()
         while True:
             table = await self._read_segments(table)
-            await self._make_room(table)
+            await self._free_ring_slots(table)
             # Without this check, a planner that was paused during recovery could resume long after
             # another planner took over the partition, and take it back from the rightful owner.
-            if not may_take():
+            if not may_take_over():
                 raise PartitionLostError(f"this planner no longer owns {self._partition}")
             try:
                 await self._store_segment(())
@@ -121,13 +121,13 @@
     async def snapshot(self, value: bytes, change_id: ChangeId, sequence: int) -> None:
         """Store a snapshot of the journal up to ``sequence``. Raises PartitionLostError."""
         key = snapshot_key(self._partition)
-        write = _Write(key, value, change_id, self._position.snapshot_revision)
-        while (revision := await self._settled(write, _snapshot_change_id)) is None:
-            found = await self._read_patiently(key)
-            if found is not None and decode_snapshot(found.value).sequence > sequence:
+        write = _PendingWrite(key, value, change_id, self._position.snapshot_revision)
+        while (revision := await self._write_until_settled(write, _snapshot_change_id)) is None:
+            stored = await self._read_with_retries(key)
+            if stored is not None and decode_snapshot(stored.value).sequence > sequence:
                 raise PartitionLostError(f"{self._partition} has a newer snapshot")
             # An earlier owner's snapshot arrived late. It covers fewer segments than this snapshot.
-            write = replace(write, expected=found.revision if found else Revision(0))
+            write = replace(write, expected=stored.revision if stored else Revision(0))
         self._position = self._position.after_snapshot(sequence, revision, len(value))
         self.counts.snapshots += 1
         self.counts.snapshot_bytes += len(value)
@@ -138,7 +138,7 @@
         value = encode_snapshot(table, sequence, change_id, self._owner)
         return (value, change_id) if len(value) <= MAX_VALUE_BYTES else None
 
-    async def _make_room(self, table: TaskTable) -> None:
+    async def _free_ring_slots(self, table: TaskTable) -> None:
         # If several owners in a row crash before their first snapshot, their takeover segments fill
         # the ring, and the next owner could not store its own takeover.
         if not self._position.ring_nearly_full:
@@ -149,18 +149,18 @@
             await self.snapshot(*encoded, sequence)
 
     async def _read_snapshot(self) -> TaskTable:
-        found = await self._store.read(snapshot_key(self._partition))
-        if found is None:
+        stored = await self._store.read(snapshot_key(self._partition))
+        if stored is None:
             self._position = JournalPosition(self._partition, 0, {}, 0, Revision(0), 0, 0)
             return TaskTable.empty()
-        snapshot = decode_snapshot(found.value)
+        snapshot = decode_snapshot(stored.value)
         self._position = JournalPosition(
             self._partition,
             snapshot.sequence,
             {},
             snapshot.sequence,
-            found.revision,
-            len(found.value),
+            stored.revision,
+            len(stored.value),
             0,
         )
         return table_of(snapshot)
@@ -168,22 +168,22 @@
     async def _read_segments(self, table: TaskTable) -> TaskTable:
         while True:
             sequence = self._position.sequence + 1
-            found = await self._store.read(segment_key(self._partition, sequence))
-            if found is None:
-                self._note_slot(sequence, Revision(0))
+            stored = await self._store.read(segment_key(self._partition, sequence))
+            if stored is None:
+                self._record_slot_revision(sequence, Revision(0))
                 return table
-            segment = decode_segment(found.value)
+            segment = decode_segment(stored.value)
             if segment.sequence < sequence:
-                self._note_slot(sequence, found.revision)
+                self._record_slot_revision(sequence, stored.revision)
                 return table
             if segment.sequence > sequence:
                 # The owner wrote at least a whole ring of segments during this read.
                 table = await self._read_snapshot()
                 continue
             table = table.apply(segment.changes)
-            self._position = self._position.after_segment(found.revision, len(found.value))
+            self._position = self._position.after_segment(stored.revision, len(stored.value))
 
-    def _note_slot(self, sequence: int, revision: Revision) -> None:
+    def _record_slot_revision(self, sequence: int, revision: Revision) -> None:
         revisions = {**self._position.slot_revisions, slot_of(sequence): revision}
         self._position = replace(self._position, slot_revisions=revisions)
 
@@ -194,34 +194,34 @@
         segment = Segment(position.sequence + 1, self._new_change_id(), self._owner, changes)
         value = encode_segment(segment)
         expected = await self._expected_revision(segment.sequence)
-        write = _Write(position.next_key, value, segment.change_id, expected)
-        revision = await self._settled(write, _segment_change_id)
+        write = _PendingWrite(position.next_key, value, segment.change_id, expected)
+        revision = await self._write_until_settled(write, _segment_change_id)
         if revision is None:
-            self._forget_slot(segment.sequence)
+            self._forget_slot_revision(segment.sequence)
             raise PartitionLostError(f"{self._partition} has another owner")
         self._position = position.after_segment(revision, len(value))
         self.counts.segment_bytes += len(value)
 
     async def _expected_revision(self, sequence: int) -> Revision:
-        known = self._position.slot_revisions.get(slot_of(sequence))
-        if known is not None:
-            return known
+        known_revision = self._position.slot_revisions.get(slot_of(sequence))
+        if known_revision is not None:
+            return known_revision
         # The slot was last written before this owner's term. Its segment must be from the previous
         # round of the ring; a newer segment was written by a later owner.
-        found = await self._read_patiently(segment_key(self._partition, sequence))
-        if found is None:
+        stored = await self._read_with_retries(segment_key(self._partition, sequence))
+        if stored is None:
             return Revision(0)
-        if decode_segment(found.value).sequence >= sequence:
+        if decode_segment(stored.value).sequence >= sequence:
             raise PartitionLostError(f"{self._partition} has another owner")
-        return found.revision
+        return stored.revision
 
-    def _forget_slot(self, sequence: int) -> None:
+    def _forget_slot_revision(self, sequence: int) -> None:
         revisions = dict(self._position.slot_revisions)
         revisions.pop(slot_of(sequence), None)
         self._position = replace(self._position, slot_revisions=revisions)
 
-    async def _settled(
-        self, write: _Write, change_id_of: Callable[[bytes], ChangeId]
+    async def _write_until_settled(
+        self, write: _PendingWrite, change_id_of: Callable[[bytes], ChangeId]
     ) -> Revision | None:
         """Retry a write until its outcome is known.
 
@@ -237,10 +237,10 @@
                 await trio.sleep(_RETRY_SECONDS)
             except StoreConflictError:
                 pass
-            found = await self._read_patiently(write.key)
-            found_id = change_id_of(found.value) if found else None
-            revision = found.revision if found else Revision(0)
-            match settle_write(write.change_id, write.expected, found_id, revision):
+            stored = await self._read_with_retries(write.key)
+            stored_id = change_id_of(stored.value) if stored else None
+            revision = stored.revision if stored else Revision(0)
+            match settle_write(write.change_id, write.expected, stored_id, revision):
                 case Settlement.STORED:
                     return revision
                 case Settlement.LOST:
@@ -248,7 +248,7 @@
                 case Settlement.NOT_YET:
                     continue
 
-    async def _read_patiently(self, key: str) -> StoredValue | None:
+    async def _read_with_retries(self, key: str) -> StoredValue | None:
         while True:
             try:
                 return await self._store.read(key)
--- a/fireflyfork/programs/_planner_metrics.py
+++ b/fireflyfork/programs/_planner_metrics.py
@@ -16,11 +16,11 @@
 
 
 def _lines(metrics: PlannerMetrics) -> Iterator[str]:
-    for one in fields(PartitionMetrics):
-        if one.name == _LABEL:
+    for metric in fields(PartitionMetrics):
+        if metric.name == _LABEL:
             continue
-        name = f"fireflyfork_partition_{one.name}"
+        name = f"fireflyfork_partition_{metric.name}"
         yield f"# TYPE {name} gauge"
         for partition in metrics.partitions:
-            value = int(getattr(partition, one.name))
+            value = int(getattr(partition, metric.name))
             yield f'{name}{{{_LABEL}="{partition.partition}"}} {value}'
--- a/fireflyfork/programs/_planner_partition.py
+++ b/fireflyfork/programs/_planner_partition.py
@@ -47,11 +47,11 @@
 from ._planner_rights import PartitionRights
 from ._unstored_changes import UnstoredChanges
 
-_MOST_CHANGES_IN_A_COMMIT = 4000
-_MOST_UNSTORED_CHANGES = 8000
+_MAX_CHANGES_PER_COMMIT = 4000
+_MAX_UNSTORED_CHANGES = 8000
 """Placement pauses while more changes than this wait to be stored."""
-_MOST_STARTS_IN_A_CALL = 200
-_MOST_STOPS_AT_A_TIME = 8
+_MAX_STARTS_PER_CALL = 200
+_MAX_CONCURRENT_STOPS = 8
 _RETRY_SECONDS = 1.0
 
 
@@ -82,9 +82,9 @@
         self._unstored = UnstoredChanges()
         self._has_changes = trio.Event()
         self._has_starts = trio.Event()
-        self._throttles: dict[TaskId, ThrottleOrdered] = {}
+        self._pending_throttles: dict[TaskId, ThrottleOrdered] = {}
         self._stopping = False
-        self._overfull = False
+        self._snapshot_too_long = False
         """Whether the last snapshot was too long for one value of the store."""
 
     @property
@@ -142,12 +142,12 @@
         state = self._running_state()
         if not self.is_ready:
             raise NotReadyError("the configuration and the workers are not known yet; ask again")
-        if self._overfull:
+        if self._snapshot_too_long:
             return Refusal("the partition's state has outgrown the store's values", permanent=False)
         outcome = submit(state, submission, self._clock.now())
         if isinstance(outcome, Refusal):
             return outcome
-        await self._durable(self._take(outcome))
+        await self._wait_until_stored(self._adopt_step(outcome))
         return None
 
     async def cancel(self, job_id: JobId, index: int | None) -> bool:
@@ -158,12 +158,12 @@
         step = cancel(self._running_state(), job_id, index, self._clock.now())
         if step is None:
             return False
-        await self._durable(self._take(step))
+        await self._wait_until_stored(self._adopt_step(step))
         return True
 
     def evict(self, task_ids: tuple[TaskId, ...], reason: str) -> None:
         """Checkpoint and evict running tasks. Raises NotReadyError."""
-        self._take(evict(self._running_state(), task_ids, reason, self._clock.now()))
+        self._adopt_step(evict(self._running_state(), task_ids, reason, self._clock.now()))
 
     def _running_state(self) -> Partition:
         if self._state is None or self._stopping:
@@ -207,7 +207,7 @@
             "took over partition {} with {} open tasks", self._plan.partition, len(table.tasks)
         )
 
-    def _take(self, step: Step) -> int:
+    def _adopt_step(self, step: Step) -> int:
         """Make the step's state current and return the number of the last change it depends on."""
         self._state = step.partition
         if step.changes:
@@ -215,7 +215,7 @@
             self._has_changes.set()
         return self._unstored.last
 
-    async def _durable(self, number: int) -> None:
+    async def _wait_until_stored(self, number: int) -> None:
         """Wait until the changes up to ``number`` are stored. Raises OutcomeUnknownError."""
         unstored = self._unstored
         while unstored.stored < number:
@@ -237,13 +237,13 @@
                 await trio.sleep(self._plan.pace.commit)
 
     async def _commit(self) -> None:
-        changes = self._unstored.take(_MOST_CHANGES_IN_A_COMMIT)
+        changes = self._unstored.take(_MAX_CHANGES_PER_COMMIT)
         sequence = self._journal.position.sequence + 1
         snapshot = None
         if not self._unstored and self._state and self._journal.position.snapshot_due:
             # The table matches the journal after this commit only until the next change is made.
             snapshot = self._journal.encode_snapshot(self._state.table, sequence)
-            self._overfull = snapshot is None
+            self._snapshot_too_long = snapshot is None
         await self._journal.commit(changes)
         if self._state is not None:
             self._state = mark_stored(self._state, changes, self._clock.now())
@@ -256,11 +256,13 @@
         while True:
             if self._state is not None and not self._stopping:
                 now = self._clock.now()
-                self._take(apply_timeouts(self._state, now))
-                if self._may_act() and len(self._unstored) < _MOST_UNSTORED_CHANGES:
+                self._adopt_step(apply_timeouts(self._state, now))
+                if self._may_act() and len(self._unstored) < _MAX_UNSTORED_CHANGES:
                     step = place(self._state, now)
-                    self._take(step)
-                    self._throttles.update((order.task_id, order) for order in step.throttles)
+                    self._adopt_step(step)
+                    self._pending_throttles.update(
+                        (order.task_id, order) for order in step.throttles
+                    )
             await trio.sleep(self._plan.pace.tick)
 
     def _may_act(self) -> bool:
@@ -275,10 +277,10 @@
                 continue
             self._state, orders = take_due_starts(self._state, self._clock.now())
             self._observe_waits(orders)
-            for first in range(0, len(orders), _MOST_STARTS_IN_A_CALL):
+            for first in range(0, len(orders), _MAX_STARTS_PER_CALL):
                 if self._may_act():
-                    chunk = orders[first : first + _MOST_STARTS_IN_A_CALL]
-                    await self._order(partial(self._platform.start, chunk))
+                    chunk = orders[first : first + _MAX_STARTS_PER_CALL]
+                    await self._send_order(partial(self._platform.start, chunk))
 
     def _observe_waits(self, orders: tuple[StartOrder, ...]) -> None:
         if self._state is None:
@@ -293,7 +295,7 @@
             wait = max(0.0, now - task.submitted)
             self._metrics.observe("fireflyfork_start_wait_seconds", wait, urgency=urgency)
 
-    async def _order(self, call: Callable[[], Awaitable[tuple[RunReport, ...]]]) -> None:
+    async def _send_order(self, call: Callable[[], Awaitable[tuple[RunReport, ...]]]) -> None:
         """Send an order and process its reports. An order without an answer is repeated later."""
         try:
             reports = await call()
@@ -308,7 +310,7 @@
         if self._state is None:
             return ()
         step = apply_report(self._state, reports, self._clock.now(), whole)
-        self._take(step)
+        self._adopt_step(step)
         return step.stale
 
     async def _stop_loop(self) -> None:
@@ -319,7 +321,7 @@
             await trio.sleep(self._plan.pace.stop_retry)
 
     async def _stop_all(self, tasks: tuple[Task, ...]) -> None:
-        limit = trio.CapacityLimiter(_MOST_STOPS_AT_A_TIME)
+        limit = trio.CapacityLimiter(_MAX_CONCURRENT_STOPS)
 
         async def stop_one(task: Task) -> None:
             async with limit:
@@ -331,15 +333,15 @@
                 nursery.start_soon(stop_one, task)
 
     async def _throttle_all(self) -> None:
-        while self._throttles and self._may_act():
-            task_id, order = next(iter(self._throttles.items()))
+        while self._pending_throttles and self._may_act():
+            task_id, order = next(iter(self._pending_throttles.items()))
             try:
                 await self._platform.throttle(task_id, order.attempt, order.millicores)
             except PlatformError as error:
                 logger.warning("can't throttle a task: {}", error)
                 return
-            if self._throttles.get(task_id) is order:
-                del self._throttles[task_id]
+            if self._pending_throttles.get(task_id) is order:
+                del self._pending_throttles[task_id]
 
     async def _stop_attempt(
         self, task_id: TaskId, attempt: AttemptNumber, checkpoint: bool
@@ -351,7 +353,7 @@
             return (report,)
 
         if self._may_act():
-            await self._order(call)
+            await self._send_order(call)
 
     async def _renew_loop(self) -> None:
         while True:
@@ -359,12 +361,14 @@
                 runs = attempts_to_renew(self._state.table, self._state.leases)
                 lease = self._plan.rules.leases.lease
                 if runs:
-                    await self._order(partial(self._platform.renew, runs, lease))
+                    await self._send_order(partial(self._platform.renew, runs, lease))
             await trio.sleep(self._plan.pace.renew)
 
     def _keep_replicas(self, state: Partition) -> None:
         plan = self._plan
-        self._take(reconcile_replicas(state, plan.number, plan.count, self._clock.now()))
+        self._adopt_step(
+            reconcile_replicas(state, plan.share_index, plan.share_count, self._clock.now())
+        )
 
     async def _workers_loop(self) -> None:
         while True:
@@ -373,15 +377,15 @@
                     worker
                     for region in self._plan.regions
                     for worker in await self._platform.workers(region)
-                    if self._plan.has(worker)
+                    if self._plan.includes(worker)
                 ]
             except PlatformError as error:
                 logger.warning("can't read the list of workers: {}", error)
                 await trio.sleep(_RETRY_SECONDS)
                 continue
             if self._state is not None:
-                known = {worker.worker_id: worker for worker in workers}
-                self._state = replace(self._state, workers=known)
+                workers_by_id = {worker.worker_id: worker for worker in workers}
+                self._state = replace(self._state, workers=workers_by_id)
                 if self._configuration is not None and not self._stopping:
                     self._keep_replicas(self._state)
             await trio.sleep(self._plan.pace.workers)
@@ -390,7 +394,7 @@
         """Process the platform's reports on one region until cancelled."""
         cursor = 0
         while True:
-            asked = self._clock.now()
+            asked_at = self._clock.now()
             try:
                 report = await self._platform.report(region, cursor, self._plan.pace.report_wait)
             except PlatformError as error:
@@ -398,5 +402,5 @@
                 await trio.sleep(_RETRY_SECONDS)
                 continue
             cursor = report.cursor
-            for run in self._take_reports(report.runs, RegionReport(region, asked)):
+            for run in self._take_reports(report.runs, RegionReport(region, asked_at)):
                 await self._stop_attempt(run.task_id, run.attempt, checkpoint=False)
--- a/fireflyfork/programs/_planner_peers.py
+++ b/fireflyfork/programs/_planner_peers.py
@@ -22,9 +22,9 @@
 from ._control_handler import ControlHandler
 from ._ownership import OwnershipView
 
-ENDPOINT = "planner-endpoint"
+ENDPOINT_TOPIC = "planner-endpoint"
 _ANNOUNCE_SECONDS = 1.0
-_REPEAT_SECONDS = 30.0
+_ANNOUNCE_INTERVAL_SECONDS = 30.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,21 +86,24 @@
     async def announce(self, peers: Peers, view: OwnershipView) -> None:
         """Announce this planner's endpoint to every peer periodically. Runs until cancelled."""
         content = encode_content(EndpointNotice(str(self._own)))
-        told: dict[MemberId, float] = {}
+        last_sent_at: dict[MemberId, float] = {}
         while True:
             members = view.other_members()
             peers.keep_open(members)
             for member in members:
-                if trio.current_time() - told.get(member, -_REPEAT_SECONDS) >= _REPEAT_SECONDS:
+                if (
+                    trio.current_time() - last_sent_at.get(member, -_ANNOUNCE_INTERVAL_SECONDS)
+                    >= _ANNOUNCE_INTERVAL_SECONDS
+                ):
                     try:
-                        (await peers.stream(member)).send(Control(ENDPOINT, content))
+                        (await peers.stream(member)).send(Control(ENDPOINT_TOPIC, content))
                     except PeerError:
                         continue
-                    told[member] = trio.current_time()
-            self._keep_only(members)
+                    last_sent_at[member] = trio.current_time()
+            self._forget_departed(members)
             await trio.sleep(_ANNOUNCE_SECONDS)
 
-    def _keep_only(self, members: tuple[MemberId, ...]) -> None:
+    def _forget_departed(self, members: tuple[MemberId, ...]) -> None:
         self._addresses = {
             member: address for member, address in self._addresses.items() if member in members
         }
--- a/fireflyfork/programs/_planner_rights.py
+++ b/fireflyfork/programs/_planner_rights.py
@@ -64,19 +64,19 @@
     @property
     def member(self) -> MemberId:
         """See PartitionRights."""
-        return self._running.member_id
+        return self._attached_membership.member_id
 
     def owned(self) -> frozenset[PartitionId]:
         """See PartitionRights."""
-        return frozenset(self._running.owned_partitions)
+        return frozenset(self._attached_membership.owned_partitions)
 
     def holds(self, partition: PartitionId) -> bool:
         """See PartitionRights."""
-        return self._running.may_dispatch(partition)
+        return self._attached_membership.may_dispatch(partition)
 
     def owner_address(self, partition: PartitionId) -> Address | None:
         """See PartitionRights."""
-        owner = self._running.owner_of(partition)
+        owner = self._attached_membership.owner_of(partition)
         return None if owner is None else self._directory.address_of(owner.member_id)
 
     async def changed(self) -> None:
@@ -84,6 +84,6 @@
         await self._change.wait()
 
     @property
-    def _running(self) -> Membership:
+    def _attached_membership(self) -> Membership:
         assert self._membership is not None
         return self._membership
--- a/fireflyfork/programs/_planner_settings.py
+++ b/fireflyfork/programs/_planner_settings.py
@@ -12,7 +12,7 @@
 from ._entry_settings import MIN_PEER_KEY_LENGTH
 from ._partition_plan import PlannerPace
 
-MOST_PARTITIONS = 64
+MAX_PARTITIONS = 64
 
 
 class PolicyName(Enum):
@@ -59,9 +59,9 @@
             raise SettingsError(f"$.peer_key: expected {MIN_PEER_KEY_LENGTH} characters or more")
         if not self.regions or len(set(self.regions)) < len(self.regions):
             raise SettingsError(f"$.regions: value {self.regions}: expected one or more, each once")
-        if not 1 <= self.partitions <= MOST_PARTITIONS:
+        if not 1 <= self.partitions <= MAX_PARTITIONS:
             raise SettingsError(
-                f"$.partitions: value {self.partitions}: expected 1 to {MOST_PARTITIONS}"
+                f"$.partitions: value {self.partitions}: expected 1 to {MAX_PARTITIONS}"
             )
         for path, seconds in self._durations():
             if not seconds > 0:
--- a/fireflyfork/programs/ctl.py
+++ b/fireflyfork/programs/ctl.py
@@ -53,7 +53,7 @@
     import defopt
 
     code = defopt.run(
-        _named(arguments),
+        _selected_commands(arguments),
         argv=arguments,
         parsers=_parsers(),
         no_negated_flags=True,
@@ -67,28 +67,28 @@
     return code
 
 
-def _named(arguments: list[str]) -> dict[str, Callable[..., Any]]:
+def _selected_commands(arguments: list[str]) -> dict[str, Callable[..., Any]]:
     """Return the command that is called, or all commands for the overview.
 
     Building a command's help from its docstring takes longer than most commands run, so only the
     called command is passed to defopt.
     """
-    known = commands()
+    all_commands = commands()
     name = arguments[0] if arguments else ""
-    return {name: known[name]} if name in known else known
+    return {name: all_commands[name]} if name in all_commands else all_commands
 
 
 def _parsers() -> dict[Any, Callable[[str], Any]]:
     """Return the parsers of command line arguments by parameter type."""
     from ..operations import ByteCount, Cores, Duration
 
-    address = _explained(Address.parse)
+    address = _with_error_message(Address.parse)
     return {
         Address: address,
         Address | None: address,
-        ByteCount: _explained(ByteCount.parse),
-        Cores: _explained(Cores.parse),
-        Duration: _explained(Duration.parse),
+        ByteCount: _with_error_message(ByteCount.parse),
+        Cores: _with_error_message(Cores.parse),
+        Duration: _with_error_message(Duration.parse),
     }
 
 
@@ -109,7 +109,7 @@
     sys.exit(code)
 
 
-def _explained(parse: Callable[[str], Any]) -> Callable[[str], Any]:
+def _with_error_message(parse: Callable[[str], Any]) -> Callable[[str], Any]:
     """Wrap a parser so that argparse shows its error message along with the rejected text."""
     import argparse
 
--- a/fireflyfork/programs/planner.py
+++ b/fireflyfork/programs/planner.py
@@ -21,15 +21,15 @@
 from ._membership import Membership, MembershipSettings
 from ._membership_view import MembershipView
 from ._planner import BATCH_REGION, Planner
-from ._planner_peers import ENDPOINT, PlannerDirectory, PlannerPeerService
+from ._planner_peers import ENDPOINT_TOPIC, PlannerDirectory, PlannerPeerService
 from ._planner_rights import MembershipRights
 from ._planner_settings import PlannerSettings
 from ._settings import EXIT_BAD_SETTINGS, load_settings_or_exit
 
 PLANNERS_KEY = "planners"
 """The store key of the planners' fleet record."""
-LONGEST_STOP_SECONDS = 5.0
-LONGEST_LEAVE_SECONDS = 4.0
+MAX_STOP_SECONDS = 5.0
+MAX_LEAVE_SECONDS = 4.0
 
 
 class PlannerProgram:
@@ -52,7 +52,7 @@
             store,
             channel,
             self._new_id,
-            _nothing_occupied,
+            _no_occupied_slots,
             rights.note_change,
             MembershipSettings(key=PLANNERS_KEY, partitions_per_region=settings.partitions),
         )
@@ -77,8 +77,8 @@
                 logger.info("serving", address=self._settings.operator_address)
                 await self._planner.run(operators)
                 serving.cancel_scope.cancel()
-            left = await self._membership.leave(LONGEST_LEAVE_SECONDS)
-            logger.info("stopped", handed_over=left)
+            handed_over = await self._membership.leave(MAX_LEAVE_SECONDS)
+            logger.info("stopped", handed_over=handed_over)
             nursery.cancel_scope.cancel()
 
     async def _stop_on_signal(self, serving: trio.CancelScope) -> None:
@@ -88,7 +88,7 @@
                 self._planner.stop()
                 # If the store is unavailable, pending changes can't be stored. By this deadline
                 # their submitters have been told that the outcome is unknown.
-                serving.deadline = trio.current_time() + LONGEST_STOP_SECONDS
+                serving.deadline = trio.current_time() + MAX_STOP_SECONDS
 
     def _attach(self, channel: PeerGuardChannel, service: PlannerPeerService) -> None:
         membership, keeper = self._membership, self._keeper
@@ -96,13 +96,13 @@
         channel.attach(keeper)
         for topic, handler in membership_handlers(channel, membership, keeper).items():
             service.subscribe(topic, handler)
-        service.subscribe(ENDPOINT, self._directory)
+        service.subscribe(ENDPOINT_TOPIC, self._directory)
 
     def _new_id(self) -> MemberId:
         return MemberId(f"{self._settings.name}-{secrets.token_hex(4)}")
 
 
-def _nothing_occupied(
+def _no_occupied_slots(
     partitions: tuple[PartitionId, ...],
 ) -> dict[PartitionId, tuple[OccupiedSlots, ...]]:
     # The partition's journal records what may run on the workers, and the next owner reads it
--- a/fireflyfork/programs/tests/builders_faults.py
+++ b/fireflyfork/programs/tests/builders_faults.py
@@ -70,7 +70,7 @@
         """Let blocked and later calls proceed."""
         self._open.set()
 
-    async def passing(self, call: Callable[[], Awaitable[Answer]]) -> Answer:
+    async def call_when_open(self, call: Callable[[], Awaitable[Answer]]) -> Answer:
         """Make a call once the gate is open."""
         await self._open.wait()
         return await call()
@@ -84,10 +84,10 @@
         self._gate = gate
 
     async def read(self, key: str) -> StoredValue | None:
-        return await self._gate.passing(lambda: self._store.read(key))
+        return await self._gate.call_when_open(lambda: self._store.read(key))
 
     async def write(self, key: str, value: bytes, expected: Revision) -> Revision:
-        return await self._gate.passing(lambda: self._store.write(key, value, expected))
+        return await self._gate.call_when_open(lambda: self._store.write(key, value, expected))
 
     async def delete(self, key: str, expected: Revision) -> None:
         raise NotImplementedError
@@ -107,32 +107,38 @@
         self._gate = gate
 
     async def workers(self, region: RegionName) -> tuple[Worker, ...]:
-        return await self._gate.passing(lambda: self._platform.workers(region))
+        return await self._gate.call_when_open(lambda: self._platform.workers(region))
 
     async def start(self, orders: tuple[StartOrder, ...]) -> tuple[RunReport, ...]:
-        return await self._gate.passing(lambda: self._platform.start(orders))
+        return await self._gate.call_when_open(lambda: self._platform.start(orders))
 
     async def stop(self, task_id: TaskId, attempt: AttemptNumber, checkpoint: bool) -> RunReport:
-        return await self._gate.passing(lambda: self._platform.stop(task_id, attempt, checkpoint))
+        return await self._gate.call_when_open(
+            lambda: self._platform.stop(task_id, attempt, checkpoint)
+        )
 
     async def throttle(
         self, task_id: TaskId, attempt: AttemptNumber, millicores: int | None
     ) -> None:
-        await self._gate.passing(lambda: self._platform.throttle(task_id, attempt, millicores))
+        await self._gate.call_when_open(
+            lambda: self._platform.throttle(task_id, attempt, millicores)
+        )
 
     async def renew(
         self, runs: tuple[tuple[TaskId, AttemptNumber], ...], seconds: float
     ) -> tuple[RunReport, ...]:
-        return await self._gate.passing(lambda: self._platform.renew(runs, seconds))
+        return await self._gate.call_when_open(lambda: self._platform.renew(runs, seconds))
 
     async def report(self, region: RegionName, cursor: int, wait_seconds: float) -> PlatformReport:
-        return await self._gate.passing(lambda: self._platform.report(region, cursor, wait_seconds))
+        return await self._gate.call_when_open(
+            lambda: self._platform.report(region, cursor, wait_seconds)
+        )
 
 
 class SharedRights(PartitionRights):
     """The rights of one planner of a PlannerSequence."""
 
-    def __init__(self, planners: Planners, member: MemberId) -> None:
+    def __init__(self, planners: PlannerSequence, member: MemberId) -> None:
         self._planners = planners
         self._member = member
 
@@ -151,7 +157,7 @@
         return None
 
     async def changed(self) -> None:
-        await self._planners.moved.wait()
+        await self._planners.owner_changed.wait()
 
 
 class FaultKind(Enum):
@@ -175,13 +181,13 @@
     """One fault. ``delay_seconds`` is counted from the previous fault."""
 
     kind: FaultKind
-    after: float
-    lasts: float
+    delay_seconds: float
+    duration_seconds: float
     index: int
     """The worker or task that is affected, or the number of lost answers minus one."""
 
 
-class Planners:
+class PlannerSequence:
     """A sequence of planners, each of which takes over the partition from the previous planner."""
 
     def __init__(
@@ -197,7 +203,7 @@
         self._new_policy = new_policy
         self.platform = SimulatedPlatform(self.workers)
         self.owner = MemberId("")
-        self.moved = trio.Event()
+        self.owner_changed = trio.Event()
         self.cancelled: set[tuple[JobId, int]] = set()
         self._nursery = nursery
         self.platform.nursery = nursery
@@ -234,21 +240,21 @@
             self._plan(),
         )
         self.owner = member
-        self.moved.set()
-        self.moved = trio.Event()
+        self.owner_changed.set()
+        self.owner_changed = trio.Event()
         self._nursery.start_soon(self._run, self._runner, self._scope, member)
 
     async def apply(self, fault: Fault) -> None:
         """Inject one fault after its delay, and end it after its duration."""
-        await trio.sleep(fault.after)
+        await trio.sleep(fault.delay_seconds)
         match fault.kind:
             case FaultKind.STORE_LOSES:
                 self.store.lose_answers += 1 + fault.index
             case FaultKind.PLATFORM_LOSES:
                 self.platform.lose_answers += 1 + fault.index
             case FaultKind.PLATFORM_LATE:
-                self.platform.make_late += 1 + fault.index
-                self.platform.late_seconds = fault.lasts
+                self.platform.late_orders += 1 + fault.index
+                self.platform.late_seconds = fault.duration_seconds
             case FaultKind.PLANNER_KILLED:
                 self._scope.cancel()
                 self.take_over()
@@ -256,14 +262,16 @@
                 gate = self._gate
                 gate.close()
                 self.take_over()
-                self._nursery.start_soon(self._later, fault.lasts, gate.open)
+                self._nursery.start_soon(self._later, fault.duration_seconds, gate.open)
             case FaultKind.CANCEL_TASK:
                 self._nursery.start_soon(self._cancel_task, fault.index)
             case FaultKind.EVICT_ALL:
                 self._evict_all()
             case _:
                 self._set(fault, True)
-                self._nursery.start_soon(self._later, fault.lasts, lambda: self._set(fault, False))
+                self._nursery.start_soon(
+                    self._later, fault.duration_seconds, lambda: self._set(fault, False)
+                )
 
     async def submit(self, submission: Submission) -> None:
         """Repeat a submission until it is accepted, as a client would."""
@@ -321,13 +329,15 @@
         elif fault.kind is FaultKind.PLATFORM_DOWN:
             self.platform.down = on
         elif fault.kind is FaultKind.WORKER_UNREACHABLE:
-            unreachable = _with(self.workers.faults.unreachable, worker, on)
+            unreachable = _add_or_remove(self.workers.faults.unreachable, worker, on)
             self.workers.faults = replace(self.workers.faults, unreachable=unreachable)
         else:
-            fail_all = _with(self.workers.faults.fail_all, worker, on)
+            fail_all = _add_or_remove(self.workers.faults.fail_all, worker, on)
             self.workers.faults = replace(self.workers.faults, fail_all=fail_all)
 
 
-def _with(workers: tuple[WorkerId, ...], worker: WorkerId, on: bool) -> tuple[WorkerId, ...]:
+def _add_or_remove(
+    workers: tuple[WorkerId, ...], worker: WorkerId, on: bool
+) -> tuple[WorkerId, ...]:
     others = tuple(other for other in workers if other != worker)
     return (*others, worker) if on else others
--- a/fireflyfork/programs/tests/builders_planner.py
+++ b/fireflyfork/programs/tests/builders_planner.py
@@ -106,38 +106,38 @@
     """A simulated platform that can be down, lose answers or carry out orders late."""
 
     def __init__(self, workers: SimulatedWorkers) -> None:
-        self.workers_behind = workers
+        self.simulated_workers = workers
         self.down = False
         self.lose_answers = 0
-        self.make_late = 0
+        self.late_orders = 0
         """The number of orders to carry out late, after ``late_seconds``, and leave unanswered."""
         self.late_seconds = 0.0
         self.nursery: trio.Nursery | None = None
 
     async def workers(self, region: RegionName) -> tuple[Worker, ...]:
         await self._enter()
-        return self.workers_behind.in_region(region)
+        return self.simulated_workers.in_region(region)
 
     async def start(self, orders: tuple[StartOrder, ...]) -> tuple[RunReport, ...]:
         await self._enter()
 
         def effect() -> tuple[RunReport, ...]:
             now = trio.current_time()
-            return tuple(self.workers_behind.start(order, now) for order in orders)
+            return tuple(self.simulated_workers.start(order, now) for order in orders)
 
         return await self._answer(effect)
 
     async def stop(self, task_id: TaskId, attempt: AttemptNumber, checkpoint: bool) -> RunReport:
         await self._enter()
         call = StopCall(task_id, attempt, checkpoint)
-        return await self._answer(lambda: self.workers_behind.stop(call, trio.current_time()))
+        return await self._answer(lambda: self.simulated_workers.stop(call, trio.current_time()))
 
     async def throttle(
         self, task_id: TaskId, attempt: AttemptNumber, millicores: int | None
     ) -> None:
         await self._enter()
         call = ThrottleCall(task_id, attempt, millicores)
-        await self._answer(lambda: self.workers_behind.throttle(call))
+        await self._answer(lambda: self.simulated_workers.throttle(call))
 
     async def renew(
         self, runs: tuple[tuple[TaskId, AttemptNumber], ...], seconds: float
@@ -145,15 +145,15 @@
         await self._enter()
         call = RenewCall(runs, seconds)
         return await self._answer(
-            lambda: tuple(self.workers_behind.renew(call, trio.current_time()))
+            lambda: tuple(self.simulated_workers.renew(call, trio.current_time()))
         )
 
     async def report(self, region: RegionName, cursor: int, wait_seconds: float) -> PlatformReport:
         await self._enter()
         deadline = trio.current_time() + wait_seconds
         while True:
-            self.workers_behind.advance(trio.current_time())
-            report = self.workers_behind.report(region, cursor)
+            self.simulated_workers.advance(trio.current_time())
+            report = self.simulated_workers.report(region, cursor)
             if report.runs or trio.current_time() >= deadline:
                 return report
             await trio.sleep(0.25)
@@ -162,11 +162,11 @@
         await trio.sleep(0.002)
         if self.down:
             raise PlatformError("down")
-        self.workers_behind.advance(trio.current_time())
+        self.simulated_workers.advance(trio.current_time())
 
     async def _answer(self, effect: Callable[[], Answer]) -> Answer:
-        if self.make_late and self.nursery is not None:
-            self.make_late -= 1
+        if self.late_orders and self.nursery is not None:
+            self.late_orders -= 1
             self.nursery.start_soon(self._late, effect, self.late_seconds)
             raise PlatformError("no answer in time")
         answer = effect()
@@ -177,7 +177,7 @@
 
     async def _late(self, effect: Callable[[], object], seconds: float) -> None:
         await trio.sleep(seconds)
-        self.workers_behind.advance(trio.current_time())
+        self.simulated_workers.advance(trio.current_time())
         effect()
 
 
@@ -220,7 +220,7 @@
     return PartitionPlan(PARTITION, (VITI,), new_policy)
 
 
-class SettledRights(PartitionRights):
+class FixedRights(PartitionRights):
     """Partition rights that never change."""
 
     def __init__(
@@ -256,7 +256,7 @@
 ) -> PartitionRunner:
     """Return the runner of a configured partition. Needs a running trio loop."""
     runner = PartitionRunner(
-        plan or make_plan(), store, platform, rights or SettledRights(), PlannerClock()
+        plan or make_plan(), store, platform, rights or FixedRights(), PlannerClock()
     )
     runner.configure(make_configuration())
     return runner
--- a/fireflyfork/programs/tests/builders_store.py
+++ b/fireflyfork/programs/tests/builders_store.py
@@ -38,9 +38,9 @@
 
     async def read(self, key: str) -> StoredValue | None:
         """See Store."""
-        found: list[StoredValue | None] = []
-        await self._call(lambda: found.append(self.values.get(key)))
-        return found[0]
+        results: list[StoredValue | None] = []
+        await self._call(lambda: results.append(self.values.get(key)))
+        return results[0]
 
     async def write(self, key: str, value: bytes, expected: Revision) -> Revision:
         """See Store."""
@@ -67,9 +67,9 @@
 
     async def keys(self, prefix: str) -> tuple[str, ...]:
         """See Store."""
-        found: list[str] = []
-        await self._call(lambda: found.extend(sorted(self.values)))
-        return tuple(key for key in found if key.startswith(prefix))
+        results: list[str] = []
+        await self._call(lambda: results.extend(sorted(self.values)))
+        return tuple(key for key in results if key.startswith(prefix))
 
     async def wait(self, key: str, after: Revision, seconds: float) -> StoredValue | None:
         """See Store; returns at once instead of waiting."""
--- a/fireflyfork/programs/tests/test_ctl.py
+++ b/fireflyfork/programs/tests/test_ctl.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class CommandResult:
     """The exit code and output of a command."""
 
     code: int
@@ -33,12 +33,12 @@
     error: str
 
     @property
-    def plain(self) -> Any:
+    def json_output(self) -> Any:
         """The JSON output."""
         return json.loads(self.out)
 
 
-def ctl(*words: str, standard_input: str = "") -> Ended:
+def ctl(*words: str, standard_input: str = "") -> CommandResult:
     """Run one command line and capture its output."""
     out, error = io.StringIO(), io.StringIO()
     with (
@@ -51,11 +51,11 @@
             code = int(run(list(words)))
         except SystemExit as ended:
             code = int(ended.code or 0)
-    return Ended(code, out.getvalue(), error.getvalue())
+    return CommandResult(code, out.getvalue(), error.getvalue())
 
 
 @contextlib.contextmanager
-def in_store(store: MemoryStore) -> Iterator[None]:
+def using_store(store: MemoryStore) -> Iterator[None]:
     """Make the commands use ``store`` for every address."""
     with mock.patch.object(_ctl_configuration, "HttpStore", return_value=store):
         yield
@@ -73,7 +73,7 @@
         self.answers = str(EXAMPLES / "naidu" / "answers.jsonc")
         self.generate()
 
-    def generate(self) -> Ended:
+    def generate(self) -> CommandResult:
         """Generate the file from the answers of the Naidu example."""
         words = ["--answers", self.answers, "--output", str(self.file)]
         return ctl("questionnaire", *words)
@@ -124,7 +124,7 @@
         self.assertEqual(self.generate().code, 0)
         self.assertEqual(self.file.read_text("utf-8"), before)
 
-    def test_what_becomes_of_the_file_before(self) -> None:
+    def test_manual_edits_are_listed(self) -> None:
         """A manual edit of the generated file is listed when generating again overwrites it."""
         self.edit('"longest_queue": 64', '"longest_queue": 16')
         self.assertIn("~ services[booking-desk].longest_queue: 16 -> 64", self.generate().out)
@@ -140,7 +140,7 @@
         self.assertEqual(body, self.file.read_text("utf-8").split("{", 1)[1])
         self.assertTrue((self.directory / "typed.answers.jsonc").exists())
 
-    def test_the_terminal_is_closed(self) -> None:
+    def test_input_ends_early(self) -> None:
         """If the input ends half way, no partial file is written."""
         output = self.directory / "typed.jsonc"
         ended = ctl("questionnaire", "--output", str(output), standard_input="Naidu\nyes\n")
@@ -169,7 +169,7 @@
         self.edit('"spill_share": 0.2', '"spill_share": 20')
         ended = ctl("check", str(self.file), "--json")
         self.assertEqual(ended.code, ExitCode.INVALID)
-        paths = [violation["path"] for violation in ended.plain["violations"]]
+        paths = [violation["path"] for violation in ended.json_output["violations"]]
         self.assertEqual(paths, ["services[0].longest_queue", "links[0].spill_share"])
         self.edit('"longest_queue": -1', '"longest_queue": "no"')
         self.assertEqual(ctl("check", str(self.file)).code, ExitCode.USAGE)
@@ -178,24 +178,26 @@
     def test_apply_history_rollback(self) -> None:
         """An operator applies a file, changes it, reads the history and rolls the change back."""
         store = MemoryStore()
-        with in_store(store):
+        with using_store(store):
             dry = ctl("apply", str(self.file), *STORE, "--dry-run")
             self.assertEqual((dry.code, store.values), (ExitCode.DONE, {}))
             self.assertEqual(ctl("apply", str(self.file), *STORE).code, ExitCode.DONE)
             self.assertIn('"version": 1', self.file.read_text("utf-8"))
-            again = ctl("apply", str(self.file), *STORE, "--json").plain
+            again = ctl("apply", str(self.file), *STORE, "--json").json_output
             self.assertEqual((again["outcome"], again["version"]), ("unchanged", 1))
             self.edit('"longest_queue": 64', '"longest_queue": 32')
-            changed = ctl("apply", str(self.file), *STORE, "--note", "shorter", "--json").plain
+            changed = ctl(
+                "apply", str(self.file), *STORE, "--note", "shorter", "--json"
+            ).json_output
             self.assertEqual(changed["version"], 2)
             (difference,) = changed["differences"]
             self.assertEqual(difference["path"], "services[booking-desk].longest_queue")
-            back = ctl("rollback", "1", *STORE, "--json").plain
+            back = ctl("rollback", "1", *STORE, "--json").json_output
             self.assertEqual(back["version"], 3)
-            rows = ctl("history", *STORE, "--json").plain
+            rows = ctl("history", *STORE, "--json").json_output
             self.assertEqual([row["version"] for row in rows], [1, 2, 3])
             self.assertEqual(rows[1]["note"], "shorter")
-            shown = ctl("show", *STORE, "--version", "2", "--json").plain
+            shown = ctl("show", *STORE, "--version", "2", "--json").json_output
             self.assertEqual(shown["services"][0]["longest_queue"], 32)
             self.assertEqual(ctl("rollback", "9", *STORE).code, ExitCode.NOT_FOUND)
 
@@ -205,7 +207,7 @@
         Without this check, the second change would silently overwrite the first.
         """
         store = MemoryStore()
-        with in_store(store):
+        with using_store(store):
             ctl("apply", str(self.file), *STORE)
             own = self.file.read_text("utf-8")
             self.edit('"longest_queue": 64', '"longest_queue": 32')
@@ -216,13 +218,13 @@
             self.assertEqual(ended.code, ExitCode.CONFLICT)
             self.assertIn("~ services[booking-desk].longest_queue: 64 -> 32", ended.error)
             self.assertIn("--base 2", ended.error)
-            self.assertEqual(ctl("history", *STORE, "--json").plain[-1]["version"], 2)
+            self.assertEqual(ctl("history", *STORE, "--json").json_output[-1]["version"], 2)
             self.assertEqual(ctl("apply", str(self.file), *STORE, "--base", "2").code, 0)
 
     def test_invalid_and_forbidden_changes(self) -> None:
         """Invalid files, and changes that are forbidden while entries run, never reach the store."""
         store = MemoryStore()
-        with in_store(store):
+        with using_store(store):
             ctl("apply", str(self.file), *STORE)
             self.edit('"partitions_per_region": 32', '"partitions_per_region": 64')
             ended = ctl("apply", str(self.file), *STORE)
@@ -230,7 +232,7 @@
             self.assertIn("partitions_per_region", ended.error)
             self.edit('"partitions_per_region": 64', '"partitions_per_region": 0')
             self.assertEqual(ctl("apply", str(self.file), *STORE).code, ExitCode.INVALID)
-            self.assertEqual(ctl("history", *STORE, "--json").plain[-1]["version"], 1)
+            self.assertEqual(ctl("history", *STORE, "--json").json_output[-1]["version"], 1)
 
     def test_unusual_values(self) -> None:
         """A valid value in the wrong unit is rejected unless the operator accepts unusual values.
@@ -238,7 +240,7 @@
         Otherwise a value such as 1024 bytes for 1 MiB would go unnoticed until a request fails.
         """
         store = MemoryStore()
-        with in_store(store):
+        with using_store(store):
             ctl("apply", str(self.file), *STORE)
             self.edit('"longest_body_bytes": 1048576', '"longest_body_bytes": 1024')
             self.edit('"slots": 8', '"slots": 9')
@@ -257,23 +259,23 @@
         """Each command reports that the store is down and that nothing was changed."""
         down = [Fault.REFUSED] * 50
         for words in (["apply", str(self.file)], ["show"], ["history"], ["rollback", "1"]):
-            with self.subTest(words=words), in_store(MemoryStore(down)):
+            with self.subTest(words=words), using_store(MemoryStore(down)):
                 ended = ctl(*words, *STORE)
                 self.assertEqual(ended.code, ExitCode.UNAVAILABLE)
                 self.assertIn("nothing was changed", ended.error)
 
-    def test_store_down_in_the_middle(self) -> None:
+    def test_store_down_during_a_change(self) -> None:
         """The store applies a change and goes down; the message says that it may have taken effect."""
         store = MemoryStore([Fault.NONE, Fault.ANSWER_LOST, *[Fault.REFUSED] * 50])
-        with in_store(store):
+        with using_store(store):
             ended = ctl("apply", str(self.file), *STORE, "--patience", "0.1", "--json")
         self.assertEqual(ended.code, ExitCode.UNKNOWN)
         error = json.loads(ended.error.splitlines()[-1])
         self.assertIn("may have taken effect", error["error"])
         self.assertIn("applying the same file again is safe", error["hint"])
-        with in_store(store):
+        with using_store(store):
             store.faults.clear()
-            again = ctl("apply", str(self.file), *STORE, "--json").plain
+            again = ctl("apply", str(self.file), *STORE, "--json").json_output
         self.assertEqual((again["outcome"], again["version"]), ("unchanged", 1))
 
 
@@ -370,7 +372,7 @@
                 answers = str(EXAMPLES / "naidu" / "answers.jsonc")
                 ctl("questionnaire", "--answers", answers, "--output", file)
                 with (
-                    in_store(MemoryStore()),
+                    using_store(MemoryStore()),
                     mock.patch.object(_ctl_configuration, "_IN_FORCE_SECONDS", 0.0),
                 ):
                     ended = ctl("apply", file, *STORE, "--entries", *entries)
@@ -381,7 +383,7 @@
         """Metrics are printed as a table, as JSON and unchanged."""
         entries = ["--entries", "127.0.0.1:1"]
         self.assertIn("calls_total", ctl("metrics", *entries).out)
-        (sample,) = ctl("metrics", *entries, "--json").plain["entries"]["127.0.0.1:1"]
+        (sample,) = ctl("metrics", *entries, "--json").json_output["entries"]["127.0.0.1:1"]
         self.assertEqual(sample["value"], 3.0)
         raw = ctl("metrics", *entries, "--raw").out
         self.assertEqual(raw.strip(), 'calls_total{service="desk"} 3')
@@ -416,11 +418,11 @@
         self,
         error: BatchCallError | None = None,
         state: str = "finished",
-        silent_looks: int = 0,
+        failed_status_calls: int = 0,
     ) -> None:
         self._error = error
-        self._silent_looks = silent_looks
-        self._looks = 0
+        self._silent_looks = failed_status_calls
+        self._status_calls = 0
         self._state = state
 
     def _job(self, state: str) -> JobStatus:
@@ -439,10 +441,10 @@
 
     async def status(self, job_id: str) -> JobStatus:
         """Return the job as open for the first two calls; fail for ``failed_status_calls`` calls."""
-        self._looks += 1
-        if self._looks <= self._silent_looks:
+        self._status_calls += 1
+        if self._status_calls <= self._silent_looks:
             raise BatchCallError(BatchProblem("connection refused"), None)
-        return self._job(self._state if self._looks > 2 else "open")
+        return self._job(self._state if self._status_calls > 2 else "open")
 
     async def jobs(self) -> tuple[JobStatus, ...]:
         """Return the only job."""
@@ -461,7 +463,7 @@
     SUBMIT = ("submit", "letters", "--team", "letters", "--cores", "2", "--memory", "4GB",
               "--run-time", "3s", *PLANNERS)  # fmt: skip
 
-    def run_with(self, planners: FakePlanners, *words: str) -> Ended:
+    def run_with(self, planners: FakePlanners, *words: str) -> CommandResult:
         """Run a command against a fake planner, without pauses."""
         with (
             mock.patch.object(_ctl_jobs, "BatchClient", return_value=planners),
@@ -483,28 +485,28 @@
         """Status, cancel and explain print what the planner returns."""
         planners = FakePlanners()
         self.assertIn("open", self.run_with(planners, "status", "letters", *self.PLANNERS).out)
-        listed = self.run_with(planners, "status", *self.PLANNERS, "--json").plain
+        listed = self.run_with(planners, "status", *self.PLANNERS, "--json").json_output
         self.assertEqual(listed["jobs"][0]["job_id"], "letters")
         self.assertIn("cancelled", self.run_with(planners, "cancel", "letters", *self.PLANNERS).out)
-        told = self.run_with(planners, "explain", "letters", *self.PLANNERS).out
-        self.assertIn("waits for memory", told)
-        self.assertIn("evicted 2 times", told)
+        explanation = self.run_with(planners, "explain", "letters", *self.PLANNERS).out
+        self.assertIn("waits for memory", explanation)
+        self.assertIn("evicted 2 times", explanation)
 
     def test_a_planner_restarts_during_the_wait(self) -> None:
         """``--wait`` continues while a planner restarts."""
-        planners = FakePlanners(silent_looks=2)
+        planners = FakePlanners(failed_status_calls=2)
         ended = self.run_with(planners, "status", "letters", *self.PLANNERS, "--wait", "60")
         self.assertEqual(ended.code, ExitCode.DONE, ended.error)
         self.assertEqual(ended.error.count("no answer from a planner"), 2)
 
-    def test_a_dead_planner_hides_nothing(self) -> None:
+    def test_unreachable_planner(self) -> None:
         """Status lists a planner that does not answer, and fails if no planner answers."""
         error = BatchCallError(BatchProblem("connection refused"), None)
         ended = self.run_with(FakePlanners(error), "status", *self.PLANNERS)
         self.assertIn("planner 127.0.0.1:1: connection refused", ended.out)
         self.assertEqual(ended.code, ExitCode.UNAVAILABLE)
 
-    def test_what_planners_refuse(self) -> None:
+    def test_planner_failures(self) -> None:
         """Each kind of failure has its own exit code and message.
 
         A failed connection and a lost answer look alike to the operator. If a job that may be
--- a/fireflyfork/programs/tests/test_ctl_store.py
+++ b/fireflyfork/programs/tests/test_ctl_store.py
@@ -13,7 +13,12 @@
 from ... import ChangeId, Configuration, ConfigurationVersion, StoreUnavailableError
 from ...operations import RETAINED_VERSIONS
 from ...operations.tests.builders_answers import example_configuration
-from .._ctl_store import ChangeLostError, ChangeUnknownError, ConfigurationStore, Current
+from .._ctl_store import (
+    ChangeLostError,
+    ChangeUnknownError,
+    ConfigurationStore,
+    CurrentConfiguration,
+)
 from .builders_store import Fault, MemoryStore
 
 BASE = example_configuration()
@@ -35,7 +40,7 @@
 
 
 def prepared(
-    stored: ConfigurationStore, proposed: Configuration, current: Current, name: str
+    stored: ConfigurationStore, proposed: Configuration, current: CurrentConfiguration, name: str
 ) -> Configuration:
     """Return the configuration to write, with a given change id."""
     return replace(stored.prepare(proposed, current, ""), change_id=ChangeId(name))
@@ -122,7 +127,7 @@
 
         in_virtual_time(body)
 
-    def test_loser_of_a_race(self) -> None:
+    def test_concurrent_change_is_refused(self) -> None:
         """Of two operators who change the same version, the second fails and changes nothing."""
 
         async def body() -> None:
@@ -196,7 +201,7 @@
         st.integers(2, 4),
         st.integers(0, 2**32),
     )
-    def test_every_operator_is_told_the_truth(
+    def test_reported_outcomes_are_correct(
         self, faults: list[Fault], operators: int, seed: int
     ) -> None:
         """Each change reported as accepted is in the history once, and no refused change is.
@@ -228,13 +233,13 @@
                 for number in range(operators):
                     nursery.start_soon(operate, number)
             store.faults.clear()
-            self.assertEqual(set(refused) & set(await _changes(store)), set())
+            self.assertEqual(set(refused) & set(await _change_ids(store)), set())
             self.assertEqual([await _count(store, name) for name in accepted], [1] * len(accepted))
 
         in_virtual_time(body)
 
 
-async def _changes(store: MemoryStore) -> list[str]:
+async def _change_ids(store: MemoryStore) -> list[str]:
     """Return the change ids of all versions, oldest first."""
     stored = configuration_store(store)
     versions = [await stored.version(version) for version in await stored.versions()]
@@ -244,4 +249,4 @@
 
 
 async def _count(store: MemoryStore, name: str) -> int:
-    return (await _changes(store)).count(name)
+    return (await _change_ids(store)).count(name)
--- a/fireflyfork/programs/tests/test_planner_attempts.py
+++ b/fireflyfork/programs/tests/test_planner_attempts.py
@@ -9,7 +9,7 @@
 
 from ... import JobId, TaskId, WorkerId
 from ...decisions import LeaseRules, PlanningRules, TaskState
-from .builders_faults import Fault, FaultKind, Planners
+from .builders_faults import Fault, FaultKind, PlannerSequence
 from .builders_planner import make_submission, run_simulated, until
 
 JOB = JobId("night")
@@ -18,7 +18,7 @@
 """Leases that outlast ``silence``, so an unreachable worker runs on after the planner notices."""
 
 
-def starts_of(planners: Planners, task_id: TaskId) -> list[tuple[int, WorkerId]]:
+def starts_of(planners: PlannerSequence, task_id: TaskId) -> list[tuple[int, WorkerId]]:
     """Return the attempt number and worker of each start of a task."""
     return [
         (event.attempt, event.worker_id)
@@ -27,7 +27,7 @@
     ]
 
 
-def state_of(planners: Planners, task_id: TaskId) -> TaskState | None:
+def state_of(planners: PlannerSequence, task_id: TaskId) -> TaskState | None:
     """Return the state of an open task at the current owner."""
     state = planners.runner.state
     task = state.table.tasks.get(task_id) if state is not None else None
@@ -42,7 +42,7 @@
 
         async def body() -> None:
             async with trio.open_nursery() as nursery:
-                planners = Planners(nursery)
+                planners = PlannerSequence(nursery)
                 await planners.submit(make_submission(tasks=3, run_seconds=5.0))
                 planners.store.down = True
                 await trio.sleep(30.0)
@@ -59,7 +59,7 @@
 
         async def body() -> None:
             async with trio.open_nursery() as nursery:
-                planners = Planners(nursery)
+                planners = PlannerSequence(nursery)
                 await planners.submit(make_submission(tasks=3, run_seconds=40.0))
                 await until(lambda: state_of(planners, FIRST) is TaskState.RUNNING)
                 planners.store.down = True
@@ -76,8 +76,8 @@
 
         async def body() -> None:
             async with trio.open_nursery() as nursery:
-                planners = Planners(nursery)
-                planners.platform.make_late = 1
+                planners = PlannerSequence(nursery)
+                planners.platform.late_orders = 1
                 planners.platform.late_seconds = 30.0
                 planners.workers.faults = Faults(unreachable=(WorkerId("w0"),))
                 await planners.submit(make_submission(tasks=1, run_seconds=60.0))
@@ -95,7 +95,7 @@
 
         async def body() -> None:
             async with trio.open_nursery() as nursery:
-                planners = Planners(nursery, LONG_LEASES)
+                planners = PlannerSequence(nursery, LONG_LEASES)
                 await planners.submit(make_submission(tasks=1, run_seconds=200.0))
                 await until(lambda: state_of(planners, FIRST) is TaskState.RUNNING)
                 unreachable = Faults(unreachable=(starts_of(planners, FIRST)[0][1],))
@@ -123,7 +123,7 @@
 
         async def body() -> None:
             async with trio.open_nursery() as nursery:
-                planners = Planners(nursery)
+                planners = PlannerSequence(nursery)
                 await planners.submit(make_submission(tasks=30, run_seconds=30.0))
                 await until(lambda: state_of(planners, FIRST) is TaskState.RUNNING)
                 planners.platform.down = True
@@ -155,7 +155,7 @@
 
         async def body() -> None:
             async with trio.open_nursery() as nursery:
-                planners = Planners(nursery, report_lag=3.0)
+                planners = PlannerSequence(nursery, report_lag=3.0)
                 await trio.sleep(100.0)
                 await planners.submit(make_submission(tasks=1, run_seconds=30.0))
                 await until(lambda: planners.is_over(JOB))
@@ -173,7 +173,7 @@
 
         async def body() -> None:
             async with trio.open_nursery() as nursery:
-                planners = Planners(nursery)
+                planners = PlannerSequence(nursery)
                 planners.workers.faults = Faults(fail_all=(WorkerId("w0"),))
                 await planners.submit(make_submission(tasks=12, run_seconds=4.0))
                 await until(lambda: planners.is_over(JOB))
@@ -189,7 +189,7 @@
 
         async def body() -> None:
             async with trio.open_nursery() as nursery:
-                planners = Planners(nursery)
+                planners = PlannerSequence(nursery)
                 everywhere = tuple(WorkerId(f"w{index}") for index in range(3))
                 planners.workers.faults = Faults(fail_all=everywhere)
                 await planners.submit(make_submission(tasks=1))
@@ -208,7 +208,7 @@
 
         async def body() -> None:
             async with trio.open_nursery() as nursery:
-                planners = Planners(nursery, LONG_LEASES)
+                planners = PlannerSequence(nursery, LONG_LEASES)
                 await planners.submit(make_submission(tasks=4, run_seconds=200.0))
                 await until(lambda: state_of(planners, FIRST) is TaskState.RUNNING)
                 faults = planners.workers.faults
--- a/fireflyfork/programs/tests/test_planner_endpoint.py
+++ b/fireflyfork/programs/tests/test_planner_endpoint.py
@@ -17,8 +17,8 @@
 from .._planner_partition import PartitionRunner
 from .builders_planner import (
     PARTITION,
+    FixedRights,
     MemoryStore,
-    SettledRights,
     SimulatedPlatform,
     make_runner,
     make_workers,
@@ -45,7 +45,7 @@
     async def main() -> None:
         store = MemoryStore()
         runner = make_runner(store, SimulatedPlatform(SimulatedWorkers(make_workers(2))))
-        rights = SettledRights()
+        rights = FixedRights()
         server = HttpServer(PlannerEndpoint({PARTITION: runner}, rights))
         listeners = await listen("127.0.0.1", 0)
         port = listeners[0].socket.getsockname()[1]
@@ -89,7 +89,7 @@
 
         run_served(body)
 
-    def test_hopeless_jobs_are_refused_with_a_reason(self) -> None:
+    def test_impossible_jobs_are_refused_with_a_reason(self) -> None:
         """A job that could never run must be refused at once instead of waiting forever."""
         cases: list[tuple[dict[str, object], int, str]] = [
             ({"resources": Resources(5000, 1)}, 409, "no worker is large enough"),
@@ -212,12 +212,12 @@
 
         async def body(served: Served) -> None:
             listeners = await listen("127.0.0.1", 0)
-            gone = Address("127.0.0.1", listeners[0].socket.getsockname()[1])
+            unreachable = Address("127.0.0.1", listeners[0].socket.getsockname()[1])
             await listeners[0].aclose()
             with self.assertRaises(BatchCallError) as raised:
-                await BatchClient((gone,)).submit(make_request())
+                await BatchClient((unreachable,)).submit(make_request())
             self.assertEqual(raised.exception.problem.accepted, "no")
-            status = await BatchClient((gone, served.address)).submit(make_request())
+            status = await BatchClient((unreachable, served.address)).submit(make_request())
             self.assertEqual(status.tasks, 2)
 
         run_served(body)
@@ -226,7 +226,7 @@
         """A planner that does not own the job's partition redirects to the owner."""
 
         async def body(served: Served) -> None:
-            rights = SettledRights(frozenset(), {PARTITION: served.address})
+            rights = FixedRights(frozenset(), {PARTITION: served.address})
             idle = make_runner(served.store, SimulatedPlatform(SimulatedWorkers(())), rights)
             server = HttpServer(PlannerEndpoint({PARTITION: idle}, rights))
             listeners = await listen("127.0.0.1", 0)
--- a/fireflyfork/programs/tests/test_planner_faults.py
+++ b/fireflyfork/programs/tests/test_planner_faults.py
@@ -12,7 +12,7 @@
 from ... import JobId, Resources
 from ...decisions import FirstFitPolicy, PlacementPolicy
 from ...decisions.placement import InterferenceAwarePolicy
-from .builders_faults import Fault, FaultKind, Planners
+from .builders_faults import Fault, FaultKind, PlannerSequence
 from .builders_planner import TEAM, make_submission, run_simulated, until
 
 NO_RESOURCES = Resources()
@@ -38,7 +38,7 @@
 
     async def body() -> None:
         async with trio.open_nursery() as nursery:
-            planners = Planners(nursery, new_policy=new_policy)
+            planners = PlannerSequence(nursery, new_policy=new_policy)
             nursery.start_soon(planners.submit, make_submission(tasks=TASKS, run_seconds=6.0))
             for fault in faults:
                 await planners.apply(fault)
--- a/fireflyfork/programs/tests/test_planner_journal.py
+++ b/fireflyfork/programs/tests/test_planner_journal.py
@@ -56,8 +56,8 @@
             assert encoded is not None
             await journal.snapshot(*encoded, journal.position.sequence)
             await journal.commit((accepted(2),))
-            found = await make_journal(store).recover(ME, always)
-            self.assertEqual(set(found.jobs), {"job-1", "job-2"})
+            recovered = await make_journal(store).recover(ME, always)
+            self.assertEqual(set(recovered.jobs), {"job-1", "job-2"})
 
         run_simulated(body)
 
@@ -76,8 +76,8 @@
             with self.assertRaises(PartitionLostError):
                 await earlier.commit((accepted(2),))
             await later.commit((accepted(2, tasks=7),))
-            found = await make_journal(store).recover(ME, always)
-            self.assertEqual(found.jobs[JobId("job-2")].task_count, 7)
+            recovered = await make_journal(store).recover(ME, always)
+            self.assertEqual(recovered.jobs[JobId("job-2")].task_count, 7)
 
         run_simulated(body)
 
@@ -114,7 +114,7 @@
 
         run_simulated(body)
 
-    def test_the_ring_is_used_again_and_again(self) -> None:
+    def test_ring_slots_are_reused(self) -> None:
         """Planners crash in turn over three rounds of the ring, and no change is lost.
 
         Overwriting a slot before a snapshot covers it would lose accepted jobs.
--- a/fireflyfork/programs/tests/test_planner_partition.py
+++ b/fireflyfork/programs/tests/test_planner_partition.py
@@ -20,7 +20,7 @@
 )
 
 
-class ThinPathTest(unittest.TestCase):
+class JobLifecycleTest(unittest.TestCase):
     """A job without faults."""
 
     def test_a_job_runs_and_its_end_is_visible(self) -> None:
