--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements, one command each. Nothing here is a test."""
+"""Measurements of the decisions and programs, one command per module; none of them is a test."""
--- a/bench/_configuration_changes.py
+++ b/bench/_configuration_changes.py
@@ -1,4 +1,4 @@
-"""Seeded changes of a configuration: ordinary ones that operators make, and mistakes."""
+"""Seeded changes to a configuration: ordinary changes by operators, and operator mistakes."""
 
 from __future__ import annotations
 
@@ -12,28 +12,33 @@
 from ._inferred_rules import Plain
 
 Edit = Callable[[Any, Random], None]
-"""Changes a configuration's plain form in place."""
+"""Modifies the plain form (decoded JSON) of a configuration in place."""
 
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """A kind of change."""
+    """A named kind of change and the function that applies it."""
 
     name: str
     edit: Edit
 
     def applied(self, plain: Plain, random: Random) -> Plain:
-        """A changed copy, different from the original."""
+        """Return a changed copy that differs from ``plain``.
+
+        An edit may draw the current value and change nothing, so it is tried up to 20 times.
+        """
         for _ in range(20):
             changed: Plain = copy.deepcopy(plain)
             self.edit(changed, random)
             if json.dumps(changed) != json.dumps(plain):
                 return changed
-        raise AssertionError(f"{self.name} changes nothing")
+        raise AssertionError(
+            f"change {self.name!r} left the configuration unmodified in 20 attempts"
+        )
 
 
 def _add_target(plain: Any, random: Random) -> None:
-    """One more executor beside an existing one, at the next free port."""
+    """Add an executor to the failure domain of an existing one, at the next free port."""
     model = random.choice(plain["targets"])
     same = [each for each in plain["targets"] if each["failure_domain"] == model["failure_domain"]]
     number = max(int(each["target_id"].rpartition("-")[2]) for each in same) + 1
@@ -96,7 +101,7 @@
 
 
 def _move_domain(plain: Any, random: Random) -> None:
-    """All executors of a failure domain get new addresses in another network."""
+    """Give all executors of a failure domain new addresses in another network."""
     domain = random.choice(plain["targets"])["failure_domain"]
     network = random.randrange(1, 250)
     for number, target in enumerate(plain["targets"]):
@@ -112,13 +117,13 @@
 
 
 def _larger_executor(plain: Any, random: Random) -> None:
-    """One more executor, on a machine with room for twice the slots."""
+    """Add an executor with twice the slots of an existing one."""
     _add_target(plain, random)
     plain["targets"][-1]["slots"] *= 2
 
 
 def _wider_link(plain: Any, random: Random) -> None:
-    """The region's provider replaces the link by one ten times as wide, or back."""
+    """Switch the first link between its narrow bandwidth and ten times that."""
     narrow = 1_875_000
     link = plain["links"][0]
     link["bytes_per_second"] = narrow * 10 if link["bytes_per_second"] == narrow else narrow
@@ -180,14 +185,14 @@
 
 
 def _unit_slip(plain: Any, random: Random) -> None:
-    """Seconds for milliseconds or the reverse."""
+    """Write a duration in milliseconds instead of seconds, or the reverse."""
     service = random.choice(plain["services"])
     name = random.choice(_SERVICE_NUMBERS[:4])
     service[name] *= random.choice([1000.0, 0.001])
 
 
 def _link_unit_slip(plain: Any, random: Random) -> None:
-    """Milliseconds as seconds, bits as bytes, per cent as a share."""
+    """Write a link field in the wrong unit: seconds for milliseconds, bits for bytes, per cent for a share."""
     link = random.choice(plain["links"])
     name, factor = random.choice(
         [("one_way_milliseconds", 0.001), ("bytes_per_second", 8), ("spill_share", 100.0)]
@@ -196,7 +201,7 @@
 
 
 def _memory_unit_slip(plain: Any, random: Random) -> None:
-    """Gigabytes or megabytes for bytes, or the reverse."""
+    """Write a memory quota in gigabytes instead of bytes, or multiply it by 1024."""
     team = random.choice([team for team in plain["teams"] if team["quota"]["memory"]])
     team["quota"]["memory"] = random.choice(
         [team["quota"]["memory"] // 10**9, team["quota"]["memory"] * 1024]
@@ -241,7 +246,7 @@
 
 
 def _wrong_domain(plain: Any, random: Random) -> None:
-    """A target is said to be in a failure domain of the other region."""
+    """Assign a target to a failure domain of another region."""
     target = random.choice(plain["targets"])
     far = [each for each in plain["regions"] if each["name"] != target["region"]]
     target["failure_domain"] = far[0]["failure_domains"][0]
@@ -273,13 +278,13 @@
 
 
 def _one_odd_target(plain: Any, random: Random) -> None:
-    """One executor of many is given other slots or connections than the rest, by a slip."""
+    """Give one executor a slot count that differs slightly from the others."""
     target = random.choice(plain["targets"])
     target["slots"] += random.choice([-1, 1, 2])
 
 
 def _wrong_port(plain: Any, random: Random) -> None:
-    """A slip in one address that makes another valid one: no rule can know."""
+    """Change an address to another valid one, which no rule can detect."""
     target = random.choice(plain["targets"])
     host, _, port = target["address"].rpartition(":")
     target["address"] = f"{host}:{int(port) + 4000}"
@@ -318,7 +323,7 @@
 
 
 def _numbers(plain: Any) -> list[tuple[Any, str]]:
-    """The places of numbers that must stay positive."""
+    """Return the records and field names of the numbers that must be positive."""
     places = [(each, name) for each in plain["services"] for name in _SERVICE_NUMBERS]
     places += [(each, name) for each in plain["targets"] for name in ("slots", "connections")]
     places += [(each, name) for each in plain["links"] for name in ("bytes_per_second",)]
--- a/bench/_entry_fleet.py
+++ b/bench/_entry_fleet.py
@@ -1,4 +1,4 @@
-"""Starts a store, an instance list, executors and entries as processes, for measurements."""
+"""Starts a store, an instance list, executors and entries as separate processes to measure."""
 
 from __future__ import annotations
 
@@ -43,20 +43,20 @@
 
 @dataclass(slots=True)
 class MeasuredProcess:
-    """One process and its use of the machine."""
+    """A running process with its memory and processor use."""
 
     name: str
     process: subprocess.Popen[bytes]
 
     @property
     def resident_megabytes(self) -> float:
-        """Resident memory, in units of 1,000,000 bytes."""
+        """Resident memory, in megabytes of 1,000,000 bytes."""
         pages = Path(f"/proc/{self.process.pid}/statm").read_text("ascii").split()[1]
         return int(pages) * PAGE_BYTES / 1e6
 
     @property
     def processor_seconds(self) -> float:
-        """Processor time used so far."""
+        """User and system processor time used so far, in seconds."""
         stat = Path(f"/proc/{self.process.pid}/stat").read_text("ascii")
         fields = stat.rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
@@ -64,13 +64,13 @@
 
 @dataclass(slots=True)
 class MeasuredEntry(MeasuredProcess):
-    """One entry."""
+    """An entry process with the addresses that it listens on."""
 
     callers: Address
     operators: Address
 
     async def ready(self) -> None:
-        """Wait until the entry says that it is ready."""
+        """Wait until the entry reports that it is ready."""
         while True:
             try:
                 if (await get_json(self.operators, "/readyz"))["ready"]:
@@ -80,7 +80,7 @@
             await trio.sleep(0.05)
 
     async def peer_bytes(self) -> float:
-        """Bytes sent to peers so far, on the streams that are open."""
+        """Return the bytes sent to peers so far on the streams that are currently open."""
         _, body = await _call(self.operators, "/metrics")
         for line in body.decode("utf-8").splitlines():
             if line.startswith("fireflyfork_peer_sent_bytes "):
@@ -88,7 +88,7 @@
         return 0.0
 
     async def own_targets(self) -> list[str]:
-        """The targets that the entry owns."""
+        """Return the ids of the targets that the entry owns."""
         services = (await get_json(self.operators, "/status"))["services"]
         assert isinstance(services, dict)
         return [target for one in services.values() for target in one["own_targets"]]
@@ -96,7 +96,7 @@
 
 @dataclass(slots=True)
 class MeasuredFleet:
-    """All processes."""
+    """All processes of a fleet, with the addresses needed to query them."""
 
     store: Address
     entries: list[MeasuredEntry]
@@ -104,11 +104,11 @@
     processes: list[subprocess.Popen[bytes]] = field(default_factory=list)
 
     async def store_calls(self) -> dict[str, object]:
-        """What the store counted, by kind of call."""
+        """Return the number of calls that the store has received, by kind of call."""
         return await get_json(self.store, "/statistics")
 
     async def wait_owned(self) -> None:
-        """Wait until the living entries own all targets between them."""
+        """Wait until the running entries together own all targets."""
         living = [entry for entry in self.entries if entry.process.poll() is None]
         while True:
             try:
@@ -121,7 +121,11 @@
 
 
 async def get_json(address: Address, path: str) -> dict[str, object]:
-    """The JSON object at a path. Raises HttpError."""
+    """Return the JSON object at ``path``.
+
+    Raises HttpError if the call fails or the status is 500 or above. ``/readyz`` may answer 503, because
+    its body is JSON then too.
+    """
     status, body = await _call(address, path)
     if status >= 500 and path != "/readyz":
         raise HttpError(f"{path} answered {status}")
@@ -132,7 +136,7 @@
 async def measured_fleet(
     entries: int, executors: int = 8, slots: int = 8, run_seconds: float = 0.0
 ) -> AsyncIterator[MeasuredFleet]:
-    """Start everything and wait until all targets are owned."""
+    """Start all processes, wait until all targets are owned, and kill the processes on exit."""
     ports = iter(range(FIRST_PORT, FIRST_PORT + 3 * entries + executors + 2))
     store, instances = _address(next(ports)), _address(next(ports))
     targets = [_address(next(ports)) for _ in range(executors)]
--- a/bench/_inferred_rules.py
+++ b/bench/_inferred_rules.py
@@ -1,8 +1,9 @@
 """Rules inferred from accepted configurations, of the kinds that ConfValley infers.
 
-Data types, non-emptiness, value ranges, enumerations, equality between parameters, uniqueness and
-consistency, with the heuristics that the paper gives (section 4.3): an enumeration needs
-``ln(values) >= distinct values``, and equality ignores short values and rare parameters.
+The rules cover data types, non-emptiness, value ranges, enumerations, equality between parameters,
+uniqueness and consistency. The heuristics are those of the ConfValley paper (section 4.3): an
+enumeration needs ``ln(values) >= distinct values``, and equality ignores short values and parameters
+with few values.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 Plain = dict[str, object]
 Values = Mapping[str, tuple[object, ...]]
-"""The values of each parameter of one configuration; its path has ``[*]`` for places in lists."""
+"""Values of one configuration by parameter, a path with ``[*]`` in place of list indexes."""
 
 _INDEX = re.compile(r"\[\d+\]")
 _MOST_ENUMERATED = 10
@@ -29,7 +30,7 @@
 
 
 def values_of(configuration: Plain) -> Values:
-    """Group the values of a configuration by parameter."""
+    """Group the values of a configuration by parameter, without version, change id and note."""
     grouped: dict[str, list[object]] = {}
     for path, value in leaves(configuration):
         name = _INDEX.sub("[*]", path)
@@ -40,94 +41,94 @@
 
 @dataclass(frozen=True, slots=True)
 class InferredRule(ABC):
-    """One rule about one parameter."""
+    """An inferred rule about one parameter."""
 
     parameter: str
 
     @abstractmethod
     def is_broken_by(self, values: Values) -> bool:
-        """Whether a configuration breaks it."""
+        """Return whether a configuration with these values breaks the rule."""
 
     def of(self, values: Values) -> tuple[object, ...]:
-        """The parameter's values."""
+        """Return the values of the rule's parameter, empty if the configuration has none."""
         return values.get(self.parameter, ())
 
 
 @dataclass(frozen=True, slots=True)
 class TypeRule(InferredRule):
-    """Each value is of the kind that all accepted ones were."""
+    """Requires every value to have the kind that all accepted values have."""
 
     kind: str
 
     def is_broken_by(self, values: Values) -> bool:
-        """See InferredRule."""
+        """Return whether the values break the rule."""
         return any(_kind(value) != self.kind for value in self.of(values))
 
 
 @dataclass(frozen=True, slots=True)
 class NonEmptyRule(InferredRule):
-    """No value is empty."""
+    """Requires every value to be neither an empty string nor None."""
 
     def is_broken_by(self, values: Values) -> bool:
-        """See InferredRule."""
+        """Return whether the values break the rule."""
         return any(value in ("", None) for value in self.of(values))
 
 
 @dataclass(frozen=True, slots=True)
 class InferredRangeRule(InferredRule):
-    """Each number lies between the least and the largest accepted one."""
+    """Requires every number to lie between the smallest and the largest accepted one."""
 
     least: float
     most: float
 
     def is_broken_by(self, values: Values) -> bool:
-        """See InferredRule."""
+        """Return whether the values break the rule."""
         numbers = (value for value in self.of(values) if _is_number(value))
         return any(not self.least <= float(str(number)) <= self.most for number in numbers)
 
 
 @dataclass(frozen=True, slots=True)
 class EnumerationRule(InferredRule):
-    """Each value is one of the few accepted ones."""
+    """Requires every value to be one of the accepted values."""
 
     known: frozenset[object]
 
     def is_broken_by(self, values: Values) -> bool:
-        """See InferredRule."""
+        """Return whether the values break the rule."""
         return any(value not in self.known for value in self.of(values))
 
 
 @dataclass(frozen=True, slots=True)
 class UniquenessRule(InferredRule):
-    """No value occurs twice in a configuration."""
+    """Requires the values of a configuration to be distinct."""
 
     def is_broken_by(self, values: Values) -> bool:
-        """See InferredRule."""
+        """Return whether the values break the rule."""
         return len(set(self.of(values))) < len(self.of(values))
 
 
 @dataclass(frozen=True, slots=True)
 class ConsistencyRule(InferredRule):
-    """All values in a configuration are the same."""
+    """Requires all values of a configuration to be equal."""
 
     def is_broken_by(self, values: Values) -> bool:
-        """See InferredRule."""
+        """Return whether the values break the rule."""
         return len(set(self.of(values))) > 1
 
 
 @dataclass(frozen=True, slots=True)
 class EqualityRule(InferredRule):
-    """The values of two parameters are the same, one by one."""
+    """Requires two parameters to have the same sequence of values."""
 
     other: str
 
     def is_broken_by(self, values: Values) -> bool:
-        """See InferredRule."""
+        """Return whether the values break the rule."""
         return self.of(values) != values.get(self.other, ())
 
 
 def infer(history: Iterable[Values]) -> tuple[InferredRule, ...]:
-    """All rules that every configuration of ``history`` keeps."""
+    """Return all rules that every configuration of ``history`` satisfies."""
     accepted = tuple(history)
     names = sorted(set().union(*accepted))
     rules = [rule for name in names for rule in _about_one(name, accepted)]
--- a/bench/_link_objects.py
+++ b/bench/_link_objects.py
@@ -1,7 +1,7 @@
-"""Objects as they cross the link between regions, seeded and encoded by the product's own code.
+"""Sample objects that cross the link between regions, encoded by the product's own code.
 
-What the platform writes (answers of its store, registrations, lists of runs) is spelled as on its pages, with
-the usual lengths of names.
+Objects that the platform writes (answers of its store, registrations, lists of runs) follow its
+documented format, with names of the usual length.
 """
 
 from __future__ import annotations
@@ -68,7 +68,7 @@
 
 
 def request(method: str, target: str, body: bytes = b"", *more: Header) -> int:
-    """The bytes of a call, with its head."""
+    """Return the size of an HTTP request in bytes, including its head."""
     headers = (
         _HOST,
         (b"content-type", b"application/json"),
@@ -82,28 +82,28 @@
 
 
 def answer(body: object) -> int:
-    """The bytes of an answer of the store or of an executor, with its head."""
+    """Return the size in bytes of a response of the store or an executor, including its head."""
     return len(_ANSWER_HEAD) + len(msgspec.json.encode(body))
 
 
 def item(key: str, value: bytes) -> dict[str, object]:
-    """A key as the store tells of it."""
+    """Return a key with its value as the store reports it."""
     text = b64encode(value).decode("ascii")
     return {"key": key, "value": text, "revision": REVISION, "created": REVISION, "lease": 0}
 
 
 def events(*items: dict[str, object]) -> int:
-    """A watch's answer."""
+    """Return the size in bytes of the response to a watch."""
     return answer({"events": items, "as_of": REVISION})
 
 
 def listing(*items: dict[str, object]) -> int:
-    """A list's answer, all pages together."""
+    """Return the size in bytes of the response to a list call, with all pages in one."""
     return answer({"items": items, "has_more": False, "as_of": REVISION})
 
 
 def commit(*puts: tuple[str, bytes], conditions: int = 1) -> int:
-    """A transaction."""
+    """Return the size in bytes of a transaction request."""
     rows = [
         {"key": key, "value": b64encode(value).decode("ascii"), "lease": 0} for key, value in puts
     ]
@@ -113,7 +113,7 @@
 
 
 def job(name: JobId, payload_bytes: int) -> bytes:
-    """A job of three steps as it is stored."""
+    """Return the stored form of a job of three steps."""
     steps = (
         StepSpec(4, 500, 256, 0, 900, data_rack="r1-3"),
         StepSpec(20, 2_000, 1_024, 0, 7_000, after=(0,), checkpointing=True, image="image-12"),
@@ -125,7 +125,7 @@
 
 
 def progress(running: bool) -> bytes:
-    """The progress of a job: half of its tasks done, or all."""
+    """Return the stored progress of a job that is running, with half of its tasks done, or completed."""
     done = tuple((0, 1, index) for index in range(TASKS_OF_A_JOB // 2 if running else 0))
     left = tuple(
         StoredTask(0, 1, index, 1, (), "00000bb87a21d94b")
@@ -136,7 +136,7 @@
 
 
 def registration(number: int) -> dict[str, object]:
-    """What an executor writes about itself, as an item of the store."""
+    """Return the registration that an executor writes, as an item of the store."""
     value = {
         "service": SERVICE,
         "address": f"10.104.0.{number % 250}:9204",
@@ -154,7 +154,7 @@
 
 
 def known_executors(count: int) -> bytes:
-    """The executors that an owner stores for its successor."""
+    """Return the stored list of executors that an owner leaves for its successor."""
     return encode_registrations(
         tuple(
             ExecutorRegistration(
@@ -174,7 +174,7 @@
 
 
 def learned(services: int, images: int, random: Random) -> bytes:
-    """What an owner stores of what it has learned."""
+    """Return the stored form of the interference fits that an owner has learned."""
     names = (*(f"image-{number}" for number in range(images)), "")
     size = len(names)
     fits = (
@@ -190,19 +190,19 @@
 
 
 def announcement(number: int) -> dict[str, object]:
-    """What an instance announces of itself, as an item of the store."""
+    """Return the announcement of an instance, as an item of the store."""
     value = {"strength": 0.86, "failure_domain": "savusavu", "relay": f"10.4.0.{number}:7720"}
     return item(f"fireflyfork/instance/edge-savusavu-{number}", msgspec.json.encode(value))
 
 
 def owner() -> dict[str, object]:
-    """The owner's key."""
+    """Return the key that names the owner of the service, as an item of the store."""
     value = {"node": "edge-nadi-1", "nonce": "00112233445566ff"}
     return item("fireflyfork/work/owner/dele69a", msgspec.json.encode(value))
 
 
 def poll_frames(running: int, ended: int) -> tuple[int, int]:
-    """The frames of one poll over a relay: there, and back with so many runs and ends."""
+    """Return the sizes in bytes of a relayed poll and its reply with these numbers of runs and ends."""
     there = poll_call(57_120, _PLACE, TOKEN, PollRequest(57, CLOCK_MS, 1.0, 5.0))
     rows = PollAnswer(
         CallOutcome.ACCEPTED,
@@ -218,7 +218,7 @@
 
 
 def direct_poll(running: int, ended: int) -> tuple[int, int]:
-    """The bytes of one poll without a relay: there, and back with so many runs and ends."""
+    """Return the sizes in bytes of a direct poll and its response with these numbers of runs and ends."""
     question = {"fencing_token": TOKEN, "last_seen": 57, "deadline_ms": CLOCK_MS, "wait_ms": 1_000}
     incarnation = (EXPECTED_INCARNATION_HEADER, str(BORN).encode("ascii"))
     there = request("POST", POLL_PATH, msgspec.json.encode(question), incarnation)
@@ -229,12 +229,12 @@
 
 
 def pending_counts(queues: int) -> bytes:
-    """How many jobs of each queue wait, as it is stored."""
+    """Return the stored number of pending jobs of each queue."""
     return msgspec.json.encode({f"r-{number:07d}": 12 for number in range(queues)})
 
 
 def start_frames(payload_bytes: int) -> tuple[int, int]:
-    """The frames of one start over a relay, there and back."""
+    """Return the sizes in bytes of a relayed start order and its reply."""
     order = StartRequest(_task(9), AttemptNumber(1), "x" * payload_bytes, CLOCK_MS, "", "")
     back = OrderReply.of(57_120, OrderAnswer(CallOutcome.ACCEPTED, CLOCK_MS, BORN))
     return (
@@ -244,7 +244,7 @@
 
 
 def ping_frames() -> tuple[int, int]:
-    """A ping and its answer."""
+    """Return the sizes in bytes of a ping and its reply."""
     return len(encode_frame([Ping()])), len(encode_frame([Pong()]))
 
 
--- a/bench/_worker_model.py
+++ b/bench/_worker_model.py
@@ -1,8 +1,8 @@
-"""A small seeded model of workers under services and batch tasks, for measuring a policy.
+"""A seeded model of workers that run services and batch tasks, for measuring a placement policy.
 
-Time goes in steps; nothing here is concurrent and nothing is sent anywhere. Usage and latency are
-reported with a lag, declared sizes and run times are off the truth, and each pair of a service and
-a batch class has its own hidden slow-down that grows with the worker's load.
+Time advances in steps, without concurrency and without network calls. Usage and latency are reported
+with a lag, declared sizes and run times differ from the actual ones, and each pair of a service and a
+batch class has its own hidden slow-down that grows with the worker's load.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
 _STOP_SECONDS = 2.0
 _CHECKPOINT_SECONDS = 60.0
 _CHECKPOINT_FAILS = 0.1
-"""The share of checkpoints on eviction that fail, so that the last periodic one counts."""
+"""Share of the checkpoints on eviction that fail; the task then resumes from the last periodic one."""
 _TEAMS = 6
 _OBJECTIVE = 200.0
 _RATIO_UNIT = 1000
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Site:
-    """One user's fleet and weights."""
+    """A fleet of workers with its workload and the weights of its goals."""
 
     name: str
     workers: int
@@ -76,11 +76,11 @@
     batch_classes: int = 8
     replicas_per_worker: int = 2
     replica_share: float = 0.125
-    """Of a worker's processors, as declared."""
+    """Share of a worker's processors that one replica declares."""
     batch_scale: float = 1.0
-    """Makes batch tasks smaller than a sixteenth to a quarter of a worker."""
+    """Factor on the size of batch tasks; at 1.0 they declare 1/32 to 1/4 of a worker's cores."""
     noisy_pairs: float = 0.25
-    """The share of pairs of a service and a batch class that interfere much."""
+    """Share of the pairs of a service and a batch class that interfere strongly."""
 
 
 NAIDU = Site("naidu", 24, 16, 60, 8, 3, Weights(tail_latency=5.0, evictions=1.0, throughput=1.0))
@@ -91,43 +91,43 @@
 
 @dataclass(frozen=True, slots=True)
 class _BatchClass:
-    """The truth about one class of batch work, which the policy never sees."""
+    """The actual behaviour of a class of batch tasks, which the policy never sees."""
 
     shape: TaskShape
     processor_ratio: float
-    """What it needs of what it declares."""
+    """Processor demand as a fraction of the declared millicores."""
     memory_ratio: float
     memory_spread: float
     run_ratio: float
     slopes: tuple[tuple[float, ...], ...]
-    """Per service and band of load: how a worker full of it raises the logarithm of the tail."""
+    """Increase of the logarithm of the tail latency, by service and load band, on a worker full of this class."""
 
 
 @dataclass(frozen=True, slots=True)
 class _ServiceTruth:
-    """The truth about one service."""
+    """The actual behaviour of a service, which the policy never sees."""
 
     shape: TaskShape
     base: float
-    """Its p99 over the objective, alone at half load."""
+    """Ratio of p99 latency to the objective when the service runs alone at half load."""
 
 
 @dataclass(slots=True)
 class _Run:
-    """One attempt as the worker has it."""
+    """An attempt that is running on a worker."""
 
     task: Task
     begins: float
     need: float
-    """Millicores that it could use."""
+    """Millicores that the attempt could use without limits."""
     memory: int
     seconds: float
-    """The true run time at full speed."""
+    """Actual run time at full speed."""
     progress: float
     truth: _BatchClass | _ServiceTruth
     used: float = 0.0
     ends: float | None = None
-    """When a stop that was ordered takes effect."""
+    """Time at which an ordered stop takes effect, or None if none is ordered."""
     checkpoint: float = 0.0
     checkpoint_at: float = 0.0
     fails: bool = False
@@ -135,7 +135,7 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What one run measured."""
+    """The measurements of one run of the model."""
 
     tail: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 1_000_000, 3))
     urgent: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 10_000_000, 3))
@@ -150,22 +150,22 @@
     failures: int = 0
     refused: int = 0
     worst_rack_share: float = 0.0
-    """The largest share of one service's replicas in one rack at the end."""
+    """The largest share of a service's replicas in one rack at the end of the run."""
 
     def tail_ratio(self, percentile: float) -> float:
-        """A percentile, over replicas and intervals, of p99 over the objective."""
+        """Return a percentile, over replicas and intervals, of the ratio of p99 latency to the objective."""
         return float(self.tail.get_value_at_percentile(percentile)) / _RATIO_UNIT
 
     def urgent_seconds(self, percentile: float) -> float:
-        """A percentile of the time from submission of an urgent task to its start."""
+        """Return a percentile of the seconds from the submission of an urgent task to its start."""
         return float(self.urgent.get_value_at_percentile(percentile)) / 1000.0
 
 
 class WorkerModel:
-    """Runs one policy on one site with one seed."""
+    """Simulates one site under one policy with one seed."""
 
     def __init__(self, site: Site, policy: PlacementPolicy, seed: int) -> None:
-        """The seed alone decides the truth and the arrivals, whatever the policy does."""
+        """Set up the site. Task behaviour and arrivals depend on the seed only, not on the policy."""
         self._site = site
         self._policy = policy
         self._arrivals = random.Random(seed)
@@ -205,7 +205,7 @@
         self._wave: tuple[float, _BatchClass] | None = None
 
     def run(self, seconds: int) -> Outcome:
-        """Run for so many modelled seconds."""
+        """Simulate this many seconds and return the measurements."""
         self.submit_replicas()
         while self._now < seconds:
             self._arrive()
@@ -222,7 +222,7 @@
         return self.outcome
 
     def submit_replicas(self) -> None:
-        """Ask for the replicas of all services."""
+        """Submit the replicas of all services."""
         replicas = self._site.replicas_per_worker * self._site.workers
         for service in self._services:
             self.submit(service.shape, replicas // self._site.services)
@@ -236,43 +236,41 @@
             share = max(racks.values(), default=0) / max(len(runs), 1)
             self.outcome.worst_rack_share = max(self.outcome.worst_rack_share, share)
 
-    # For measuring cost, without the physics
-
     @property
     def running(self) -> Mapping[TaskId, _Run]:
-        """The attempts that may run."""
+        """The attempts that have been started and have not ended, by task."""
         return self._runs
 
     def waiting_count(self) -> int:
-        """Tasks that wait."""
+        """Return the number of waiting tasks that aren't urgent."""
         return sum(len(tasks) for tasks in self._waiting.values())
 
     def submit_some(self, count: int, chance: random.Random) -> None:
-        """Submit so many tasks of classes drawn at random, four to a job."""
+        """Submit about ``count`` tasks of randomly drawn classes, in jobs of up to four tasks."""
         for _ in range(max(count // 4, 1)):
             team = TeamName(f"team-{chance.randrange(_TEAMS)}")
             self.submit(replace(chance.choice(self._classes).shape, team=team), min(count, 4))
 
     def end_some(self, count: int, chance: random.Random, outcome: AttemptOutcome) -> None:
-        """End so many batch attempts drawn at random."""
+        """End ``count`` randomly drawn batch attempts with this outcome."""
         batch = [run for run in self._runs.values() if run.task.shape.service is None]
         for run in chance.sample(batch, min(count, len(batch))):
             self.end(run, outcome)
 
     def one_round(self, seconds: float) -> None:
-        """Let time pass and carry out what the policy decides."""
+        """Advance time and apply the commands that the policy then decides on."""
         self._now += seconds
         for command in self._policy.decide(self.view()):
             self.apply(command)
 
     def report_at_once(self) -> None:
-        """Hand over reports about all attempts, as if they had no lag."""
+        """Report all attempts to the policy without the usual lag."""
         self._work_steadily()
         self.measure()
         self._policy.observe(self._reports.pop())
 
     def drop_waiting(self) -> None:
-        """Forget what waits."""
+        """Remove all waiting tasks, urgent ones included."""
         for group in (self._waiting, self._urgent):
             for tasks in group.values():
                 for task_id in tasks:
@@ -286,8 +284,6 @@
                 run.need = self._load * run.task.shape.resources.millicores
             run.used = min(run.need, run.task.reservation.millicores)
 
-    # Arrivals
-
     def _arrive(self) -> None:
         chance = self._arrivals
         if int(self._now) % 300 == 0:
@@ -312,7 +308,7 @@
                 self.submit(replace(item.shape, team=team, urgent=urgent), count)
 
     def submit(self, shape: TaskShape, count: int) -> None:
-        """Add a job of equal tasks."""
+        """Submit a job of ``count`` tasks of the same shape."""
         self._job_count += 1
         job_id = JobId(f"job-{self._job_count}")
         group = self._urgent if shape.urgent else self._waiting
@@ -331,10 +327,8 @@
             self._tasks[task_id] = task
             group.setdefault(job_id, {})[task_id] = task
 
-    # The table
-
     def view(self) -> PlacementView:
-        """What the policy sees."""
+        """Return the state that the policy decides on."""
         return PlacementView(
             self._now,
             self._workers,
@@ -350,7 +344,7 @@
         )
 
     def apply(self, command: PlacementCommand) -> None:
-        """Carry out one command."""
+        """Apply a command of the policy."""
         task = self._tasks[command.task_id]
         if isinstance(command, Start):
             self._start(task, command)
@@ -368,7 +362,7 @@
         self._unqueue(task)
         held = self._reserved.get(command.worker_id, Resources()) + command.reservation
         if not held.fits_in(self._workers[command.worker_id].capacity):
-            raise AssertionError(f"{command.worker_id} would be given more than it holds")
+            raise AssertionError(f"reservations on {command.worker_id} would exceed its capacity")
         started = replace(
             task,
             state=TaskState.RUNNING,
@@ -433,7 +427,7 @@
         self._team_reserved[task.shape.team] = held + amount if sign > 0 else held - amount
 
     def end(self, run: _Run, outcome: AttemptOutcome, reason: str = "") -> None:
-        """End one attempt."""
+        """End an attempt, and return its task to the waiting tasks unless it has finished."""
         task = run.task
         assert task.worker_id is not None
         del self._runs[task.task_id]
@@ -458,8 +452,6 @@
             group.setdefault(task.job_id, {})[task.task_id] = waiting
         self._policy.observe(AttemptEnded(self._now, task, outcome, reason))
 
-    # The workers
-
     def _work(self) -> None:
         for run in list(self._runs.values()):
             if run.begins > self._now:
@@ -509,7 +501,7 @@
         self.outcome.lost_core_seconds += lost
 
     def measure(self) -> None:
-        """Queue the reports about all attempts, which arrive after the lag."""
+        """Sample all attempts and queue the reports, which the policy receives after the lag."""
         due = self._now + _LAG_SECONDS
         samples = []
         for worker_id, tasks in self._on_worker.items():
--- a/bench/batch_failures_seen.py
+++ b/bench/batch_failures_seen.py
@@ -1,8 +1,9 @@
-"""What submitters see while things fail: run by ``bash scripts/failures.sh`` after the bookings.
+"""Measures how failures affect submitters of batch jobs; ``bash scripts/failures.sh`` runs it.
 
-Jobs are submitted through the planners while workers, the store and the platform fail. At the end
-the platform's own history tells whether a task ran twice at a time, ran again after it had finished,
-or a worker was given more than it holds. With the argument ``judge`` it does only that.
+Jobs are submitted through the planners while workers, the store and the platform fail. At the end the
+history of the platform shows whether a task ran twice at the same time, ran again after it had
+finished, or a worker received more than its capacity. With the argument ``judge`` only the history is
+checked.
 """
 
 from __future__ import annotations
@@ -34,17 +35,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Phase:
-    """One failure while a job runs."""
+    """A failure that is injected while a job runs."""
 
     name: str
     before: Action
-    """Before the job is submitted."""
+    """Runs before the job is submitted."""
     during: Action
-    """Two seconds after."""
+    """Runs two seconds after the job is submitted."""
 
 
 async def main() -> None:
-    """Run all phases and judge the history."""
+    """Run all phases, then check the history of the platform."""
     if "judge" not in sys.argv:
         client = BatchClient(tuple(Address("127.0.0.1", planner[3]) for planner in PLANNERS))
         for phase in PHASES:
@@ -72,7 +73,10 @@
 
 
 async def _submit(client: BatchClient, job: JobRequest) -> str:
-    """Submit until it is known to be stored; a repeat under the same id changes nothing."""
+    """Submit the job until a planner confirms that it is stored, and describe the answers.
+
+    Repeating a submission under the same id is safe, because it has no further effect.
+    """
     said: list[str] = []
     while True:
         try:
@@ -110,7 +114,7 @@
 
 
 async def _nothing() -> None:
-    """No failure."""
+    """Inject no failure."""
 
 
 def _put(address: Address, target: str, plain: dict[str, object]) -> Action:
--- a/bench/configuration_checks.py
+++ b/bench/configuration_checks.py
@@ -1,7 +1,8 @@
-"""Which checks catch which mistakes in configurations, and how often each raises a false alarm.
+"""Measures which checks detect which configuration mistakes, and how often each raises a false alarm.
 
-``python -m bench.configuration_checks [MISTAKES_OF_EACH_KIND]``. Both users' configurations are
-changed by seeded ordinary changes; rules are inferred from the first ones and tried on later ones.
+Run ``python -m bench.configuration_checks [MISTAKES_OF_EACH_KIND]``. The configurations of both
+example sites receive seeded ordinary changes. Rules are inferred from the first versions and tested on
+later ones.
 """
 
 from __future__ import annotations
@@ -27,12 +28,12 @@
 EXAMPLES = Path(__file__).parents[1] / "examples"
 
 Check = Callable[[Plain, Plain], bool]
-"""Whether a configuration is rejected when it is to replace another."""
+"""Takes the current and the proposed configuration and returns whether the proposal is rejected."""
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A configuration, and the accepted one that it is to replace."""
+    """A proposed configuration and the accepted one that it would replace."""
 
     before: Plain
     after: Plain
@@ -41,14 +42,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Learned:
-    """A user's accepted changes, and the rules inferred from the first of them."""
+    """The accepted changes of a site and the rules inferred from the first of them."""
 
     accepted: tuple[Change, ...]
     rules: tuple[InferredRule, ...]
 
 
 def main() -> None:
-    """Run the comparison and print it."""
+    """Compare the checks on both sites and print the results."""
     each = int(sys.argv[1]) if len(sys.argv) > 1 else 100
     caught: Counter[tuple[str, str]] = Counter()
     alarms: Counter[tuple[str, str]] = Counter()
@@ -71,7 +72,7 @@
 
 
 def first_configuration(name: str) -> Plain:
-    """The plain form of an example."""
+    """Return the plain form of the configuration generated from an example's answers."""
     text = (EXAMPLES / name / "answers.jsonc").read_text("utf-8")
     answers = decode_document(Answers, text).value
     assert answers is not None
@@ -81,15 +82,15 @@
 
 
 def learn(first: Plain, random: Random) -> Learned:
-    """Change a configuration again and again as operators do, and infer rules from the start."""
+    """Apply a series of ordinary changes and infer rules from the first of them."""
     accepted: list[Change] = []
     while len(accepted) < LEARNED_CHANGES + TRIED_CHANGES:
-        # Half of the changes start again from the first, so that no value drifts away for good.
+        # Half of the changes start from the first configuration, which keeps values from drifting.
         latest = accepted[-1].after if accepted else first
         base = random.choice([latest, first])
         kind = random.choice(ORDINARY)
         changed = kind.applied(base, random)
-        # What the rules that are written down reject would never have been accepted.
+        # Changes that the written rules reject would never have been accepted.
         if not _breaks_types(changed) and not _breaks_relations(changed):
             accepted.append(Change(base, changed, kind.name))
     rules = infer(values_of(change.after) for change in accepted[:LEARNED_CHANGES])
@@ -97,7 +98,7 @@
 
 
 def checks_of(learned: Learned) -> dict[str, Check]:
-    """The checks to compare."""
+    """Return the checks to compare, by label."""
 
     def written(plain: Plain) -> bool:
         return _breaks_types(plain) or _breaks_relations(plain)
@@ -116,14 +117,14 @@
 
 
 def rejecting(checks: dict[str, Check], change: Change) -> Iterator[str]:
-    """The checks that reject a change."""
+    """Return the labels of the checks that reject a change."""
     return (
         label for label, is_rejected in checks.items() if is_rejected(change.before, change.after)
     )
 
 
 def mistakes(learned: Learned, each: int, random: Random) -> Iterator[Change]:
-    """Changes that add one mistake to an accepted configuration."""
+    """Yield ``each`` changes per kind of mistake, each applied to an accepted configuration."""
     for kind in MISTAKES:
         for _ in range(each):
             base = random.choice(learned.accepted[LEARNED_CHANGES:]).after
@@ -131,13 +132,13 @@
 
 
 def breaks_inferred(plain: Plain, rules: tuple[InferredRule, ...]) -> bool:
-    """Whether any of the inferred rules is broken."""
+    """Return whether a configuration breaks any of the inferred rules."""
     values = values_of(plain)
     return any(rule.is_broken_by(values) for rule in rules)
 
 
 def broken_later(learned: Learned) -> int:
-    """How many inferred rules some later accepted configuration breaks: they were wrong."""
+    """Return the number of wrong rules: those that a later accepted configuration breaks."""
     later = [values_of(change.after) for change in learned.accepted[LEARNED_CHANGES:]]
     return sum(any(rule.is_broken_by(values) for values in later) for rule in learned.rules)
 
@@ -148,7 +149,7 @@
     rejected: Counter[tuple[str, str]],
     tried: Counter[str],
 ) -> None:
-    """Print the shares that each check rejected, by kind and of all."""
+    """Print the share of changes that each check rejected, by kind and in total."""
     print(f"\n{title:32}" + "".join(f"{label:>21}" for label in labels))
     for kind, count in tried.items():
         shares = (f"{rejected[kind, label] / count:>21.0%}" for label in labels)
--- a/bench/configuration_size.py
+++ b/bench/configuration_size.py
@@ -1,6 +1,7 @@
-"""How large a configuration is in the store, and what reading one costs: ``python -m bench.configuration_size``.
+"""Measures the stored size of a configuration and the time to encode, decode and check it.
 
-The targets are those of the size to design for, spread over 16 failure domains of 7 regions.
+Run ``python -m bench.configuration_size``. Up to 11,000 targets, the design size, are spread over 16
+failure domains in 7 regions.
 """
 
 from __future__ import annotations
@@ -70,7 +71,7 @@
 
 
 def _milliseconds(call: Callable[[], object]) -> float:
-    """The least time of a few calls."""
+    """Return the shortest time of several calls, in milliseconds."""
     spent = []
     for _ in range(REPEATS):
         begun = time.perf_counter()
--- a/bench/entry_overload.py
+++ b/bench/entry_overload.py
@@ -1,8 +1,9 @@
-"""Overload on the real programs: ``python -m bench.entry_overload``.
+"""Measures the real programs under overload: ``python -m bench.entry_overload``.
 
-Four entries in two regions, six executors of four slots with runs of 200 ms, all on this machine.
-Callers come at random moments whatever became of those before them, half with bookings (keyed) and
-half with reads. The naive variants are compared in ``bench.overload``; the programs have none.
+Four entries in two regions and six executors with four slots and runs of 200 ms share this machine.
+Requests arrive at random times, independently of earlier answers (open loop). Half of them are
+bookings with an idempotency key, half are reads. The programs have no naive variants;
+``bench.overload`` compares those on a model.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 RUN_SECONDS = 0.2
 CAPACITY = len(EXECUTORS) * SLOTS / RUN_SECONDS
-"""Requests per second."""
+"""Requests per second that the executors can run."""
 LOADS = (1.0, 2.0, 5.0)
 SECONDS = 6.0
 TIMEOUT = 1.0
@@ -37,19 +38,22 @@
 
 @dataclass(slots=True)
 class Outcomes:
-    """What callers saw."""
+    """Latencies in seconds and counts of the outcomes that callers observed."""
 
     answered: list[float] = field(default_factory=list)
     refused: list[float] = field(default_factory=list)
-    """Seconds until "not run" with a Retry-After."""
+    """Seconds until a 503 (not run) with a Retry-After header."""
     late: int = 0
-    """504: not answered by the deadline."""
+    """Number of 504 answers: the request was not answered by its deadline."""
     other: int = 0
     sent: int = 0
 
 
 async def measure(fleet: ProcessFleet, load: float, seed: int) -> tuple[Outcomes, float]:
-    """Send requests at ``load`` times the capacity; also the entries' processor seconds."""
+    """Send requests at ``load`` times the capacity.
+
+    Returns the outcomes and the processor seconds that the entries used.
+    """
     random, outcomes = Random(seed), Outcomes()
     before = _processor_seconds(fleet)
     async with trio.open_nursery() as nursery:
@@ -129,7 +133,7 @@
 
 
 async def run() -> None:
-    """Print a row for each load and seed."""
+    """Print a row per load and seed."""
     print(f"capacity {CAPACITY:.0f}/s, {SECONDS:.0f} s each, timeout {TIMEOUT} s, {time.ctime()}")
     print(
         " load  seed   sent goodput %   p50 ms   p99 ms refused % r. p50 ms r. p99 ms  late % "
--- a/bench/entry_processes.py
+++ b/bench/entry_processes.py
@@ -1,7 +1,8 @@
-"""What an entry costs, on real processes: ``python -m bench.entry_processes``.
+"""Measures the cost of entries on real processes: ``python -m bench.entry_processes``.
 
-Memory and processor time at rest, bytes to peers and store calls by the number of entries, processor
-time for each request by kind, and the time from the kill of an owner to new owners.
+Prints memory, processor time, bytes to peers and store calls of idle entries by the number of entries,
+processor time per request by kind, and the time from killing an owner until its targets are owned
+again.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from ._entry_fleet import MeasuredEntry, MeasuredFleet, measured_fleet
 
 SETTLE_SECONDS = 25.0
-"""For joins, planned moves and the choice of better guards."""
+"""Time for members to join, for planned moves and for choosing better guards."""
 
 REST_SECONDS = 20.0
 REQUESTS = 3_000
@@ -26,7 +27,7 @@
 
 
 async def at_rest(entries: int) -> None:
-    """Print what entries cost when nobody calls."""
+    """Print the cost of entries that receive no requests."""
     async with measured_fleet(entries) as fleet:
         await trio.sleep(SETTLE_SECONDS)
         used = [entry.processor_seconds for entry in fleet.entries]
@@ -47,7 +48,7 @@
 
 
 async def per_request() -> None:
-    """Print the processor time of all entries for each request, by kind."""
+    """Print the processor time that the entries spend per request, by kind of request."""
     async with measured_fleet(2) as fleet:
         await trio.sleep(SETTLE_SECONDS)
         owners = [len(await entry.own_targets()) for entry in fleet.entries]
@@ -72,7 +73,7 @@
 
 
 async def takeover() -> None:
-    """Print how long it takes from the kill of an owner to new owners."""
+    """Print the time from killing an owner until all targets are owned again."""
     async with measured_fleet(4) as fleet:
         await trio.sleep(SETTLE_SECONDS)
         owned = [(len(await one.own_targets()), one.name, one) for one in fleet.entries]
@@ -115,7 +116,7 @@
 
 
 async def run() -> None:
-    """All measurements."""
+    """Run all measurements."""
     await per_request()
     await takeover()
     for entries in FLEETS:
@@ -123,7 +124,7 @@
 
 
 def main() -> None:
-    """Run and print."""
+    """Run all measurements and print their results."""
     trio.run(run)
 
 
--- a/bench/entry_refresh.py
+++ b/bench/entry_refresh.py
@@ -1,7 +1,7 @@
-"""What a change costs an entry as targets grow in number: ``python -m bench.entry_refresh``.
+"""Measures how the cost of a change grows with the targets: ``python -m bench.entry_refresh``.
 
-One entry owns all targets, the other none; each takes a new configuration and then a change of
-ownership that concerns none of its targets.
+One entry owns all targets, the other owns none. Each applies a new configuration and then a change of
+ownership that affects none of its targets.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 async def run() -> None:
-    """Measure and print."""
+    """Measure both entries at each number of targets and print the times."""
     async with running_fleet(entries=2) as fleet:
         for size in SIZES:
             configuration = _with_targets(fleet.configuration, size)
@@ -51,7 +51,7 @@
 
 
 def main() -> None:
-    """Run and print."""
+    """Run the measurement."""
     trio.run(run)
 
 
--- a/bench/executor_call_cost.py
+++ b/bench/executor_call_cost.py
@@ -1,7 +1,8 @@
-"""What one order and one poll cost the owner of a service, all of it: HTTP, JSON, timeouts, tasks.
+"""Measures the full cost of a start order and a poll to the owner of a service.
 
-``python -m bench.executor_call_cost`` calls a server in another process over loopback, directly and over a
-relay in that process, and prints processor time of the calling process alone.
+The cost includes HTTP, JSON, timeouts and trio tasks. ``python -m bench.executor_call_cost`` calls a
+server in another process over loopback, directly and over a relay in that process. It prints the
+processor time of the calling process only.
 """
 
 from __future__ import annotations
@@ -61,7 +62,10 @@
 
 
 async def _serve() -> None:
-    """Answer each request that comes whole in one read; prints the port first."""
+    """Print the ports of the server and the relay, then answer requests.
+
+    The server assumes that each request arrives complete in one read.
+    """
 
     async def answer(stream: trio.SocketStream) -> None:
         async with stream:
@@ -80,14 +84,14 @@
 async def _measure(
     client: ExecutorCalls, call: Callable[[ExecutorCalls, int], Awaitable[CallOutcome]]
 ) -> float:
-    """Processor time of a call, in microseconds."""
+    """Return the processor time of a call, in microseconds."""
     limit = trio.CapacityLimiter(AT_ONCE)
 
     async def one(number: int) -> None:
         async with limit:
             outcome = await call(client, number)
         if outcome is not CallOutcome.ACCEPTED:
-            raise RuntimeError(f"call was {outcome}")
+            raise RuntimeError(f"call {number} ended with {outcome} instead of being accepted")
 
     async def some(count: int) -> None:
         async with trio.open_nursery() as nursery:
@@ -128,7 +132,7 @@
 
 
 def main() -> None:
-    """Measure against a server in a process of its own."""
+    """Run the measurement against a server in a separate process."""
     server = subprocess.Popen(
         [sys.executable, "-m", "bench.executor_call_cost", "serve"],
         stdout=subprocess.PIPE,
