--- a/bench/_configuration_changes.py
+++ b/bench/_configuration_changes.py
@@ -33,7 +33,7 @@
             if json.dumps(changed) != json.dumps(plain):
                 return changed
         raise AssertionError(
-            f"change {self.name!r} left the configuration unmodified in 20 attempts"
+            f"change '{self.name}' left the configuration unmodified in 20 attempts"
         )
 
 
@@ -192,7 +192,7 @@
 
 
 def _link_unit_slip(plain: Any, random: Random) -> None:
-    """Write a link field in the wrong unit: seconds for milliseconds, bits for bytes, per cent for a share."""
+    """Write a link field in seconds for milliseconds, bits for bytes or per cent for a share."""
     link = random.choice(plain["links"])
     name, factor = random.choice(
         [("one_way_milliseconds", 0.001), ("bytes_per_second", 8), ("spill_share", 100.0)]
--- a/bench/_entry_fleet.py
+++ b/bench/_entry_fleet.py
@@ -123,8 +123,8 @@
 async def get_json(address: Address, path: str) -> dict[str, object]:
     """Return the JSON object at ``path``.
 
-    Raises HttpError if the call fails or the status is 500 or above. ``/readyz`` may answer 503, because
-    its body is JSON then too.
+    Raises HttpError if the call fails or the status is 500 or above. ``/readyz`` may answer 503,
+    because its body is JSON then too.
     """
     status, body = await _call(address, path)
     if status >= 500 and path != "/readyz":
--- a/bench/_inferred_rules.py
+++ b/bench/_inferred_rules.py
@@ -2,8 +2,8 @@
 
 The rules cover data types, non-emptiness, value ranges, enumerations, equality between parameters,
 uniqueness and consistency. The heuristics are those of the ConfValley paper (section 4.3): an
-enumeration needs ``ln(values) >= distinct values``, and equality ignores short values and parameters
-with few values.
+enumeration needs ``ln(values) >= distinct values``, and equality ignores short values and
+parameters with few values.
 """
 
 from __future__ import annotations
--- a/bench/_link_objects.py
+++ b/bench/_link_objects.py
@@ -125,7 +125,7 @@
 
 
 def progress(running: bool) -> bytes:
-    """Return the stored progress of a job that is running, with half of its tasks done, or completed."""
+    """Return the stored progress of a job: running with half of its tasks done, or completed."""
     done = tuple((0, 1, index) for index in range(TASKS_OF_A_JOB // 2 if running else 0))
     left = tuple(
         StoredTask(0, 1, index, 1, (), "00000bb87a21d94b")
@@ -202,7 +202,7 @@
 
 
 def poll_frames(running: int, ended: int) -> tuple[int, int]:
-    """Return the sizes in bytes of a relayed poll and its reply with these numbers of runs and ends."""
+    """Return the sizes in bytes of a relayed poll and of its reply with these runs and ends."""
     there = poll_call(57_120, _PLACE, TOKEN, PollRequest(57, CLOCK_MS, 1.0, 5.0))
     rows = PollAnswer(
         CallOutcome.ACCEPTED,
@@ -218,7 +218,7 @@
 
 
 def direct_poll(running: int, ended: int) -> tuple[int, int]:
-    """Return the sizes in bytes of a direct poll and its response with these numbers of runs and ends."""
+    """Return the sizes in bytes of a direct poll and of its response with these runs and ends."""
     question = {"fencing_token": TOKEN, "last_seen": 57, "deadline_ms": CLOCK_MS, "wait_ms": 1_000}
     incarnation = (EXPECTED_INCARNATION_HEADER, str(BORN).encode("ascii"))
     there = request("POST", POLL_PATH, msgspec.json.encode(question), incarnation)
--- a/bench/_worker_model.py
+++ b/bench/_worker_model.py
@@ -1,8 +1,8 @@
 """A seeded model of workers that run services and batch tasks, for measuring a placement policy.
 
-Time advances in steps, without concurrency and without network calls. Usage and latency are reported
-with a lag, declared sizes and run times differ from the actual ones, and each pair of a service and a
-batch class has its own hidden slow-down that grows with the worker's load.
+Time advances in steps, without concurrency and without network calls. Usage and latency are
+reported with a lag, declared sizes and run times differ from the actual ones, and each pair of a
+service and a batch class has its own hidden slow-down that grows with the worker's load.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
 _STOP_SECONDS = 2.0
 _CHECKPOINT_SECONDS = 60.0
 _CHECKPOINT_FAILS = 0.1
-"""Share of the checkpoints on eviction that fail; the task then resumes from the last periodic one."""
+"""Share of checkpoints on eviction that fail; the task then resumes from its last periodic one."""
 _TEAMS = 6
 _OBJECTIVE = 200.0
 _RATIO_UNIT = 1000
@@ -100,7 +100,7 @@
     memory_spread: float
     run_ratio: float
     slopes: tuple[tuple[float, ...], ...]
-    """Increase of the logarithm of the tail latency, by service and load band, on a worker full of this class."""
+    """Increase of the log tail latency on a worker full of this class, by service and load band."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -153,7 +153,7 @@
     """The largest share of a service's replicas in one rack at the end of the run."""
 
     def tail_ratio(self, percentile: float) -> float:
-        """Return a percentile, over replicas and intervals, of the ratio of p99 latency to the objective."""
+        """Return a percentile of p99 latency over the objective, over replicas and intervals."""
         return float(self.tail.get_value_at_percentile(percentile)) / _RATIO_UNIT
 
     def urgent_seconds(self, percentile: float) -> float:
@@ -165,7 +165,7 @@
     """Simulates one site under one policy with one seed."""
 
     def __init__(self, site: Site, policy: PlacementPolicy, seed: int) -> None:
-        """Set up the site. Task behaviour and arrivals depend on the seed only, not on the policy."""
+        """Set up the site; task behaviour and arrivals depend on the seed, not on the policy."""
         self._site = site
         self._policy = policy
         self._arrivals = random.Random(seed)
--- a/bench/batch_failures_seen.py
+++ b/bench/batch_failures_seen.py
@@ -1,9 +1,9 @@
 """Measures how failures affect submitters of batch jobs; ``bash scripts/failures.sh`` runs it.
 
-Jobs are submitted through the planners while workers, the store and the platform fail. At the end the
-history of the platform shows whether a task ran twice at the same time, ran again after it had
-finished, or a worker received more than its capacity. With the argument ``judge`` only the history is
-checked.
+Jobs are submitted through the planners while workers, the store and the platform fail. At the end
+the history of the platform shows whether a task ran twice at the same time, ran again after it had
+finished, or a worker received more than its capacity. With the argument ``judge`` only the history
+is checked.
 """
 
 from __future__ import annotations
--- a/bench/configuration_checks.py
+++ b/bench/configuration_checks.py
@@ -1,8 +1,8 @@
-"""Measures which checks detect which configuration mistakes, and how often each raises a false alarm.
+"""Measures which configuration mistakes each check detects and how often it raises a false alarm.
 
 Run ``python -m bench.configuration_checks [MISTAKES_OF_EACH_KIND]``. The configurations of both
-example sites receive seeded ordinary changes. Rules are inferred from the first versions and tested on
-later ones.
+example sites receive seeded ordinary changes. Rules are inferred from the first versions and tested
+on later ones.
 """
 
 from __future__ import annotations
--- a/bench/configuration_size.py
+++ b/bench/configuration_size.py
@@ -1,7 +1,7 @@
 """Measures the stored size of a configuration and the time to encode, decode and check it.
 
-Run ``python -m bench.configuration_size``. Up to 11,000 targets, the design size, are spread over 16
-failure domains in 7 regions.
+Run ``python -m bench.configuration_size``. Up to 11,000 targets, the design size, are spread over
+16 failure domains in 7 regions.
 """
 
 from __future__ import annotations
--- a/bench/entry_processes.py
+++ b/bench/entry_processes.py
@@ -1,8 +1,8 @@
 """Measures the cost of entries on real processes: ``python -m bench.entry_processes``.
 
-Prints memory, processor time, bytes to peers and store calls of idle entries by the number of entries,
-processor time per request by kind, and the time from killing an owner until its targets are owned
-again.
+Prints memory, processor time, bytes to peers and store calls of idle entries by the number of
+entries, processor time per request by kind, and the time from killing an owner until its targets
+are owned again.
 """
 
 from __future__ import annotations
--- a/bench/entry_refresh.py
+++ b/bench/entry_refresh.py
@@ -1,7 +1,7 @@
 """Measures how the cost of a change grows with the targets: ``python -m bench.entry_refresh``.
 
-One entry owns all targets, the other owns none. Each applies a new configuration and then a change of
-ownership that affects none of its targets.
+One entry owns all targets, the other owns none. Each applies a new configuration and then a change
+of ownership that affects none of its targets.
 """
 
 from __future__ import annotations
--- a/bench/executor_call_cost.py
+++ b/bench/executor_call_cost.py
@@ -1,7 +1,7 @@
 """Measures the full cost of a start order and a poll to the owner of a service.
 
-The cost includes HTTP, JSON, timeouts and trio tasks. ``python -m bench.executor_call_cost`` calls a
-server in another process over loopback, directly and over a relay in that process. It prints the
+The cost includes HTTP, JSON, timeouts and trio tasks. ``python -m bench.executor_call_cost`` calls
+a server in another process over loopback, directly and over a relay in that process. It prints the
 processor time of the calling process only.
 """
 
--- a/bench/failures_seen.py
+++ b/bench/failures_seen.py
@@ -1,8 +1,8 @@
-"""What callers see while things fail: ``bash scripts/failures.sh`` starts everything and runs this.
+"""Measures how failures affect callers; run by ``bash scripts/failures.sh``.
 
-Bookings come at a steady rate through all entries, each with its own idempotency key. One failure
-after the other is made on real processes. At the end the executors' own histories tell whether any
-booking ran twice, or ran although its caller was told that it did not.
+Bookings are sent at a steady rate through all entries, each with its own idempotency key, while
+failures are injected into real processes one after the other. At the end the histories of the
+executors show whether any booking ran twice, or ran although its caller received "not run".
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
 from fireflyfork_standins.demo_settings import ENTRIES, EXECUTORS_PER_RACK, RACKS
 
 RATE = 60.0
-"""Bookings a second, over all entries."""
+"""Bookings per second, over all entries."""
 TIMEOUT_MILLISECONDS = 3000
 TIMED_SHARE = 0.9
-"""The share of idempotency keys that are UUIDs of version 7; the others are of version 4."""
+"""Share of idempotency keys that are version 7 UUIDs; the others are version 4 UUIDs."""
 STORE = Address("127.0.0.1", 9001)
 INSTANCES = Address("127.0.0.1", 9002)
 READY_SECONDS = 30.0
@@ -40,16 +40,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordedRun:
-    """One request that an executor ran."""
+    """A request that an executor ran."""
 
     key: IdempotencyKey
     started: float
-    """Seconds since the Unix epoch."""
+    """Start time, in seconds since the Unix epoch."""
 
 
 @dataclass(frozen=True, slots=True)
 class History:
-    """What an executor says of itself."""
+    """The history that an executor reports at ``/history``."""
 
     runs: tuple[RecordedRun, ...]
     most_busy: int
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class Phase:
-    """One failure, and what callers saw while it lasted."""
+    """An injected failure and the outcomes that callers observed in its phase."""
 
     name: str
     action: Action
@@ -66,10 +66,10 @@
     latency: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 60_000_000, 3))
     last_answer: float = 0.0
     longest_gap: float = 0.0
-    """Seconds without any answer of an executor, over all entries."""
+    """Longest time in seconds without an answered booking, over all entries."""
 
     def record(self, outcome: str, begun: float, now: float) -> None:
-        """Count one booking."""
+        """Record the outcome and the latency of a booking."""
         self.outcomes[outcome] += 1
         self.latency.record_value(max(1, int((now - begun) * 1e6)))
         if outcome == "200 answered":
@@ -78,23 +78,23 @@
 
 
 class Trial:
-    """The bookings, the failures and the judgement."""
+    """Sends bookings, injects failures and checks the histories of the executors."""
 
     def __init__(self, folder: Path) -> None:
-        """``folder`` holds the processes' ids."""
+        """``folder`` is the run folder; the process ids are in its subfolder ``pids``."""
         self._folder = folder
         self._phase: Phase | None = None
         self._verdicts: dict[IdempotencyKey, str] = {}
         self._balanced = [entry[3] for entry in ENTRIES]
-        """The ports of the entries that a balancer would use."""
+        """Ports of the entries that the simulated load balancer uses."""
         self._random = Random(7)
         self.leaving = STORE
         self.leaving_id = ""
         self.leaving_since = 0.0
-        """When the list said of one executor that it leaves; seconds since the Unix epoch."""
+        """Time at which the list marked an executor as leaving, in seconds since the Unix epoch."""
 
     async def run(self) -> None:
-        """All phases and the judgement."""
+        """Run all phases, then check the histories of the executors."""
         await self._wait_ready()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._send_all, nursery)
@@ -108,15 +108,15 @@
         await self._judge()
 
     def signal(self, name: str, number: signal.Signals) -> None:
-        """Send a signal to one of the processes."""
+        """Send a signal to a process, found by its name."""
         os.kill(int((self._folder / "pids" / name).read_text("ascii")), number)
 
     def take_out(self, port: int) -> None:
-        """The balancer sends nothing to this entry any more."""
+        """Make the load balancer stop sending requests to this entry."""
         self._balanced = [each for each in self._balanced if each != port]
 
     def bring_back(self, port: int) -> None:
-        """The balancer uses this entry again."""
+        """Make the load balancer use this entry again."""
         self._balanced.append(port)
 
     async def _send_all(self, nursery: trio.Nursery) -> None:
@@ -180,7 +180,7 @@
 
 
 async def switch(address: Address, switches: dict[str, object]) -> None:
-    """Set the failure switches of a stand-in; those not named are off."""
+    """Set the failure switches of a stand-in; switches that aren't given are turned off."""
     await _put(address, "/switches", msgspec.json.encode(switches))
 
 
@@ -191,7 +191,7 @@
 
 
 def _timed_key() -> uuid.UUID:
-    """A UUID of version 7."""
+    """Return a version 7 UUID with the current time."""
     milliseconds = time.time_ns() // 1_000_000
     value = milliseconds << 80 | uuid.uuid4().int & ((1 << 80) - 1)
     return uuid.UUID(int=value & ~(0xF << 76) | 0x7 << 76)
@@ -226,7 +226,7 @@
 
 
 async def _nothing(trial: Trial) -> None:
-    """No failure."""
+    """Inject no failure."""
 
 
 async def _store_down(trial: Trial) -> None:
@@ -250,7 +250,7 @@
 
 
 async def _executor_leaves(trial: Trial) -> None:
-    """The executor that ran the latest request leaves."""
+    """Mark the executor that started the most recent request as leaving."""
     latest = 0.0
     for _, domain, first in RACKS:
         for number in range(EXECUTORS_PER_RACK):
@@ -276,7 +276,10 @@
 
 
 async def _entry_stopped(trial: Trial) -> None:
-    """A planned stop: the balancer looks at readiness, as it does every second or so."""
+    """Stop an entry as planned; the load balancer then notices that it isn't ready.
+
+    A real load balancer polls readiness about once a second.
+    """
     trial.signal("entry-labasa-2", signal.SIGTERM)
     await trio.sleep(0.1)
     trial.take_out(9041)
@@ -298,7 +301,7 @@
 
 
 def main() -> None:
-    """Run the trial."""
+    """Run all phases and print the total time."""
     begun = time.time()
     trio.run(Trial(Path(sys.argv[1])).run)
     print(f"took {time.time() - begun:.0f} s")
--- a/bench/job_scheduler_cost.py
+++ b/bench/job_scheduler_cost.py
@@ -1,7 +1,8 @@
-"""What the owner of a service spends on a start, and how that grows with the executors.
+"""Measures the processor time per task start in a service's owner, by the number of executors.
 
-``python -m bench.job_scheduler_cost`` drives the scheduler's decisions alone: jobs of eight tasks come
-in, are placed beside serving tasks, run for some polls and end. Times are of this machine's processor.
+``python -m bench.job_scheduler_cost`` runs only the decisions of the scheduler. Jobs of eight tasks
+are accepted, placed next to serving tasks and ended at the next poll. Times depend on this
+machine's processor.
 """
 
 from __future__ import annotations
@@ -49,7 +50,7 @@
 
 @dataclass(slots=True)
 class Cost:
-    """Seconds of processor time, and how often."""
+    """Processor time in seconds, with the numbers of starts and polls that it covers."""
 
     placing: float = 0.0
     polling: float = 0.0
@@ -58,10 +59,14 @@
 
 
 class Day:
-    """One owner with its executors, whose answers are made up."""
+    """The scheduler of one owner with simulated executors."""
 
     def __init__(self, executors: int, fills: bool = True) -> None:
-        """Register executors and start the serving tasks; work that ``fills`` takes what these leave over."""
+        """Register the executors and start the serving tasks.
+
+        If ``uses_leftover_cpu`` is true, batch tasks use the processor time that serving tasks
+        leave over; otherwise they reserve their own.
+        """
         self._fills = fills
         self._random = Random(executors)
         self._scheduler = Scheduler(SchedulerTerms(SERVICE, 8.0, 5.0))
@@ -92,7 +97,7 @@
         self.cost = Cost()
 
     def play(self, starts: int) -> Cost:
-        """Hand jobs in until so many tasks have been started."""
+        """Submit jobs until this many tasks have been started, and return the cost."""
         while self.cost.starts < starts:
             for _ in range(max(1, len(self._scheduler.executors) // 8)):
                 image = self._random.choice(IMAGES)
@@ -167,7 +172,7 @@
 
 
 def main() -> None:
-    """Print a line for each number of executors."""
+    """Print a line per number of executors."""
     print("executors  us a start that fills  us a start that reserves  us a poll")
     for size in SIZES:
         starts = min(STARTS_PER_EXECUTOR * size, MOST_STARTS)
--- a/bench/journal.py
+++ b/bench/journal.py
@@ -1,8 +1,9 @@
-"""What the batch journal costs: ``python -m bench.journal``.
+"""Measures the cost of the batch journal: ``python -m bench.journal``.
 
-Bytes, store calls and processor time per start, for partitions of several sizes in steady state:
-each commit holds as many submissions, starts and ends as a rate brings in a commit interval. No
-network and no clock: the time is that of this process alone, without placement and reports.
+Prints bytes, store calls and processor time per start for partitions of several sizes in steady
+state. Each commit holds the submissions, starts and ends of one commit interval at a given rate.
+The measurement uses no network and no clock; it counts only the processor time of this process,
+without placement and reports.
 """
 
 from __future__ import annotations
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """A partition and its load."""
+    """The size of a partition and its rate of starts."""
 
     name: str
     running: int
@@ -73,10 +74,10 @@
 
 
 class Partition:
-    """A partition whose tasks start and end at a steady rate, in random order and places."""
+    """A partition whose tasks start and end at a steady rate, in random order on random workers."""
 
     def __init__(self, load: Load) -> None:
-        """Fill it with running tasks."""
+        """Create the partition and fill it with the running tasks of ``load``."""
         self._load = load
         self._random = Random(load.workers)
         self._time = 1.7e9
@@ -89,7 +90,7 @@
             self.table = self.table.apply(self._starts(min(1000, load.running)))
 
     def next_commit(self, starts: int) -> tuple[DurableChange, ...]:
-        """The changes of one commit."""
+        """Return the changes of a commit with ``starts`` ends and as many starts."""
         return (*self._ends(starts), *self._starts(starts))
 
     def _now(self) -> float:
@@ -129,7 +130,7 @@
 
 
 def measure(load: Load) -> None:
-    """Print the figures of one load."""
+    """Measure a load and print its figures."""
     partition = Partition(load)
     starts = max(1, round(load.starts_per_second * COMMIT_SECONDS))
     position = JournalPosition(PartitionId("batch/0"), 0, {}, 0, Revision(0), 0, 0)
@@ -184,7 +185,7 @@
 
 
 def memory_per_task(running: int) -> float:
-    """Bytes of memory per running task."""
+    """Return the bytes of memory that a partition holds per running task."""
     tracemalloc.start()
     partition = Partition(Load("memory", running, 400, 1))
     held, _ = tracemalloc.get_traced_memory()
@@ -193,7 +194,7 @@
 
 
 def cancel_wave(tasks: int) -> float:
-    """Microseconds of processor time per task of a wave of cancellations of waiting tasks."""
+    """Return the processor time in microseconds per task to cancel ``tasks`` waiting tasks."""
     number = JobNumber(1)
     table = TaskTable.empty().apply(
         [JobAccepted(number, JobId("wave"), SHAPE, tasks, 1.7e9)],
@@ -219,7 +220,7 @@
 
 
 def main() -> None:
-    """Print everything."""
+    """Print the figures of all loads, of cancellations and of memory."""
     for load in LOADS:
         measure(load)
     for tasks in (1_000, 10_000, 40_000):
--- a/bench/key_homes.py
+++ b/bench/key_homes.py
@@ -1,10 +1,15 @@
-"""What remembering idempotency keys costs, three ways: ``python -m bench.key_homes``.
+"""Compares the cost of three ways to remember idempotency keys: ``python -m bench.key_homes``.
 
-A seeded model. ``neither``: the home keeps its table in memory only. ``guard copy``: the home sends
-each key to its guard and waits for the acknowledgement before the request may run. ``journal``: the
-home writes keys to the store before requests may run, all that came during one write in the next.
-After a home is lost, callers repeat under the same key what was not answered. The last columns
-count those told "may have run", and how many of these had in fact not run.
+This is a seeded model. A key's home is the member that keeps its record.
+
+- ``neither``: the home keeps its table in memory only.
+- ``guard_copy``: the home sends each key to its guard and waits for the acknowledgement before the
+  request may run.
+- ``journal``: the home writes keys to the store before their requests may run. Keys that arrive
+  during a write go into the next one.
+
+After the loss of a home, callers repeat unanswered requests under the same key. The last two columns
+count the callers that receive "may have run", and how many of their requests had not run.
 """
 
 from __future__ import annotations
@@ -15,49 +20,49 @@
 
 HOMES = 9
 RATE = 300.0
-"""Keyed requests per second in all."""
+"""Requests per second with an idempotency key, over all homes."""
 SECONDS = 60.0
 RUN_SECONDS = 0.1
 GAP_SECONDS = 4.6
-"""From the loss of a home until another has taken over: to suspect it, and to outwait its right."""
+"""Time from the loss of a home to its takeover: suspecting the home and waiting out its right."""
 DOUBT_SECONDS = 2.0
-"""Keys made so long after the takeover could, by a wrong clock, be from before it."""
+"""Keys created within this time after the takeover may, with clock error, be older than it."""
 GUARD_HOP = 0.0005
-"""One way, between two failure domains."""
+"""One-way latency between two failure domains, in seconds."""
 STORE_SECONDS = 0.004
 LINK_SECONDS = 0.02
-"""One way, between two regions."""
+"""One-way latency between two regions, in seconds."""
 FAR_HOMES = 3
-"""Homes in the region without the store."""
+"""Number of homes in the region without the store."""
 KEY_BYTES = 40
 SEEDS = (101, 102, 103, 104, 105)
 
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """The columns of the table."""
+    """The cost of one way to remember keys: a row of the table."""
 
     added_median: float
     added_tail: float
-    """99th percentile; both in milliseconds."""
+    """99th percentile of the added latency; like the median in milliseconds."""
     store_writes: float
-    """Per second."""
+    """Writes to the store per second."""
     bytes_per_home: float
-    """Per second, sent."""
+    """Bytes that a home sends per second."""
     doubtful: float
-    """Callers told "may have run" for one lost home."""
+    """Callers that receive "may have run" after the loss of one home."""
     needless: float
-    """Of these, requests that had not run."""
+    """Number of these callers whose request had not run."""
 
 
 def neither(random: Random) -> Cost:
-    """In memory only."""
+    """Keep keys in memory only."""
     doubtful, needless = _lost_home(random, remembered=False)
     return Cost(0.0, 0.0, 0.0, 0.0, doubtful, needless)
 
 
 def guard_copy(random: Random) -> Cost:
-    """To the guard before dispatch."""
+    """Send each key to the guard before the request is dispatched."""
     added = sorted(2 * GUARD_HOP * random.lognormvariate(0, 0.3) for _ in range(2000))
     doubtful, needless = _lost_home(random, remembered=True)
     share = RATE / HOMES * KEY_BYTES
@@ -65,7 +70,7 @@
 
 
 def journal(random: Random) -> Cost:
-    """To the store before dispatch, one write at a time for each home."""
+    """Write keys to the store before dispatch, with one write at a time per home."""
     added: list[float] = []
     writes = 0
     for home in range(HOMES):
@@ -96,7 +101,7 @@
 
 
 def _lost_home(random: Random, remembered: bool) -> tuple[float, float]:
-    """One home is lost at time 0; who is in doubt, and for whom needlessly."""
+    """Return the numbers of doubtful and of needlessly doubtful requests after one home is lost."""
     rate = RATE / HOMES
     in_flight = sum(1 for _ in _arrivals(random, rate, RUN_SECONDS))
     if remembered:
@@ -117,7 +122,7 @@
 
 
 def main() -> None:
-    """Print the median and the range over the seeds."""
+    """Print the median and the range of each column over the seeds."""
     names = (
         "added p50 ms",
         "added p99 ms",
--- a/bench/link_bytes.py
+++ b/bench/link_bytes.py
@@ -1,9 +1,9 @@
-"""What crosses the link between two regions, by purpose: ``python -m bench.link_bytes``.
+"""Computes the traffic on the link between two regions, by purpose: ``python -m bench.link_bytes``.
 
-Sizes are measured on encoded objects (``_link_objects``). How often they cross is worked out from the code and from
-the fleets below; half of the executors and of the callers are taken to be far from the store. Heads of HTTP are
-counted, those of TCP and IP are not, and nothing is asked twice. Rows of a far owner come on top where the owner
-stands across the link from the store; relays are then those on the store's side.
+Sizes are measured on encoded objects (``_link_objects``). Rates follow from the code and from the
+fleets below; half of the executors and of the callers are assumed to be far from the store. HTTP
+heads are counted, TCP and IP headers aren't, and no request is repeated. The "far owner" rows apply
+in addition if the owner is across the link from the store; the relays are then on the store's side.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 SEED = 1
 LINK_BYTES_A_SECOND = 30_000_000 / 8
 CONFIGURATION_BYTES = 450_000
-"""The operator's large configuration, before base64."""
+"""Size of a large operator configuration, before base64."""
 VERSIONS_BEHIND = 4
 PAYLOADS = (200, 4_000)
-"""Bytes that a caller hands in with a job: few, and the most there may be."""
+"""Payload bytes of a job: a small payload and the largest one allowed."""
 LONGEST_LIST_OF_ENDS = 500
 RUNS_OF_AN_EXECUTOR = 8
 SERVICES, IMAGES = 16, 30
@@ -34,33 +34,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """A deployment and its usual load."""
+    """A deployment and its usual load, with rates per second."""
 
     instances: int
     far: int
     executors: int
     far_domains: int
     jobs_a_second: float
-    """Jobs that callers hand in."""
+    """Jobs that callers submit."""
     polls_a_second: float
     questions_a_second: float
-    """Of callers, after the state of a job; as many again after counts of waiting jobs."""
+    """Calls for the state of a job; there are as many calls for the counts of waiting jobs."""
     writes_a_second: float
-    """Of the owner's journal."""
+    """Writes of the owner's journal."""
 
     @property
     def far_executors(self) -> int:
-        """Those that stand beyond the link."""
+        """Number of executors that are across the link from the store."""
         return self.executors // 2
 
     @property
     def starts_a_second(self) -> float:
-        """Tasks that are started, if all that comes is."""
+        """Tasks started per second if all submitted jobs are started."""
         return self.jobs_a_second * objects.TASKS_OF_A_JOB
 
     @property
     def jobs_kept(self) -> int:
-        """Jobs in the store after a while: they stay for minutes after their end."""
+        """Number of jobs in the store in steady state; jobs stay for minutes after their end."""
         return round(self.jobs_a_second * JOBS_KEPT_SECONDS)
 
 
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Crossing:
-    """One purpose: how many calls, and what the larger direction of the link carries of them."""
+    """Calls for one purpose and the bytes that they add to the busier direction of the link."""
 
     purpose: str
     calls: float
@@ -80,7 +80,7 @@
 
 
 def at_once(fleet: Fleet) -> Iterator[Crossing]:
-    """What comes all at the same moment."""
+    """Yield the traffic that may occur all at once."""
     large = objects.item("op/config", bytes(CONFIGURATION_BYTES))
     yield Crossing("configuration: a change", fleet.far, fleet.far * objects.events(large))
     behind = objects.events(*[large] * VERSIONS_BEHIND)
@@ -109,7 +109,10 @@
 
 
 def _recovery(fleet: Fleet) -> Iterator[Crossing]:
-    """What an owner in the far region reads before it decides, and the first again when history is lost."""
+    """Yield the traffic of a far owner's recovery, which precedes its first decision.
+
+    The owner reads the jobs again when it loses the history of the store.
+    """
     names = [JobId(f"{number:016x}") for number in range(fleet.jobs_kept)]
     for payload in PAYLOADS:
         jobs = (
@@ -133,7 +136,7 @@
 
 
 def each_second(fleet: Fleet) -> Iterator[Crossing]:
-    """What goes on all the time."""
+    """Yield the continuous traffic, per second."""
     quiet = objects.events()
     yield Crossing("configuration: watch, nothing new", fleet.far / 1.5, fleet.far / 1.5 * quiet)
     yield Crossing("owner's key: candidates' watch", fleet.far / 2.0, fleet.far / 2.0 * quiet)
@@ -178,7 +181,7 @@
         stored = objects.item(f"fireflyfork/work/job/{name}", objects.job(name, payload))
         size = 2 * far_jobs * objects.events(stored)
         yield Crossing(f"far owner: watch of jobs, {payload} B", 2 * far_jobs, size)
-    # Each start and each end is another job's, at most.
+    # The upper bound: each start and each end belongs to a different job.
     jobs = min(MOST_JOBS_OF_A_WRITE, 2 * fleet.starts_a_second / fleet.writes_a_second)
     rows = [(f"fireflyfork/progress/{name}", objects.progress(True))] * round(jobs)
     size = objects.commit(("fireflyfork/journal/dele69a", b"3.4120"), *rows, conditions=2)
@@ -187,7 +190,7 @@
 
 
 def main() -> None:
-    """Print both tables."""
+    """Print the tables of bursts and of continuous traffic."""
     print(f"seed {SEED}; a link of {LINK_BYTES_A_SECOND * 8 / 1e6:.0f} Mbit/s\n")
     for title, unit, crossings in (
         ("at once", "seconds of the link", at_once),
--- a/bench/membership_service.py
+++ b/bench/membership_service.py
@@ -1,7 +1,7 @@
-"""Processor time of the membership service: ``python -m bench.membership_service``.
+"""Measures the processor time of the membership service: ``python -m bench.membership_service``.
 
-Members run on a clock that jumps, against a store in memory and each other, without sockets or
-codecs of the peer streams. The processor time is this machine's.
+Members run on an auto-jumping clock with an in-memory store and an in-memory network, without the
+sockets and codecs of peer streams. The processor time depends on this machine.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 def main(*, seconds: float = 600.0) -> None:
     """Print the figures for 3, 6, 9 and 18 members.
 
-    :param seconds: Simulated time of each.
+    :param seconds: Simulated seconds per fleet.
     """
     for members in (3, 6, 9, 18):
         clock = trio.testing.MockClock(autojump_threshold=0)
--- a/bench/operator_replicas.py
+++ b/bench/operator_replicas.py
@@ -1,9 +1,9 @@
-"""What it costs a fleet to hear of the operator's configuration, on the stand-in and a virtual clock.
+"""Measures the cost of distributing the operator's configuration to a fleet.
 
-Half of the instances are in another region than the store, in three failure domains there. For each size: calls
-to the store and bytes between the regions while nothing changes, and for one change of a large configuration.
-
-    python -m bench.operator_replicas
+Run ``python -m bench.operator_replicas``. The fleet runs on the stand-in platform with a virtual
+clock. Half of the instances are in another region than the store, in three failure domains. For
+each fleet size it prints the calls to the store and the bytes between the regions while nothing
+changes, and the bytes and time of one change of a large configuration.
 """
 
 from __future__ import annotations
@@ -33,15 +33,15 @@
 
 @dataclass(slots=True)
 class Costs:
-    """Of one size of fleet."""
+    """The costs of a fleet of one size."""
 
     instances: int
     calls_a_second: float = 0.0
     quiet_bytes_a_second: float = 0.0
-    """Between the regions, both ways."""
+    """Bytes per second between the regions, in both directions."""
     change_bytes: int = 0
     change_seconds: float = 0.0
-    """Until the last instance has the change in force."""
+    """Seconds until the change is in force on all instances."""
 
 
 class _Fleet:
@@ -64,7 +64,7 @@
         self._in_force = 0
 
     async def run(self) -> Costs:
-        """Play one fleet."""
+        """Run the fleet and return its costs."""
         assert self._map.link is not None
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._store.run)
@@ -118,7 +118,7 @@
 
 
 def main() -> None:
-    """Print a line for each size."""
+    """Print a line per fleet size."""
     print("instances  calls/s  quiet KB/s  change KB  change s")
     for instances in SIZES:
         costs = run_repeatably(SEED, _Fleet(instances).run)
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -1,7 +1,8 @@
-"""Goodput, tail and refusals at and above capacity: ``python -m bench.overload``.
+"""Measures goodput, tail latency and refusals at and above capacity: ``python -m bench.overload``.
 
-Each variant but the first does one thing the naive way; the last does all of them. The first seeds
-are those with which the model and the terms were tried out; the others were held back.
+The first variant is the product's. Each of the others replaces one mechanism by a naive one, and
+the last replaces all of them. The model and its parameters were developed with the "tried" seeds;
+the "held back" seeds weren't used in development.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 def measure(outcomes: Outcomes) -> tuple[float, ...]:
-    """The columns of the table."""
+    """Return the columns of the table for one run."""
     arrived = max(1, outcomes.arrived)
     return (
         100.0 * len(outcomes.answer_seconds) / MEASURED / CAPACITY,
@@ -60,7 +61,7 @@
 
 
 def main() -> None:
-    """Print the median and the range over the seeds."""
+    """Print the median and the range of each column over the seeds."""
     names = (
         "goodput %",
         "p50 ms",
--- a/bench/overload_model.py
+++ b/bench/overload_model.py
@@ -1,6 +1,6 @@
-"""A seeded discrete-event model of one region: callers, entries, owners and executors.
+"""A seeded discrete-event model of the callers, entries, owners and executors of one region.
 
-The decisions are those of the product; only time, the network and the executors are modelled.
+The model runs the product's decisions and simulates only time, the network and the executors.
 """
 
 from __future__ import annotations
@@ -47,39 +47,39 @@
 SLOTS = 8
 MEAN_SECONDS = 0.1
 SIGMA = 0.5
-"""Of the lognormal service time."""
+"""Standard deviation of the logarithm of the service time, which is lognormal."""
 TIMEOUT = 0.5
 HOP = 0.0005
 FIGURES_EVERY = 0.25
 FAULTY = 0.02
-"""The share of attempts whose connection is refused, so that they are proved not to have run."""
+"""Share of attempts whose connection is refused, which proves that they have not run."""
 WARM_UP = 1.0
 MEASURED = 4.0
 MOST_ATTEMPTS = 3
 CAPACITY = TARGETS * SLOTS / MEAN_SECONDS
-"""Requests per second."""
+"""Requests per second that the executors can run."""
 ENTRY_WEIGHTS = (4.0, 2.0, 1.0, 1.0, 1.0, 1.0)
-"""How unevenly callers' connections are spread over the entries."""
+"""Relative weights of the entries in the distribution of callers' connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class Variant:
-    """What is done the naive way."""
+    """The mechanisms that are replaced by naive ones."""
 
     name: str
     fixed_share: bool = False
-    """Each entry uses its own share of every target's slots and forwards nothing."""
+    """Each entry uses its own share of every target's slots and never forwards requests."""
     round_robin: bool = False
-    """Each entry sends to the owners in turn."""
+    """Each entry sends requests to the owners in turn."""
     no_shedding: bool = False
-    """Requests wait in order of arrival, however long."""
+    """Requests wait in order of arrival, without a limit."""
     plain_retry: bool = False
-    """Every failure is tried again, up to three attempts, without a budget."""
+    """Every failed request is retried, up to three attempts, without a retry budget."""
 
 
 @dataclass(slots=True)
 class ModelRequest:
-    """A request and what became of it."""
+    """A request and its state in the model."""
 
     serial: int
     entry: int
@@ -91,21 +91,21 @@
 
 @dataclass(slots=True)
 class Outcomes:
-    """What callers saw of the requests that arrived in the measured time."""
+    """Outcomes, as callers observe them, of the requests that arrived in the measured time."""
 
     arrived: int = 0
     answer_seconds: list[float] = field(default_factory=list)
     refusal_seconds: list[float] = field(default_factory=list)
     timed_out: int = 0
     failed: int = 0
-    """Connection refused, and not tried again."""
+    """Requests whose connection was refused and that weren't retried."""
     retries: int = 0
     runs: int = 0
 
 
 @dataclass(slots=True)
 class ModelOwner:
-    """What one entry does for the targets it owns."""
+    """The state of an entry as the owner of its targets."""
 
     ledgers: dict[TargetId, SlotLedger]
     admission: AdmissionQueue
@@ -114,7 +114,7 @@
 
 
 class OverloadModel:
-    """One run of one variant."""
+    """Simulates one variant at one load with one seed."""
 
     def __init__(self, variant: Variant, load: float, seed: int) -> None:
         """``load`` is the arrival rate as a multiple of the capacity."""
@@ -131,7 +131,7 @@
         self._turns = [0] * ENTRIES
 
     def run(self) -> Outcomes:
-        """Run to the end of the measured time and until the last deadline has passed."""
+        """Run until the last timeout of the measured time has passed, and return the outcomes."""
         self._after(0.0, self._tell_figures)
         self._after(0.0, self._arrive)
         end = WARM_UP + MEASURED + TIMEOUT
@@ -317,7 +317,7 @@
                 self.outcomes.answer_seconds.append(self._now - request.arrived)
 
     def _refused(self, request: ModelRequest, retry_after: float) -> None:
-        """There was no room; as built, such a request is not tried again by the entry."""
+        """Handle a refusal for lack of room, which the product's entry does not retry."""
         if request.ended:
             return
         if self._variant.plain_retry and request.attempts < MOST_ATTEMPTS:
@@ -329,7 +329,7 @@
             self.outcomes.refusal_seconds.append(self._now - request.arrived)
 
     def _not_run(self, request: ModelRequest) -> None:
-        """A connection was refused."""
+        """Handle a refused connection, which proves that the request has not run."""
         if request.ended:
             return
         if self._may_retry(request):
--- a/bench/ownership_costs.py
+++ b/bench/ownership_costs.py
@@ -1,8 +1,9 @@
-"""What membership costs: ``python -m bench.ownership_costs [--seeds N]``.
+"""Measures the cost of membership: ``python -m bench.ownership_costs [--seeds N]``.
 
-Takeover times, what stops when members die during a store outage, store calls and messages of an
-idle fleet and of a day's churn, the record's size, and processor time per member. All on simulated
-time except the processor time, which is this machine's.
+Prints takeover times, the number of members that stop when another dies during a store outage,
+store calls and messages of an idle fleet and of a day with failures and restarts, the size of the
+fleet record, and the processor time per member. Times are simulated except for the processor time,
+which depends on this machine.
 """
 
 from __future__ import annotations
@@ -52,7 +53,7 @@
 
 
 def _takeover_seconds(places: tuple[str, ...], seeds: int) -> Iterator[float]:
-    """From the death of a random member until all partitions are served again."""
+    """Yield the seconds from the death of a random member until all partitions are served again."""
     for seed in range(seeds):
         simulation = _settled(places, seed)
         simulation.kill(simulation.random.choice(simulation.processes))
@@ -63,7 +64,7 @@
 
 
 def _stopped_in_outage(places: tuple[str, ...], seeds: int, churned: bool) -> Iterator[int]:
-    """Living members that stop because one other dies while the store is down."""
+    """Yield the number of other members that stop when one dies while the store is down."""
     for seed in range(seeds):
         simulation = _settled(places, seed)
         if churned:
@@ -91,7 +92,7 @@
 
 
 def _churned_day(places: tuple[str, ...]) -> Counter[str]:
-    """Store calls of a day with the letter's failures and restarts, from two denser hours."""
+    """Return the store calls of a day's failures and restarts, compressed into two hours."""
     simulation = _settled(places, 2)
     simulation.counts.clear()
     events = [True] * _FAILURES_A_DAY + [False] * _RESTARTS_A_DAY
@@ -109,7 +110,10 @@
 
 
 def _record_slopes() -> tuple[int, float, float, int]:
-    """Bytes of an empty record, per member, per partition, and at the letter's size."""
+    """Return the bytes of an empty record, per member, per partition, and of the design size.
+
+    The design size is 18 entries and 224 partitions.
+    """
 
     def sized(members: int, partitions: int) -> int:
         newcomers = [_named(number) for number in range(members)]
@@ -124,7 +128,7 @@
 
 
 def _named(number: int, place: str = "region-1/failure-domain-1") -> Member:
-    """A member with an id as long as a UUID."""
+    """Return a member whose id is as long as a UUID."""
     return replace(member(str(number), place, 8000 + number), member_id=_long_id(number))
 
 
@@ -133,7 +137,7 @@
 
 
 def _processor_seconds(places: tuple[str, ...]) -> float:
-    """Processor seconds per member and simulated second, the simulation's own included."""
+    """Return the processor seconds per member and simulated second, simulation included."""
     simulation = _settled(places, 3)
     began = time.process_time()
     simulation.run(300)
@@ -141,7 +145,7 @@
 
 
 def main(*, seeds: int = 100) -> None:
-    """Print all figures.
+    """Measure and print all figures.
 
     :param seeds: Runs for each distribution.
     """
--- a/bench/ownership_search.py
+++ b/bench/ownership_search.py
@@ -1,8 +1,9 @@
-"""Search for two owners of one partition: ``python -m bench.ownership_search [--runs N]``.
+"""Searches for runs in which a partition has two owners.
 
-Each run is a fleet under random faults, given by its seed. The chosen rules and weaker ones get the
-same seeds. Printed for each: runs with two owners, takeovers, and partitions still unserved after
-everything healed.
+Run ``python -m bench.ownership_search [--runs N]``. Each run simulates a fleet under random faults
+that follow from the seed. The chosen rules and several variants, most of them weaker, run with the
+same seeds. For each set of rules it prints the runs with two owners, the takeovers, and the runs
+with partitions that are still unserved after all faults have healed.
 """
 
 from __future__ import annotations
@@ -60,7 +61,7 @@
 
 @contextmanager
 def _joiner_changes_guards() -> Iterator[None]:
-    """A newcomer gives members a better guard, though their present one does not know."""
+    """Let a joining member become the guard of others without informing their current guards."""
     join = changes.join
 
     def careless(record: FleetRecord, newcomer: Member, change_id: ChangeId) -> FleetRecord | None:
@@ -80,7 +81,7 @@
 
 @contextmanager
 def _fence_changes_guards() -> Iterator[None]:
-    """The fence, not the takeover, gives the fenced member's wards new guards."""
+    """Assign new guards to the wards of a fenced member at the fence instead of at the takeover."""
     fence = changes.fence
 
     def early(
@@ -101,7 +102,7 @@
 
 @contextmanager
 def _old_guard_counts() -> Iterator[None]:
-    """A member still counts its old guard's word while it replaces it."""
+    """Let a member still count its old guard's acknowledgements while it replaces that guard."""
     writes = guards._writes
 
     def forgetful(state: MembershipState, kind: ChangeKind) -> bool:
@@ -113,7 +114,7 @@
 
 @dataclass(frozen=True)
 class Variant:
-    """One set of rules."""
+    """A set of rules to run, with a patch of the product's decisions where rules don't suffice."""
 
     name: str
     rules: RightRules = field(default_factory=RightRules)
@@ -139,7 +140,7 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """What one run showed."""
+    """The result of one run."""
 
     seed: int
     two_owners: bool
@@ -149,7 +150,7 @@
 
 
 def run_one(number: int, places: tuple[str, ...], seed: int) -> Outcome:
-    """One run of one variant."""
+    """Run the variant at index ``number`` with one seed."""
     variant = VARIANTS[number]
     with variant.patch():
         simulation = FleetSimulation(seed, places, variant.rules)
--- a/bench/placement_cost.py
+++ b/bench/placement_cost.py
@@ -1,6 +1,7 @@
-"""What the policy costs as the fleet grows: processor time per start, report and round; memory.
+"""Measures how the cost of the placement policy grows with the fleet.
 
-Run ``python -m bench.placement_cost``. Only calls of the policy are timed, in processor time.
+``python -m bench.placement_cost`` prints processor time per start, report and round, and memory.
+Only calls of the policy are timed.
 """
 
 from __future__ import annotations
@@ -41,16 +42,16 @@
 
 
 class TimedPolicy(PlacementPolicy):
-    """Passes everything on and counts processor time by kind of call."""
+    """Forwards all calls to another policy and records their processor time by kind of call."""
 
     def __init__(self, inner: PlacementPolicy) -> None:
-        """Times ``inner``."""
+        """Record the processor time of ``inner``."""
         self._inner = inner
         self.seconds: defaultdict[str, float] = defaultdict(float)
         self.calls: Counter[str] = Counter()
 
     def observe(self, observation: Observation) -> TimedPolicy:
-        """See PlacementPolicy."""
+        """Forward the observation and record its processor time."""
         kind = type(observation).__name__
         began = time.process_time()
         self._inner = self._inner.observe(observation)
@@ -59,7 +60,7 @@
         return self
 
     def decide(self, view: PlacementView) -> tuple[PlacementCommand, ...]:
-        """See PlacementPolicy."""
+        """Forward the call and record its processor time and the number of starts."""
         began = time.process_time()
         commands = self._inner.decide(view)
         self.seconds["decide"] += time.process_time() - began
@@ -68,11 +69,11 @@
         return commands
 
     def microseconds(self, kind: str, per: str) -> float:
-        """Processor time of one kind of call, divided by a count."""
+        """Return the processor time of calls of ``kind``, divided by the count of ``per``."""
         return 1e6 * self.seconds[kind] / max(self.calls[per], 1)
 
     def reset(self) -> None:
-        """Count anew."""
+        """Clear all counts."""
         self.seconds.clear()
         self.calls.clear()
 
@@ -96,7 +97,7 @@
 
 
 class _Bench:
-    """One fleet at its full number of tasks, with as many starts as ends."""
+    """A fleet at its full number of tasks, with as many starts as ends."""
 
     def __init__(self, workers: int) -> None:
         self._chance = random.Random(_SEED)
@@ -105,7 +106,7 @@
         self._model = WorkerModel(self._site, self.policy, _SEED)
 
     def fill(self) -> None:
-        """Start all replicas and as many batch tasks as the fleet is to run."""
+        """Start all replicas, and batch tasks up to the intended number of running tasks."""
         self._model.submit_replicas()
         for _ in range(_MOST_FILL_ROUNDS):
             missing = self._wanted() - len(self._model.running)
@@ -119,7 +120,7 @@
         self._model.drop_waiting()
 
     def churn(self, rounds: int) -> None:
-        """End and submit tasks at the peak rate, with reports every five seconds."""
+        """End and submit tasks at the peak rate, with a report every five seconds."""
         each = round(_STARTS_PER_WORKER_AND_SECOND * _ROUND_SECONDS * self._site.workers)
         for number in range(rounds):
             self._model.end_some(max(each, 1), self._chance, AttemptOutcome.FINISHED)
@@ -129,7 +130,7 @@
                 self._model.report_at_once()
 
     def idle_round(self) -> float:
-        """Microseconds of one round in which nothing waits."""
+        """Return the microseconds of a round in which no task waits."""
         self._model.drop_waiting()
         self.policy.reset()
         for _ in range(20):
@@ -141,12 +142,12 @@
 
     @property
     def running(self) -> int:
-        """Attempts that run."""
+        """Number of running attempts."""
         return len(self._model.running)
 
 
 def _memory(workers: int) -> tuple[float, float]:
-    """Kilobytes of the policy per worker, and per running task, from two fills."""
+    """Return the kilobytes that the policy holds per worker and per running task."""
     gc.collect()
     tracemalloc.start()
     view_only = InterferenceAwarePolicy()
@@ -167,9 +168,9 @@
 
 
 def main(*, memory: bool = True) -> None:
-    """Print one line per size of fleet.
+    """Print a line per fleet size.
 
-    :param memory: Measure memory too, which takes longer.
+    :param memory: Also measure memory, which takes longer.
     """
     print(
         "workers running starts  us/start  +us/started  us/sample  us/idle-round"
--- a/bench/placement_policy.py
+++ b/bench/placement_policy.py
@@ -1,7 +1,8 @@
-"""Policy against baselines in a seeded model of workers: tails, throughput, evictions, urgency.
+"""Compares the placement policy with baselines on a seeded model of workers.
 
-Run ``python -m bench.placement_policy``. Seeds 0 to 4 were looked at while the policy was made;
-those from 100 on are held back and reported separately.
+``python -m bench.placement_policy`` prints tail latency, throughput, evictions and the start
+latency of urgent tasks. The policy was developed with seeds 0 to 4. Seeds from 100 on weren't used
+in development and are reported separately.
 """
 
 from __future__ import annotations
@@ -80,12 +81,12 @@
 
 
 def main(*, seconds: int = 2400, seeds: int = 5, held_back: bool = False, site: str = "") -> None:
-    """Print one table per site.
+    """Print a table per site.
 
     :param seconds: Modelled seconds per run.
-    :param seeds: How many seeds.
-    :param held_back: Use the seeds that no one looked at while the policy was made.
-    :param site: Only this site.
+    :param seeds: Number of seeds.
+    :param held_back: Use the seeds that weren't used to develop the policy.
+    :param site: Print only this site.
     """
     first = 100 if held_back else 0
     title = "held-back" if held_back else "seen"
--- a/bench/program_costs.py
+++ b/bench/program_costs.py
@@ -1,6 +1,7 @@
-"""Memory and processor time of each program at rest: ``python -m bench.program_costs``.
+"""Measures memory and processor time of each program at rest: ``python -m bench.program_costs``.
 
-Starts what the demo starts, on the demo's ports, and applies Naidu's configuration.
+It starts the same processes as the demo, on the demo's ports, and applies the example configuration
+``naidu``.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 def start_all(folder: Path) -> list[MeasuredProcess]:
-    """Start the stand-ins and the programs."""
+    """Start the stand-ins and the programs with settings in ``folder``."""
     module = (sys.executable, "-m")
     subprocess.run([*module, "fireflyfork_standins.demo_settings", str(folder)], check=True)
     standins = "fireflyfork_standins"
@@ -41,7 +42,7 @@
 
 
 async def run() -> None:
-    """Measure and print."""
+    """Start all processes, measure them at rest and print a line per process."""
     with tempfile.TemporaryDirectory(prefix="fireflyfork-bench-") as name:
         processes = start_all(Path(name))
         try:
@@ -82,7 +83,7 @@
 
 
 def main() -> None:
-    """Run and print."""
+    """Run the measurement."""
     trio.run(run)
 
 
--- a/bench/request_decisions.py
+++ b/bench/request_decisions.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of request decisions: ``python -m bench.request_decisions``."""
+"""Measures the cost of request decisions: ``python -m bench.request_decisions``."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def microseconds(decide: Callable[[int], object]) -> list[float]:
-    """Processor time of one call, in each of the repeats, sorted."""
+    """Return the microseconds of processor time per call of each repeat, sorted."""
     found = []
     for repeat in range(REPEATS):
         began = time.process_time()
@@ -144,7 +144,7 @@
 
 
 def bytes_each(build: Callable[[int], object], count: int) -> float:
-    """Memory that ``build(count)`` holds, for each of the ``count``."""
+    """Return the bytes of memory that ``build(count)`` holds, divided by ``count``."""
     tracemalloc.start()
     held = build(count)
     size, _ = tracemalloc.get_traced_memory()
@@ -179,7 +179,7 @@
 
 
 def main() -> None:
-    """Print the median and the range in microseconds."""
+    """Print the median and the range of each case in microseconds, and the memory per object."""
     print(f"{ROUNDS} calls, {REPEATS} repeats; microseconds of processor time each")
     for name, decide in _cases():
         found = microseconds(decide)
--- a/scripts/configuration_reference.py
+++ b/scripts/configuration_reference.py
@@ -1,7 +1,7 @@
-"""Write docs/reference/configuration.md from the types, their docstrings and the rules.
+"""Generate docs/reference/configuration.md from the types, their docstrings and the rules.
 
-``python scripts/configuration_reference.py`` writes it; with ``--check`` it only says whether the
-file is current.
+``python scripts/configuration_reference.py`` writes the file. With ``--check`` it writes nothing
+and fails if the file is out of date.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def main() -> None:
-    """Write or check the file."""
+    """Write the reference, or check that it is up to date."""
     text = configuration_reference()
     if "--check" in sys.argv:
         sys.exit(0 if REFERENCE.read_text("utf-8") == text else "run this script and commit")
--- a/scripts/failures.sh
+++ b/scripts/failures.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Start everything, keep bookings coming, make one failure after the other, and print what callers saw
-# of each; at the end judge what the executors ran. Takes about four minutes.
+# Start every program and stand-in, send bookings continuously, inject one failure after the other and
+# print the outcomes that callers observed in each phase. At the end check what the executors ran. Takes
+# about four minutes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bash scripts/setup.sh
@@ -13,7 +14,7 @@
 $bin/python -m bench.failures_seen "$run"
 $bin/python -m bench.batch_failures_seen
 
-# A planner is killed while a job runs, and the platform restarts it ten seconds later.
+# Kill a planner while a job runs, and restart it ten seconds later as the platform would.
 export FIREFLYFORK_PLANNERS="127.0.0.1:9051 127.0.0.1:9052"
 begun="$SECONDS"
 $bin/fireflyfork-ctl submit planner-killed --team letters --tasks 48 --cores 500m --memory 1GB \
--- a/scripts/processes.sh
+++ b/scripts/processes.sh
@@ -1,5 +1,6 @@
-# Sourced by the scripts that run everything on this machine: starts the stand-ins and the programs,
-# each as a process of its own, with settings, traces and logs in the folder "$run"; stops them on exit.
+# Functions for the scripts that run all programs on this machine; source this file with "run" set to a
+# folder. Starts each stand-in and program as a separate process, with settings, traces and logs in
+# "$run", and stops them on exit.
 bin=.venv/bin
 mkdir -p "$run/traces" "$run/logs" "$run/pids"
 standins=()
@@ -7,7 +8,7 @@
 
 stop_all() {
     status=$?
-    # The programs first: a graceful stop hands over through the store.
+    # Stop the programs first: their graceful stop hands over through the store, so it must still run.
     for list in "${programs[*]}" "${standins[*]}"; do
         for pid in $list; do kill -TERM "$pid" 2>/dev/null || true; done
         for pid in $list; do wait "$pid" 2>/dev/null || true; done
@@ -17,7 +18,7 @@
     exit "$status"
 }
 
-launch() { # name, command...
+launch() { # Arguments: the name of the process, then its command
     local name="$1"
     shift
     "$@" >"$run/traces/$name.jsonl" 2>"$run/logs/$name.log" &
--- a/scripts/rewrite_tutorial.py
+++ b/scripts/rewrite_tutorial.py
@@ -1,7 +1,7 @@
 """Run the commands of a tutorial and write their output below them, in place.
 
-A command is a line that starts with ``$ `` in a block fenced as ``console``. All commands run in one
-shell session's environment: variables that one exports are seen by those after it.
+A command is a line that starts with ``$ `` in a block fenced as ``console``. Variables that a
+command exports are set for all later commands.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 
 class Shell:
-    """Runs commands one after the other; what they export stays."""
+    """Runs each command in a new shell that first repeats all earlier ``export`` commands."""
 
     def __init__(self) -> None:
-        """Nothing exported yet."""
+        """Create a shell without exported variables."""
         self._exports: list[str] = []
 
     def run(self, command: str) -> Iterator[str]:
-        """The lines that a command prints, errors among them in their order."""
+        """Run a command and yield the lines that it prints to stdout and stderr, in order."""
         if command.startswith("export "):
             self._exports.append(command)
             return
@@ -43,7 +43,7 @@
 
 
 def rewritten(lines: Iterable[str], shell: Shell) -> Iterator[str]:
-    """The lines of the tutorial with fresh output."""
+    """Yield the lines of the tutorial with newly produced output."""
     in_console = False
     for line in lines:
         if in_console and line != _FENCE and not line.startswith(_PROMPT):
--- a/scripts/setup.sh
+++ b/scripts/setup.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Create the virtual environment, once, with everything this repository declares.
+# Create the virtual environment with all declared dependencies, unless pyproject.toml is unchanged.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 python="${PYTHON:-python3}"
--- a/scripts/tutorial.sh
+++ b/scripts/tutorial.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Follow docs/tutorial.md on this machine and put the real output of every command in its place.
+# Run the commands of docs/tutorial.md on this machine and replace their output in the file.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bash scripts/setup.sh
