--- a/bench/key_homes.py
+++ b/bench/key_homes.py
@@ -8,8 +8,8 @@
 - ``journal``: the home writes keys to the store before their requests may run. Keys that arrive
   during a write go into the next one.
 
-After the loss of a home, callers repeat unanswered requests under the same key. The last two columns
-count the callers that receive "may have run", and how many of their requests had not run.
+After the loss of a home, callers repeat unanswered requests under the same key. The last two
+columns count the callers that receive "may have run", and how many of their requests had not run.
 """
 
 from __future__ import annotations
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Set up the environment, start every program and stand-in as a separate process, apply a configuration
-# generated from the example answers "naidu", run bookings and a batch of confirmation letters, print the
-# results and clean up. Then run the scheduler on the stand-in of the platform: first as separate
-# processes, then in one process on a virtual clock, once without failures and once with all kinds of
-# failures.
+# Set up the environment, start every program and stand-in as a separate process, apply a
+# configuration generated from the example answers "naidu", run bookings and a batch of confirmation
+# letters, print the results and clean up. Then run the scheduler on the stand-in of the platform:
+# first as separate processes, then in one process on a virtual clock, once without failures and
+# once with all kinds of failures.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bash scripts/setup.sh
--- a/scripts/failures.sh
+++ b/scripts/failures.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Start every program and stand-in, send bookings continuously, inject one failure after the other and
-# print the outcomes that callers observed in each phase. At the end check what the executors ran. Takes
-# about four minutes.
+# Start every program and stand-in, send bookings continuously, inject one failure after the other
+# and print the outcomes that callers observed in each phase. At the end check what the executors
+# ran. Takes about four minutes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bash scripts/setup.sh
--- a/scripts/playground.sh
+++ b/scripts/playground.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Set up the environment, start every program and stand-in as a separate process without a
-# configuration, and keep them running until this script is interrupted. Follow the tutorial in another
-# terminal.
+# configuration, and keep them running until this script is interrupted. Follow the tutorial in
+# another terminal.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bash scripts/setup.sh
--- a/scripts/processes.sh
+++ b/scripts/processes.sh
@@ -1,6 +1,6 @@
-# Functions for the scripts that run all programs on this machine; source this file with "run" set to a
-# folder. Starts each stand-in and program as a separate process, with settings, traces and logs in
-# "$run", and stops them on exit.
+# Functions for the scripts that run all programs on this machine; source this file with "run" set
+# to a folder. Starts each stand-in and program as a separate process, with settings, traces and
+# logs in "$run", and stops them on exit.
 bin=.venv/bin
 mkdir -p "$run/traces" "$run/logs" "$run/pids"
 standins=()
@@ -8,7 +8,7 @@
 
 stop_all() {
     status=$?
-    # Stop the programs first: their graceful stop hands over through the store, so it must still run.
+    # Stop the programs first: a graceful stop hands over through the store, which must be up.
     for list in "${programs[*]}" "${standins[*]}"; do
         for pid in $list; do kill -TERM "$pid" 2>/dev/null || true; done
         for pid in $list; do wait "$pid" 2>/dev/null || true; done
