--- a/bench/configuration_checks.py
+++ b/bench/configuration_checks.py
@@ -124,7 +124,7 @@
 
 
 def mistakes(learned: Learned, each: int, random: Random) -> Iterator[Change]:
-    """Yield ``each`` changes per kind of mistake, each applied to an accepted configuration."""
+    """Yield ``count_per_kind`` changes per kind of mistake, each applied to an accepted configuration."""
     for kind in MISTAKES:
         for _ in range(each):
             base = random.choice(learned.accepted[LEARNED_CHANGES:]).after
--- a/bench/ownership_search.py
+++ b/bench/ownership_search.py
@@ -150,7 +150,7 @@
 
 
 def run_one(number: int, places: tuple[str, ...], seed: int) -> Outcome:
-    """Run the variant at index ``number`` with one seed."""
+    """Run the variant at index ``variant_index`` with one seed."""
     variant = VARIANTS[number]
     with variant.patch():
         simulation = FleetSimulation(seed, places, variant.rules)
--- a/scripts/setup.sh
+++ b/scripts/setup.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Create the virtual environment with all declared dependencies, unless pyproject.toml is unchanged.
+# Create the virtual environment with all declared dependencies, unless it was already created from
+# the current pyproject.toml.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 python="${PYTHON:-python3}"
