--- a/scripts/setup.sh
+++ b/scripts/setup.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Create the virtual environment, once, with everything this repository declares.
+# Create the virtual environment with all declared dependencies, unless it was already created from
+# the current pyproject.toml.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 python="${PYTHON:-python3}"
