--- a/bench/_configuration_changes.py
+++ b/bench/_configuration_changes.py
@@ -16,13 +16,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class ChangeType:
     """A named kind of change and the function that applies it."""
 
     name: str
     edit: Edit
 
-    def applied(self, plain: Plain, random: Random) -> Plain:
+    def apply_to(self, plain: Plain, random: Random) -> Plain:
         """Return a changed copy that differs from ``plain``.
 
         An edit may draw the current value and change nothing, so it is tried up to 20 times.
@@ -55,8 +55,10 @@
         plain["targets"].pop(random.choice(spare))
 
 
-def _scaled(record: Any, name: str, random: Random, least: float = 0.7, most: float = 1.4) -> None:
-    value = record[name] * random.uniform(least, most)
+def _scale_field(
+    record: Any, name: str, random: Random, min_factor: float = 0.7, max_factor: float = 1.4
+) -> None:
+    value = record[name] * random.uniform(min_factor, max_factor)
     record[name] = round(value) if isinstance(record[name], int) else round(value, 3)
 
 
@@ -65,13 +67,13 @@
     field = random.choice(
         ["longest_queue", "longest_run_seconds", "latency_objective_milliseconds"]
     )
-    _scaled(service, field, random, 0.85, 1.15)
+    _scale_field(service, field, random, 0.85, 1.15)
 
 
 def _tune_timeouts(plain: Any, random: Random) -> None:
     service = random.choice(plain["services"])
-    _scaled(service, "default_timeout_seconds", random, 0.85, 1.15)
-    _scaled(service, "longest_timeout_seconds", random, 1.0, 1.1)
+    _scale_field(service, "default_timeout_seconds", random, 0.85, 1.15)
+    _scale_field(service, "longest_timeout_seconds", random, 1.0, 1.1)
 
 
 def _tune_quota(plain: Any, random: Random) -> None:
@@ -86,7 +88,7 @@
 
 
 def _tune_weights(plain: Any, random: Random) -> None:
-    _scaled(plain["weights"], random.choice(sorted(plain["weights"])), random)
+    _scale_field(plain["weights"], random.choice(sorted(plain["weights"])), random)
 
 
 def _new_slots_everywhere(plain: Any, random: Random) -> None:
@@ -130,19 +132,19 @@
 
 
 ORDINARY = (
-    Kind("add a target", _add_target),
-    Kind("remove a target", _remove_target),
-    Kind("tune a service", _tune_service),
-    Kind("tune timeouts", _tune_timeouts),
-    Kind("tune a quota", _tune_quota),
-    Kind("tune spill", _tune_spill),
-    Kind("tune weights", _tune_weights),
-    Kind("new slots everywhere", _new_slots_everywhere),
-    Kind("add a worker", _add_worker),
-    Kind("move a failure domain", _move_domain),
-    Kind("add a team", _add_team),
-    Kind("a larger executor", _larger_executor),
-    Kind("a wider link", _wider_link),
+    ChangeType("add a target", _add_target),
+    ChangeType("remove a target", _remove_target),
+    ChangeType("tune a service", _tune_service),
+    ChangeType("tune timeouts", _tune_timeouts),
+    ChangeType("tune a quota", _tune_quota),
+    ChangeType("tune spill", _tune_spill),
+    ChangeType("tune weights", _tune_weights),
+    ChangeType("new slots everywhere", _new_slots_everywhere),
+    ChangeType("add a worker", _add_worker),
+    ChangeType("move a failure domain", _move_domain),
+    ChangeType("add a team", _add_team),
+    ChangeType("a larger executor", _larger_executor),
+    ChangeType("a wider link", _wider_link),
 )
 
 _SERVICE_NUMBERS = (
@@ -155,7 +157,7 @@
 
 
 def _wrong_type(plain: Any, random: Random) -> None:
-    record, name = random.choice(_numbers(plain))
+    record, name = random.choice(_positive_numbers(plain))
     record[name] = random.choice([str(record[name]), None, [record[name]], f"{record[name]}ms"])
 
 
@@ -172,7 +174,7 @@
 
 
 def _negative(plain: Any, random: Random) -> None:
-    record, name = random.choice(_numbers(plain))
+    record, name = random.choice(_positive_numbers(plain))
     record[name] = -record[name] or -1
 
 
@@ -277,7 +279,7 @@
     service["resources"] = {"millicores": 128_000, "memory": 10**9, "accelerators": 0}
 
 
-def _one_odd_target(plain: Any, random: Random) -> None:
+def _inconsistent_slots(plain: Any, random: Random) -> None:
     """Give one executor a slot count that differs slightly from the others."""
     target = random.choice(plain["targets"])
     target["slots"] += random.choice([-1, 1, 2])
@@ -290,39 +292,39 @@
     target["address"] = f"{host}:{int(port) + 4000}"
 
 
-def _queue_zero_too_many(plain: Any, random: Random) -> None:
+def _excessive_queue(plain: Any, random: Random) -> None:
     service = random.choice(plain["services"])
     service["longest_queue"] *= 100
 
 
 MISTAKES = (
-    Kind("wrong type", _wrong_type),
-    Kind("misspelt field", _misspelt_field),
-    Kind("missing field", _missing_field),
-    Kind("negative number", _negative),
-    Kind("zero", _zero),
-    Kind("seconds and milliseconds", _unit_slip),
-    Kind("link's units", _link_unit_slip),
-    Kind("memory's units", _memory_unit_slip),
-    Kind("dangling reference", _dangling_reference),
-    Kind("duplicate id", _duplicate_id),
-    Kind("duplicate address", _duplicate_address),
-    Kind("bad address", _bad_address),
-    Kind("swapped timeouts", _swapped_timeouts),
-    Kind("swapped slots and connections", _swapped_slots),
-    Kind("domain of the other region", _wrong_domain),
-    Kind("quota beyond the workers", _huge_quota),
-    Kind("quota without memory or cores", _quota_without_memory),
-    Kind("lost link", _lost_link),
-    Kind("all targets in one domain", _one_domain_left),
-    Kind("replica that fits nowhere", _replicas_too_large),
-    Kind("queue 100 times as long", _queue_zero_too_many),
-    Kind("one odd target", _one_odd_target),
-    Kind("valid but wrong port", _wrong_port),
+    ChangeType("wrong type", _wrong_type),
+    ChangeType("misspelt field", _misspelt_field),
+    ChangeType("missing field", _missing_field),
+    ChangeType("negative number", _negative),
+    ChangeType("zero", _zero),
+    ChangeType("seconds and milliseconds", _unit_slip),
+    ChangeType("link's units", _link_unit_slip),
+    ChangeType("memory's units", _memory_unit_slip),
+    ChangeType("dangling reference", _dangling_reference),
+    ChangeType("duplicate id", _duplicate_id),
+    ChangeType("duplicate address", _duplicate_address),
+    ChangeType("bad address", _bad_address),
+    ChangeType("swapped timeouts", _swapped_timeouts),
+    ChangeType("swapped slots and connections", _swapped_slots),
+    ChangeType("domain of the other region", _wrong_domain),
+    ChangeType("quota beyond the workers", _huge_quota),
+    ChangeType("quota without memory or cores", _quota_without_memory),
+    ChangeType("lost link", _lost_link),
+    ChangeType("all targets in one domain", _one_domain_left),
+    ChangeType("replica that fits nowhere", _replicas_too_large),
+    ChangeType("queue 100 times as long", _excessive_queue),
+    ChangeType("one odd target", _inconsistent_slots),
+    ChangeType("valid but wrong port", _wrong_port),
 )
 
 
-def _numbers(plain: Any) -> list[tuple[Any, str]]:
+def _positive_numbers(plain: Any) -> list[tuple[Any, str]]:
     """Return the records and field names of the numbers that must be positive."""
     places = [(each, name) for each in plain["services"] for name in _SERVICE_NUMBERS]
     places += [(each, name) for each in plain["targets"] for name in ("slots", "connections")]
--- a/bench/_entry_fleet.py
+++ b/bench/_entry_fleet.py
@@ -66,14 +66,14 @@
 class MeasuredEntry(MeasuredProcess):
     """An entry process with the addresses that it listens on."""
 
-    callers: Address
-    operators: Address
+    caller_address: Address
+    operator_address: Address
 
-    async def ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Wait until the entry reports that it is ready."""
         while True:
             try:
-                if (await get_json(self.operators, "/readyz"))["ready"]:
+                if (await get_json(self.operator_address, "/readyz"))["ready"]:
                     return
             except HttpError:
                 pass
@@ -81,7 +81,7 @@
 
     async def peer_bytes(self) -> float:
         """Return the bytes sent to peers so far on the streams that are currently open."""
-        _, body = await _call(self.operators, "/metrics")
+        _, body = await _call(self.operator_address, "/metrics")
         for line in body.decode("utf-8").splitlines():
             if line.startswith("fireflyfork_peer_sent_bytes "):
                 return float(line.split()[1])
@@ -89,9 +89,9 @@
 
     async def own_targets(self) -> list[str]:
         """Return the ids of the targets that the entry owns."""
-        services = (await get_json(self.operators, "/status"))["services"]
+        services = (await get_json(self.operator_address, "/status"))["services"]
         assert isinstance(services, dict)
-        return [target for one in services.values() for target in one["own_targets"]]
+        return [target for service in services.values() for target in service["own_targets"]]
 
 
 @dataclass(slots=True)
@@ -151,14 +151,14 @@
                 "slots": slots,
                 "run_seconds": run_seconds,
             }
-            path = _written(Path(folder) / "executors.jsonc", settings)
+            path = _write_settings(Path(folder) / "executors.jsonc", settings)
             _launch(fleet, *python, "fireflyfork_standins.executor", path)
             await _configure(store, targets, slots)
             for number in range(entries):
                 addresses = [_address(next(ports)) for _ in range(3)]
                 _start_entry(fleet, Path(folder), number, addresses, store, instances)
             for entry in fleet.entries:
-                await entry.ready()
+                await entry.wait_until_ready()
             await fleet.wait_owned()
             yield fleet
         finally:
@@ -189,7 +189,7 @@
         "peer_key": "only-for-measurements",
         "trace_share": 0.0,
     }
-    path = _written(folder / f"entry-{number}.jsonc", settings)
+    path = _write_settings(folder / f"entry-{number}.jsonc", settings)
     program = Path(sys.executable).with_name("fireflyfork-entry")
     process = _launch(fleet, str(program), path)
     fleet.entries.append(MeasuredEntry(f"entry-{number}", process, callers, operators))
@@ -241,6 +241,6 @@
     return Address("127.0.0.1", port)
 
 
-def _written(path: Path, settings: dict[str, object]) -> str:
+def _write_settings(path: Path, settings: dict[str, object]) -> str:
     path.write_text(json.dumps(settings), "utf-8")
     return str(path)
--- a/bench/_inferred_rules.py
+++ b/bench/_inferred_rules.py
@@ -23,13 +23,13 @@
 """Values of one configuration by parameter, a path with ``[*]`` in place of list indexes."""
 
 _INDEX = re.compile(r"\[\d+\]")
-_MOST_ENUMERATED = 10
+_MAX_ENUMERATED_VALUES = 10
 _SHORTEST_EQUAL = 6
 _FEWEST_EQUAL_INSTANCES = 20
 _BOOKKEEPING = frozenset({"version", "change_id", "note"})
 
 
-def values_of(configuration: Plain) -> Values:
+def group_values(configuration: Plain) -> Values:
     """Group the values of a configuration by parameter, without version, change id and note."""
     grouped: dict[str, list[object]] = {}
     for path, value in iter_leaves(configuration):
@@ -49,7 +49,7 @@
     def is_broken_by(self, values: Values) -> bool:
         """Return whether a configuration with these values breaks the rule."""
 
-    def of(self, values: Values) -> tuple[object, ...]:
+    def parameter_values(self, values: Values) -> tuple[object, ...]:
         """Return the values of the rule's parameter, empty if the configuration has none."""
         return values.get(self.parameter, ())
 
@@ -62,7 +62,7 @@
 
     def is_broken_by(self, values: Values) -> bool:
         """Return whether the values break the rule."""
-        return any(_kind(value) != self.kind for value in self.of(values))
+        return any(_kind(value) != self.kind for value in self.parameter_values(values))
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,31 +71,31 @@
 
     def is_broken_by(self, values: Values) -> bool:
         """Return whether the values break the rule."""
-        return any(value in ("", None) for value in self.of(values))
+        return any(value in ("", None) for value in self.parameter_values(values))
 
 
 @dataclass(frozen=True, slots=True)
 class InferredRangeRule(InferredRule):
     """Requires every number to lie between the smallest and the largest accepted one."""
 
-    least: float
-    most: float
+    min_value: float
+    max_value: float
 
     def is_broken_by(self, values: Values) -> bool:
         """Return whether the values break the rule."""
-        numbers = (value for value in self.of(values) if _is_number(value))
-        return any(not self.least <= float(str(number)) <= self.most for number in numbers)
+        numbers = (value for value in self.parameter_values(values) if _is_number(value))
+        return any(not self.min_value <= float(str(number)) <= self.max_value for number in numbers)
 
 
 @dataclass(frozen=True, slots=True)
 class EnumerationRule(InferredRule):
     """Requires every value to be one of the accepted values."""
 
-    known: frozenset[object]
+    accepted_values: frozenset[object]
 
     def is_broken_by(self, values: Values) -> bool:
         """Return whether the values break the rule."""
-        return any(value not in self.known for value in self.of(values))
+        return any(value not in self.accepted_values for value in self.parameter_values(values))
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,7 +104,7 @@
 
     def is_broken_by(self, values: Values) -> bool:
         """Return whether the values break the rule."""
-        return len(set(self.of(values))) < len(self.of(values))
+        return len(set(self.parameter_values(values))) < len(self.parameter_values(values))
 
 
 @dataclass(frozen=True, slots=True)
@@ -113,30 +113,30 @@
 
     def is_broken_by(self, values: Values) -> bool:
         """Return whether the values break the rule."""
-        return len(set(self.of(values))) > 1
+        return len(set(self.parameter_values(values))) > 1
 
 
 @dataclass(frozen=True, slots=True)
 class EqualityRule(InferredRule):
     """Requires two parameters to have the same sequence of values."""
 
-    other: str
+    other_parameter: str
 
     def is_broken_by(self, values: Values) -> bool:
         """Return whether the values break the rule."""
-        return self.of(values) != values.get(self.other, ())
+        return self.parameter_values(values) != values.get(self.other_parameter, ())
 
 
 def infer(history: Iterable[Values]) -> tuple[InferredRule, ...]:
     """Return all rules that every configuration of ``history`` satisfies."""
     accepted = tuple(history)
     names = sorted(set().union(*accepted))
-    rules = [rule for name in names for rule in _about_one(name, accepted)]
-    rules += _about_two(names, accepted)
+    rules = [rule for name in names for rule in _single_parameter_rules(name, accepted)]
+    rules += _equality_rules(names, accepted)
     return tuple(rules)
 
 
-def _about_one(name: str, accepted: tuple[Values, ...]) -> Iterator[InferredRule]:
+def _single_parameter_rules(name: str, accepted: tuple[Values, ...]) -> Iterator[InferredRule]:
     instances = tuple(values.get(name, ()) for values in accepted)
     pooled = tuple(value for values in instances for value in values)
     kinds = {_kind(value) for value in pooled}
@@ -148,26 +148,28 @@
         numbers = [float(str(value)) for value in pooled]
         yield InferredRangeRule(name, min(numbers), max(numbers))
     distinct = frozenset(pooled)
-    if math.log(len(pooled)) >= len(distinct) and len(distinct) <= _MOST_ENUMERATED:
+    if math.log(len(pooled)) >= len(distinct) and len(distinct) <= _MAX_ENUMERATED_VALUES:
         yield EnumerationRule(name, distinct)
-    yield from _about_places(name, tuple(values for values in instances if len(values) > 1))
+    yield from _list_rules(name, tuple(values for values in instances if len(values) > 1))
 
 
-def _about_places(name: str, instances: tuple[tuple[object, ...], ...]) -> Iterator[InferredRule]:
+def _list_rules(name: str, instances: tuple[tuple[object, ...], ...]) -> Iterator[InferredRule]:
     if instances and all(len(set(values)) == len(values) for values in instances):
         yield UniquenessRule(name)
     if instances and all(len(set(values)) == 1 for values in instances):
         yield ConsistencyRule(name)
 
 
-def _about_two(names: list[str], accepted: tuple[Values, ...]) -> Iterator[InferredRule]:
-    for one, other in combinations(names, 2):
-        pairs = [(values.get(one, ()), values.get(other, ())) for values in accepted]
-        if all(first == second for first, second in pairs) and _is_telling(pairs):
-            yield EqualityRule(one, other)
+def _equality_rules(names: list[str], accepted: tuple[Values, ...]) -> Iterator[InferredRule]:
+    for parameter, other_parameter in combinations(names, 2):
+        pairs = [
+            (values.get(parameter, ()), values.get(other_parameter, ())) for values in accepted
+        ]
+        if all(first == second for first, second in pairs) and _is_significant(pairs):
+            yield EqualityRule(parameter, other_parameter)
 
 
-def _is_telling(pairs: list[tuple[tuple[object, ...], tuple[object, ...]]]) -> bool:
+def _is_significant(pairs: list[tuple[tuple[object, ...], tuple[object, ...]]]) -> bool:
     pooled = [value for first, _ in pairs for value in first]
     long_enough = all(len(str(value)) >= _SHORTEST_EQUAL for value in pooled)
     return long_enough and len(pooled) >= _FEWEST_EQUAL_INSTANCES
--- a/bench/_worker_model.py
+++ b/bench/_worker_model.py
@@ -54,7 +54,7 @@
 _START_SECONDS = 0.5
 _STOP_SECONDS = 2.0
 _CHECKPOINT_SECONDS = 60.0
-_CHECKPOINT_FAILS = 0.1
+_CHECKPOINT_FAILURE_SHARE = 0.1
 """Share of checkpoints on eviction that fail; the task then resumes from its last periodic one."""
 _TEAMS = 6
 _OBJECTIVE = 200.0
@@ -79,7 +79,7 @@
     """Share of a worker's processors that one replica declares."""
     batch_scale: float = 1.0
     """Factor on the size of batch tasks; at 1.0 they declare 1/32 to 1/4 of a worker's cores."""
-    noisy_pairs: float = 0.25
+    noisy_pair_share: float = 0.25
     """Share of the pairs of a service and a batch class that interfere strongly."""
 
 
@@ -90,7 +90,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _BatchClass:
+class _BatchTruth:
     """The actual behaviour of a class of batch tasks, which the policy never sees."""
 
     shape: TaskShape
@@ -117,16 +117,16 @@
     """An attempt that is running on a worker."""
 
     task: Task
-    begins: float
-    need: float
+    started_at: float
+    demand_millicores: float
     """Millicores that the attempt could use without limits."""
     memory: int
-    seconds: float
+    full_speed_seconds: float
     """Actual run time at full speed."""
     progress: float
-    truth: _BatchClass | _ServiceTruth
+    truth: _BatchTruth | _ServiceTruth
     used: float = 0.0
-    ends: float | None = None
+    stops_at: float | None = None
     """Time at which an ordered stop takes effect, or None if none is ordered."""
     checkpoint: float = 0.0
     checkpoint_at: float = 0.0
@@ -168,18 +168,18 @@
         """Set up the site; task behaviour and arrivals depend on the seed, not on the policy."""
         self._site = site
         self._policy = policy
-        self._arrivals = random.Random(seed)
-        self._luck = random.Random(seed + 1)
+        self._arrival_random = random.Random(seed)
+        self._noise_random = random.Random(seed + 1)
         self._now = 0.0
         self.outcome = Outcome()
         self._workers = {item.worker_id: item for item in _workers(site)}
         self._services = tuple(
-            _service(number, self._arrivals, site) for number in range(site.services)
+            _service(number, self._arrival_random, site) for number in range(site.services)
         )
         self._classes = tuple(
-            _batch_class(number, self._arrivals, site) for number in range(site.batch_classes)
+            _batch_class(number, self._arrival_random, site) for number in range(site.batch_classes)
         )
-        truths: tuple[_BatchClass | _ServiceTruth, ...] = (*self._services, *self._classes)
+        truths: tuple[_BatchTruth | _ServiceTruth, ...] = (*self._services, *self._classes)
         self._truth = {item.shape.task_class: item for item in truths}
         self._tasks: dict[TaskId, Task] = {}
         self._waiting: dict[JobId, dict[TaskId, Task]] = {}
@@ -201,19 +201,19 @@
         }
         self._load = 0.5
         self._job_count = 0
-        self._broken: WorkerId | None = None
-        self._wave: tuple[float, _BatchClass] | None = None
+        self._failing_worker: WorkerId | None = None
+        self._wave: tuple[float, _BatchTruth] | None = None
 
     def run(self, seconds: int) -> Outcome:
         """Simulate this many seconds and return the measurements."""
         self.submit_replicas()
         while self._now < seconds:
-            self._arrive()
+            self._submit_arrivals()
             for _ in range(DECISIONS_PER_STEP):
                 self._now += STEP_SECONDS / DECISIONS_PER_STEP
                 for command in self._policy.decide(self.view()):
                     self.apply(command)
-            self._work()
+            self._advance_runs()
             if int(self._now) % _REPORT_SECONDS == 0:
                 self.measure()
             while self._reports and self._reports[0].now <= self._now:
@@ -245,19 +245,19 @@
         """Return the number of waiting tasks that aren't urgent."""
         return sum(len(tasks) for tasks in self._waiting.values())
 
-    def submit_some(self, count: int, chance: random.Random) -> None:
+    def submit_random_tasks(self, count: int, rng: random.Random) -> None:
         """Submit about ``count`` tasks of randomly drawn classes, in jobs of up to four tasks."""
         for _ in range(max(count // 4, 1)):
-            team = TeamName(f"team-{chance.randrange(_TEAMS)}")
-            self.submit(replace(chance.choice(self._classes).shape, team=team), min(count, 4))
+            team = TeamName(f"team-{rng.randrange(_TEAMS)}")
+            self.submit(replace(rng.choice(self._classes).shape, team=team), min(count, 4))
 
-    def end_some(self, count: int, chance: random.Random, outcome: AttemptOutcome) -> None:
+    def end_random_runs(self, count: int, rng: random.Random, outcome: AttemptOutcome) -> None:
         """End ``count`` randomly drawn batch attempts with this outcome."""
         batch = [run for run in self._runs.values() if run.task.shape.service is None]
-        for run in chance.sample(batch, min(count, len(batch))):
+        for run in rng.sample(batch, min(count, len(batch))):
             self.end(run, outcome)
 
-    def one_round(self, seconds: float) -> None:
+    def run_round(self, seconds: float) -> None:
         """Advance time and apply the commands that the policy then decides on."""
         self._now += seconds
         for command in self._policy.decide(self.view()):
@@ -265,7 +265,7 @@
 
     def report_at_once(self) -> None:
         """Report all attempts to the policy without the usual lag."""
-        self._work_steadily()
+        self._set_steady_usage()
         self.measure()
         self._policy.observe(self._reports.pop())
 
@@ -277,35 +277,35 @@
                     del self._tasks[task_id]
             group.clear()
 
-    def _work_steadily(self) -> None:
+    def _set_steady_usage(self) -> None:
         for run in self._runs.values():
-            run.begins = self._now
+            run.started_at = self._now
             if isinstance(run.truth, _ServiceTruth):
-                run.need = self._load * run.task.shape.resources.millicores
-            run.used = min(run.need, run.task.reservation.millicores)
+                run.demand_millicores = self._load * run.task.shape.resources.millicores
+            run.used = min(run.demand_millicores, run.task.reservation.millicores)
 
-    def _arrive(self) -> None:
-        chance = self._arrivals
+    def _submit_arrivals(self) -> None:
+        rng = self._arrival_random
         if int(self._now) % 300 == 0:
-            self._load = chance.uniform(0.35, 0.95)
-            wave = chance.choice(self._classes) if chance.random() < 0.4 else None
+            self._load = rng.uniform(0.35, 0.95)
+            wave = rng.choice(self._classes) if rng.random() < 0.4 else None
             self._wave = None if wave is None else (self._now + 60.0, wave)
-            is_broken = chance.random() < 0.3
-            chosen = chance.choice(sorted(self._workers))
-            self._broken = chosen if is_broken else None
+            is_broken = rng.random() < 0.3
+            chosen = rng.choice(sorted(self._workers))
+            self._failing_worker = chosen if is_broken else None
         offered = 1.15 * self._site.workers * self._site.cores * 1000.0
-        for item in self._classes:
-            need = item.shape.resources.millicores * item.processor_ratio
-            run_seconds = item.shape.run_seconds * item.run_ratio
-            rate = offered / (len(self._classes) * need * run_seconds)
-            in_wave = self._wave is not None and self._wave[1] is item
+        for batch_class in self._classes:
+            demand = batch_class.shape.resources.millicores * batch_class.processor_ratio
+            run_seconds = batch_class.shape.run_seconds * batch_class.run_ratio
+            rate = offered / (len(self._classes) * demand * run_seconds)
+            in_wave = self._wave is not None and self._wave[1] is batch_class
             if self._wave is not None and in_wave and self._now <= self._wave[0]:
                 rate *= 6.0
-            count = _poisson(rate * 0.55, chance)
-            team = TeamName(f"team-{chance.randrange(_TEAMS)}")
-            urgent = chance.random() < 0.02
+            count = _poisson(rate * 0.55, rng)
+            team = TeamName(f"team-{rng.randrange(_TEAMS)}")
+            urgent = rng.random() < 0.02
             if count:
-                self.submit(replace(item.shape, team=team, urgent=urgent), count)
+                self.submit(replace(batch_class.shape, team=team, urgent=urgent), count)
 
     def submit(self, shape: TaskShape, count: int) -> None:
         """Submit a job of ``count`` tasks of the same shape."""
@@ -382,20 +382,20 @@
 
     def _new_run(self, task: Task) -> _Run:
         truth = self._truth[task.shape.task_class]
-        luck = random.Random(task.task_id)
+        rng = random.Random(task.task_id)
         begins = self._now + _START_SECONDS
         declared = task.shape.resources
         if isinstance(truth, _ServiceTruth):
             memory = int(0.7 * declared.memory)
             return _Run(task, begins, 0.0, memory, math.inf, 0.0, truth)
-        need = declared.millicores * truth.processor_ratio * luck.uniform(0.85, 1.15)
-        spread = luck.gauss(0.0, truth.memory_spread)
+        need = declared.millicores * truth.processor_ratio * rng.uniform(0.85, 1.15)
+        spread = rng.gauss(0.0, truth.memory_spread)
         memory = int(declared.memory * truth.memory_ratio * math.exp(spread))
-        seconds = task.shape.run_seconds * truth.run_ratio * luck.uniform(0.6, 1.4)
+        seconds = task.shape.run_seconds * truth.run_ratio * rng.uniform(0.6, 1.4)
         run = _Run(task, begins, need, memory, seconds, task.progress, truth)
         run.checkpoint = task.progress
         run.checkpoint_at = begins
-        run.fails = luck.random() < 0.004
+        run.fails = rng.random() < 0.004
         return run
 
     def _evict(self, task: Task) -> None:
@@ -403,7 +403,7 @@
             return
         self.outcome.evictions += 1
         self._replace(replace(task, state=TaskState.EVICTING))
-        self._runs[task.task_id].ends = self._now + _STOP_SECONDS
+        self._runs[task.task_id].stops_at = self._now + _STOP_SECONDS
 
     def _replace(self, task: Task) -> None:
         self._tasks[task.task_id] = task
@@ -452,52 +452,57 @@
             group.setdefault(task.job_id, {})[task.task_id] = waiting
         self._policy.observe(AttemptEnded(self._now, task, outcome, reason))
 
-    def _work(self) -> None:
+    def _advance_runs(self) -> None:
         for run in list(self._runs.values()):
-            if run.begins > self._now:
+            if run.started_at > self._now:
                 continue
             if isinstance(run.truth, _ServiceTruth):
-                run.need = self._load * run.task.shape.resources.millicores
-                run.used = min(run.need, run.task.reservation.millicores)
+                run.demand_millicores = self._load * run.task.shape.resources.millicores
+                run.used = min(run.demand_millicores, run.task.reservation.millicores)
             else:
-                self._work_batch(run)
+                self._advance_batch_run(run)
 
-    def _work_batch(self, run: _Run) -> None:
+    def _advance_batch_run(self, run: _Run) -> None:
         task = run.task
-        if task.worker_id == self._broken or (run.fails and run.progress > 0.3):
+        if task.worker_id == self._failing_worker or (run.fails and run.progress > 0.3):
             self.outcome.failures += 1
-            self._lose(run)
+            self._record_lost_work(run)
             self.end(run, AttemptOutcome.FAILED, "exit status 1")
             return
-        if run.ends is not None and run.ends <= self._now:
+        if run.stops_at is not None and run.stops_at <= self._now:
             self._stop(run)
             return
         if run.progress > 0.4 and run.memory > task.reservation.memory:
             self.outcome.out_of_memory += 1
-            self._lose(run)
+            self._record_lost_work(run)
             self.end(run, AttemptOutcome.FAILED, "out of memory")
             return
         limit = task.millicores_limit
         allowed = task.reservation.millicores if limit is None else limit
-        run.used = min(run.need, allowed, task.reservation.millicores)
-        run.progress += STEP_SECONDS * run.used / run.need / run.seconds
+        run.used = min(run.demand_millicores, allowed, task.reservation.millicores)
+        run.progress += STEP_SECONDS * run.used / run.demand_millicores / run.full_speed_seconds
         if self._now - run.checkpoint_at >= _CHECKPOINT_SECONDS:
             run.checkpoint = run.progress
             run.checkpoint_at = self._now
         if run.progress >= 1.0:
             self.outcome.finished += 1
-            self.outcome.core_seconds += run.need * run.seconds / 1000.0
+            self.outcome.core_seconds += run.demand_millicores * run.full_speed_seconds / 1000.0
             self.end(run, AttemptOutcome.FINISHED)
 
     def _stop(self, run: _Run) -> None:
-        if self._luck.random() < _CHECKPOINT_FAILS:
-            self._lose(run)
+        if self._noise_random.random() < _CHECKPOINT_FAILURE_SHARE:
+            self._record_lost_work(run)
         else:
             run.checkpoint = run.progress
         self.end(run, AttemptOutcome.STOPPED)
 
-    def _lose(self, run: _Run) -> None:
-        lost = (run.progress - run.checkpoint) * run.seconds * run.need / 1000.0
+    def _record_lost_work(self, run: _Run) -> None:
+        lost = (
+            (run.progress - run.checkpoint)
+            * run.full_speed_seconds
+            * run.demand_millicores
+            / 1000.0
+        )
         self.outcome.lost_core_seconds += lost
 
     def measure(self) -> None:
@@ -506,7 +511,7 @@
         samples = []
         for worker_id, tasks in self._on_worker.items():
             runs = [self._runs[task_id] for task_id in tasks]
-            runs = [run for run in runs if run.begins <= self._now]
+            runs = [run for run in runs if run.started_at <= self._now]
             capacity = self._workers[worker_id].capacity.millicores
             load = sum(run.used for run in runs) / capacity
             samples += [self._sample(run, runs, load, capacity) for run in runs]
@@ -533,10 +538,10 @@
         band = min(int(load * 4), 3)
         exponent = 0.8 * max(load - 0.5, 0.0) + 0.5 * (self._load - 0.5)
         for other in runs:
-            if isinstance(other.truth, _BatchClass):
+            if isinstance(other.truth, _BatchTruth):
                 exponent += other.truth.slopes[number][band] * other.used / capacity
-        starved = max(run.need / max(run.task.reservation.millicores, 1), 1.0)
-        noise = self._luck.gauss(0.0, 0.12)
+        starved = max(run.demand_millicores / max(run.task.reservation.millicores, 1), 1.0)
+        noise = self._noise_random.gauss(0.0, 0.12)
         return truth.base * starved**2 * math.exp(exponent + noise)
 
 
@@ -553,37 +558,37 @@
         )
 
 
-def _service(number: int, chance: random.Random, site: Site) -> _ServiceTruth:
+def _service(number: int, rng: random.Random, site: Site) -> _ServiceTruth:
     name = f"service-{number}"
     cores = site.cores * site.replica_share
     resources = Resources(int(1000 * cores), int(site.gigabytes * site.replica_share * 0.7 * 10**9))
     shape = TaskShape(
         TeamName("team-0"), name, resources, 0.0, False, ServiceName(name), Tolerance.NONE
     )
-    return _ServiceTruth(shape, chance.uniform(0.35, 0.6))
+    return _ServiceTruth(shape, rng.uniform(0.35, 0.6))
 
 
-def _batch_class(number: int, chance: random.Random, site: Site) -> _BatchClass:
-    cores = chance.choice((0.5, 1.0, 2.0, 4.0)) * site.batch_scale * site.cores / 16
-    gigabytes = cores * chance.choice((1.0, 2.0, 4.0))
+def _batch_class(number: int, rng: random.Random, site: Site) -> _BatchTruth:
+    cores = rng.choice((0.5, 1.0, 2.0, 4.0)) * site.batch_scale * site.cores / 16
+    gigabytes = cores * rng.choice((1.0, 2.0, 4.0))
     shape = TaskShape(
         TeamName("team-0"),
         f"batch-{number}",
         Resources(int(cores * 1000), int(gigabytes * 10**9)),
-        chance.choice((60.0, 120.0, 300.0, 600.0)),
-        tolerance=Tolerance.EVICT if chance.random() < 0.8 else Tolerance.THROTTLE,
+        rng.choice((60.0, 120.0, 300.0, 600.0)),
+        tolerance=Tolerance.EVICT if rng.random() < 0.8 else Tolerance.THROTTLE,
     )
     slopes = []
     for _ in range(site.services):
-        is_noisy = chance.random() < site.noisy_pairs
-        slope = chance.uniform(2.0, 6.0) if is_noisy else chance.uniform(0.0, 0.3)
+        is_noisy = rng.random() < site.noisy_pair_share
+        slope = rng.uniform(2.0, 6.0) if is_noisy else rng.uniform(0.0, 0.3)
         slopes.append(tuple(slope * factor for factor in (0.5, 0.8, 1.0, 1.3)))
-    return _BatchClass(
+    return _BatchTruth(
         shape,
-        processor_ratio=chance.uniform(0.25, 1.3),
-        memory_ratio=chance.uniform(0.2, 1.1),
-        memory_spread=chance.uniform(0.03, 0.15),
-        run_ratio=chance.uniform(0.4, 2.5),
+        processor_ratio=rng.uniform(0.25, 1.3),
+        memory_ratio=rng.uniform(0.2, 1.1),
+        memory_spread=rng.uniform(0.03, 0.15),
+        run_ratio=rng.uniform(0.4, 2.5),
         slopes=tuple(slopes),
     )
 
@@ -595,11 +600,11 @@
     return {name: TeamContract(name, quota, urgent=True) for name in names}
 
 
-def _poisson(mean: float, chance: random.Random) -> int:
+def _poisson(mean: float, rng: random.Random) -> int:
     limit = math.exp(-mean)
     count = 0
-    product = chance.random()
+    product = rng.random()
     while product > limit:
         count += 1
-        product *= chance.random()
+        product *= rng.random()
     return count
--- a/bench/batch_failures_seen.py
+++ b/bench/batch_failures_seen.py
@@ -50,7 +50,7 @@
         client = BatchClient(tuple(Address("127.0.0.1", planner[3]) for planner in PLANNERS))
         for phase in PHASES:
             await _run(client, phase)
-    await _judge()
+    await _check_history()
 
 
 async def _run(client: BatchClient, phase: Phase) -> None:
@@ -67,7 +67,7 @@
     submitted = await _submit(client, job)
     await trio.sleep(2.0)
     await phase.during()
-    status = await _ended(client, job.job_id)
+    status = await _wait_until_ended(client, job.job_id)
     seconds = trio.current_time() - begun
     print(f"{phase.name}: submitted {submitted}, {status.states} after {seconds:.1f} s", flush=True)
 
@@ -77,18 +77,22 @@
 
     Repeating a submission under the same id is safe, because it has no further effect.
     """
-    said: list[str] = []
+    answers: list[str] = []
     while True:
         try:
             await client.submit(job)
         except BatchCallError as error:
-            said.append(f"stored: {error.problem.accepted}")
+            answers.append(f"stored: {error.problem.accepted}")
             await trio.sleep(1.0)
             continue
-        return ", then ".join([*said, "stored"]) if len(said) < 3 else f"after {len(said)} repeats"
+        return (
+            ", then ".join([*answers, "stored"])
+            if len(answers) < 3
+            else f"after {len(answers)} repeats"
+        )
 
 
-async def _ended(client: BatchClient, job: JobId) -> JobStatus:
+async def _wait_until_ended(client: BatchClient, job: JobId) -> JobStatus:
     with trio.fail_after(LONGEST_SECONDS):
         while True:
             status = await client.status(job)
@@ -97,7 +101,7 @@
             await trio.sleep(0.2)
 
 
-async def _judge() -> None:
+async def _check_history() -> None:
     client = HttpClient(PLATFORM, 10.0)
     _, history = await client.call("GET", "/history")
     workers: list[Worker] = []
@@ -126,7 +130,7 @@
     return action
 
 
-def _for_a_while(address: Address, switches: dict[str, object], seconds: float) -> Action:
+def _switch_temporarily(address: Address, switches: dict[str, object], seconds: float) -> Action:
     async def action() -> None:
         await _put(address, "/switches", switches)()
         await trio.sleep(seconds)
@@ -147,12 +151,12 @@
     Phase(
         "store down for 15 s",
         _put(PLATFORM, "/faults", {}),
-        _for_a_while(STORE, {"down": True}, 15.0),
+        _switch_temporarily(STORE, {"down": True}, 15.0),
     ),
     Phase(
         "five answers of the store lost", _put(STORE, "/switches", {"lose_answers": 5}), _nothing
     ),
-    Phase("platform down for 15 s", _nothing, _for_a_while(PLATFORM, {"down": True}, 15.0)),
+    Phase("platform down for 15 s", _nothing, _switch_temporarily(PLATFORM, {"down": True}, 15.0)),
     Phase(
         "five answers of the platform lost",
         _put(PLATFORM, "/switches", {"lose_answers": 5}),
--- a/bench/configuration_checks.py
+++ b/bench/configuration_checks.py
@@ -20,7 +20,7 @@
 from fireflyfork.operations import Answers, check, decode, decode_document, generate, unusual_values
 
 from ._configuration_changes import MISTAKES, ORDINARY
-from ._inferred_rules import InferredRule, Plain, infer, values_of
+from ._inferred_rules import InferredRule, Plain, group_values, infer
 
 SEED = 20260211
 LEARNED_CHANGES = 200
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Learned:
+class LearnedHistory:
     """The accepted changes of a site and the rules inferred from the first of them."""
 
     accepted: tuple[Change, ...]
@@ -50,25 +50,25 @@
 
 def main() -> None:
     """Compare the checks on both sites and print the results."""
-    each = int(sys.argv[1]) if len(sys.argv) > 1 else 100
+    count_per_kind = int(sys.argv[1]) if len(sys.argv) > 1 else 100
     caught: Counter[tuple[str, str]] = Counter()
     alarms: Counter[tuple[str, str]] = Counter()
-    made: Counter[str] = Counter()
+    change_counts: Counter[str] = Counter()
     for number, name in enumerate(("naidu", "kastings")):
         random = Random(SEED + number)
         learned = learn(first_configuration(name), random)
-        checks = checks_of(learned)
+        checks = build_checks(learned)
         print(f"{name}: {len(learned.rules)} rules inferred from {LEARNED_CHANGES} versions, of")
-        print(f"  which later versions break {broken_later(learned)}")
+        print(f"  which later versions break {count_wrong_rules(learned)}")
         for later in learned.accepted[LEARNED_CHANGES:]:
-            made[later.kind] += 1
-            alarms.update((later.kind, label) for label in rejecting(checks, later))
-        for mistake in mistakes(learned, each, random):
-            caught.update((mistake.kind, label) for label in rejecting(checks, mistake))
+            change_counts[later.kind] += 1
+            alarms.update((later.kind, label) for label in rejecting_checks(checks, later))
+        for mistake in mistaken_changes(learned, count_per_kind, random):
+            caught.update((mistake.kind, label) for label in rejecting_checks(checks, mistake))
         labels = list(checks)
-    tried = Counter({kind.name: 2 * each for kind in MISTAKES})
+    tried = Counter({kind.name: 2 * count_per_kind for kind in MISTAKES})
     report("caught, of mistakes", labels, caught, tried)
-    report("false alarms, of ordinary changes", labels, alarms, made)
+    report("false alarms, of ordinary changes", labels, alarms, change_counts)
 
 
 def first_configuration(name: str) -> Plain:
@@ -81,7 +81,7 @@
     return plain
 
 
-def learn(first: Plain, random: Random) -> Learned:
+def learn(first: Plain, random: Random) -> LearnedHistory:
     """Apply a series of ordinary changes and infer rules from the first of them."""
     accepted: list[Change] = []
     while len(accepted) < LEARNED_CHANGES + TRIED_CHANGES:
@@ -89,15 +89,15 @@
         latest = accepted[-1].after if accepted else first
         base = random.choice([latest, first])
         kind = random.choice(ORDINARY)
-        changed = kind.applied(base, random)
+        changed = kind.apply_to(base, random)
         # Changes that the written rules reject would never have been accepted.
         if not _breaks_types(changed) and not _breaks_relations(changed):
             accepted.append(Change(base, changed, kind.name))
-    rules = infer(values_of(change.after) for change in accepted[:LEARNED_CHANGES])
-    return Learned(tuple(accepted), rules)
+    rules = infer(group_values(change.after) for change in accepted[:LEARNED_CHANGES])
+    return LearnedHistory(tuple(accepted), rules)
 
 
-def checks_of(learned: Learned) -> dict[str, Check]:
+def build_checks(learned: LearnedHistory) -> dict[str, Check]:
     """Return the checks to compare, by label."""
 
     def written(plain: Plain) -> bool:
@@ -116,30 +116,32 @@
     }
 
 
-def rejecting(checks: dict[str, Check], change: Change) -> Iterator[str]:
+def rejecting_checks(checks: dict[str, Check], change: Change) -> Iterator[str]:
     """Return the labels of the checks that reject a change."""
     return (
         label for label, is_rejected in checks.items() if is_rejected(change.before, change.after)
     )
 
 
-def mistakes(learned: Learned, each: int, random: Random) -> Iterator[Change]:
+def mistaken_changes(
+    learned: LearnedHistory, count_per_kind: int, random: Random
+) -> Iterator[Change]:
     """Yield ``count_per_kind`` changes per kind of mistake, each applied to an accepted configuration."""
     for kind in MISTAKES:
-        for _ in range(each):
+        for _ in range(count_per_kind):
             base = random.choice(learned.accepted[LEARNED_CHANGES:]).after
-            yield Change(base, kind.applied(base, random), kind.name)
+            yield Change(base, kind.apply_to(base, random), kind.name)
 
 
 def breaks_inferred(plain: Plain, rules: tuple[InferredRule, ...]) -> bool:
     """Return whether a configuration breaks any of the inferred rules."""
-    values = values_of(plain)
+    values = group_values(plain)
     return any(rule.is_broken_by(values) for rule in rules)
 
 
-def broken_later(learned: Learned) -> int:
+def count_wrong_rules(learned: LearnedHistory) -> int:
     """Return the number of wrong rules: those that a later accepted configuration breaks."""
-    later = [values_of(change.after) for change in learned.accepted[LEARNED_CHANGES:]]
+    later = [group_values(change.after) for change in learned.accepted[LEARNED_CHANGES:]]
     return sum(any(rule.is_broken_by(values) for values in later) for rule in learned.rules)
 
 
--- a/bench/configuration_size.py
+++ b/bench/configuration_size.py
@@ -26,8 +26,8 @@
 
 EXAMPLE = Path(__file__).parents[1] / "examples" / "naidu" / "answers.jsonc"
 SIZES = (24, 330, 1_100, 3_300, 11_000)
-CHANGES_A_DAY = 2_000
-SECONDS_A_DAY = 86_400
+CHANGES_PER_DAY = 2_000
+SECONDS_PER_DAY = 86_400
 REPEATS = 5
 
 
@@ -50,7 +50,7 @@
             _milliseconds(partial(check, configuration)),
             _milliseconds(partial(differences, configuration, changed)),
         )
-        rate = len(value) * CHANGES_A_DAY / SECONDS_A_DAY
+        rate = len(value) * CHANGES_PER_DAY / SECONDS_PER_DAY
         print(
             f"{size:7} {len(msgspec.json.encode(configuration)):12} {len(value):13} {rate:31.0f}  "
             + "  ".join(f"{each:9.1f}" for each in times)
--- a/bench/entry_processes.py
+++ b/bench/entry_processes.py
@@ -26,7 +26,7 @@
 TIMEOUT = (b"request-timeout-ms", b"5000")
 
 
-async def at_rest(entries: int) -> None:
+async def measure_idle(entries: int) -> None:
     """Print the cost of entries that receive no requests."""
     async with measured_fleet(entries) as fleet:
         await trio.sleep(SETTLE_SECONDS)
@@ -47,7 +47,7 @@
         )
 
 
-async def per_request() -> None:
+async def measure_requests() -> None:
     """Print the processor time that the entries spend per request, by kind of request."""
     async with measured_fleet(2) as fleet:
         await trio.sleep(SETTLE_SECONDS)
@@ -58,10 +58,10 @@
             ("POST, key minted", "POST", False),
             ("POST, the caller's key", "POST", True),
         ):
-            await _drive(fleet.entries[0], method, keyed, 200)
+            await _send_requests(fleet.entries[0], method, keyed, 200)
             before = [entry.processor_seconds for entry in fleet.entries]
             begun = trio.current_time()
-            answered = await _drive(fleet.entries[0], method, keyed, REQUESTS)
+            answered = await _send_requests(fleet.entries[0], method, keyed, REQUESTS)
             seconds = trio.current_time() - begun
             spent = [e.processor_seconds - b for e, b in zip(fleet.entries, before, strict=True)]
             each = " + ".join(f"{1000 * one / REQUESTS:.2f}" for one in spent)
@@ -72,7 +72,7 @@
             )
 
 
-async def takeover() -> None:
+async def measure_takeover() -> None:
     """Print the time from killing an owner until all targets are owned again."""
     async with measured_fleet(4) as fleet:
         await trio.sleep(SETTLE_SECONDS)
@@ -92,13 +92,13 @@
     await fleet.wait_owned()
 
 
-async def _drive(entry: MeasuredEntry, method: str, keyed: bool, count: int) -> int:
+async def _send_requests(entry: MeasuredEntry, method: str, keyed: bool, count: int) -> int:
     remaining = iter(range(count))
     answered = 0
 
     async def caller() -> None:
         nonlocal answered
-        client = HttpClient(entry.callers, timeout=10.0)
+        client = HttpClient(entry.caller_address, timeout=10.0)
         for _ in remaining:
             headers = (TIMEOUT, *_key()) if keyed else (TIMEOUT,)
             head, _ = await client.call(method, "/desk/x", headers)
@@ -117,10 +117,10 @@
 
 async def run() -> None:
     """Run all measurements."""
-    await per_request()
-    await takeover()
+    await measure_requests()
+    await measure_takeover()
     for entries in FLEETS:
-        await at_rest(entries)
+        await measure_idle(entries)
 
 
 def main() -> None:
--- a/bench/entry_refresh.py
+++ b/bench/entry_refresh.py
@@ -27,14 +27,14 @@
             configuration = _with_targets(fleet.configuration, size)
             for name, entry in zip(("owner of all", "owner of none"), fleet.entries, strict=True):
                 first = _milliseconds(partial(entry.entry.configure, configuration))
-                again = sorted(_again(entry) for _ in range(REPEATS))[REPEATS // 2]
+                again = sorted(_refresh_milliseconds(entry) for _ in range(REPEATS))[REPEATS // 2]
                 print(
                     f"{size:6} targets, {name}: first {first:.1f} ms, "
                     f"each further change {again:.1f} ms (median of {REPEATS})"
                 )
 
 
-def _again(entry: RunningEntry) -> float:
+def _refresh_milliseconds(entry: RunningEntry) -> float:
     return _milliseconds(entry.entry.refresh)
 
 
--- a/bench/executor_call_cost.py
+++ b/bench/executor_call_cost.py
@@ -40,25 +40,25 @@
 AT_ONCE = 16
 CONNECTED_SECONDS = 1.0
 RUNS_LISTED = 6
-BORN = 1_700_000_000_000
+INCARNATION = 1_700_000_000_000
 TOKEN = FencingToken(7)
 _HEAD = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: %d\r\n\r\n"
 
 
-def _answer(body: object) -> bytes:
+def _encode_response(body: object) -> bytes:
     encoded = msgspec.json.encode(body)
     return _HEAD % len(encoded) + encoded
 
 
-_LISTING = _answer(
+_LISTING = _encode_response(
     {
         "clock_ms": 482_113,
-        "born": BORN,
+        "born": INCARNATION,
         "running": [[f"5c0e7a21d94b36f8.0.1.{n}", 1, "", 40, 5.0] for n in range(RUNS_LISTED)],
         "ended": [[58, "5c0e7a21d94b36f8.0.1.9", 1, "done", ""]],
     }
 )
-_ACCEPTED = _answer({"clock_ms": 482_113})
+_ACCEPTED = _encode_response({"clock_ms": 482_113})
 
 
 async def _serve() -> None:
@@ -87,26 +87,26 @@
     """Return the processor time of a call, in microseconds."""
     limit = trio.CapacityLimiter(AT_ONCE)
 
-    async def one(number: int) -> None:
+    async def call_once(number: int) -> None:
         async with limit:
             outcome = await call(client, number)
         if outcome is not CallOutcome.ACCEPTED:
             raise RuntimeError(f"call {number} ended with {outcome} instead of being accepted")
 
-    async def some(count: int) -> None:
+    async def call_many(count: int) -> None:
         async with trio.open_nursery() as nursery:
             for number in range(count):
-                nursery.start_soon(one, number)
+                nursery.start_soon(call_once, number)
 
-    await some(2 * AT_ONCE)
+    await call_many(2 * AT_ONCE)
     begun = time.process_time()
-    await some(CALLS)
+    await call_many(CALLS)
     return (time.process_time() - begun) / CALLS * 1e6
 
 
 async def _main(port: int, relay_port: int) -> None:
     domain = FailureDomainName("suva")
-    place = ExecutorEndpoint(ExecutorId("i-0"), Address("127.0.0.1", port), BORN, domain)
+    place = ExecutorEndpoint(ExecutorId("i-0"), Address("127.0.0.1", port), INCARNATION, domain)
 
     async def start(client: ExecutorCalls, number: int) -> CallOutcome:
         name = TaskName(f"5c0e7a21d94b36f8.0.1.{number}")
--- a/bench/failures_seen.py
+++ b/bench/failures_seen.py
@@ -85,10 +85,10 @@
         self._folder = folder
         self._phase: Phase | None = None
         self._verdicts: dict[IdempotencyKey, str] = {}
-        self._balanced = [entry[3] for entry in ENTRIES]
+        self._balanced_ports = [entry[3] for entry in ENTRIES]
         """Ports of the entries that the simulated load balancer uses."""
         self._random = Random(7)
-        self.leaving = STORE
+        self.leaving_address = STORE
         self.leaving_id = ""
         self.leaving_since = 0.0
         """Time at which the list marked an executor as leaving, in seconds since the Unix epoch."""
@@ -105,23 +105,23 @@
                 await trio.sleep(phase.seconds)
                 _print_phase(phase)
             nursery.cancel_scope.cancel()
-        await self._judge()
+        await self._check_histories()
 
     def signal(self, name: str, number: signal.Signals) -> None:
         """Send a signal to a process, found by its name."""
         os.kill(int((self._folder / "pids" / name).read_text("ascii")), number)
 
-    def take_out(self, port: int) -> None:
+    def remove_from_balancer(self, port: int) -> None:
         """Make the load balancer stop sending requests to this entry."""
-        self._balanced = [each for each in self._balanced if each != port]
+        self._balanced_ports = [each for each in self._balanced_ports if each != port]
 
-    def bring_back(self, port: int) -> None:
+    def return_to_balancer(self, port: int) -> None:
         """Make the load balancer use this entry again."""
-        self._balanced.append(port)
+        self._balanced_ports.append(port)
 
     async def _send_all(self, nursery: trio.Nursery) -> None:
         while True:
-            port = self._random.choice(self._balanced)
+            port = self._random.choice(self._balanced_ports)
             nursery.start_soon(self._book, Address("127.0.0.1", port))
             await trio.sleep(1 / RATE)
 
@@ -129,7 +129,7 @@
         phase = self._phase
         assert phase is not None
         is_timed = self._random.random() < TIMED_SHARE
-        key = IdempotencyKey(str(_timed_key() if is_timed else uuid.uuid4()))
+        key = IdempotencyKey(str(_time_ordered_uuid() if is_timed else uuid.uuid4()))
         headers = (
             (b"request-timeout-ms", str(TIMEOUT_MILLISECONDS).encode("ascii")),
             (b"idempotency-key", key.encode("ascii")),
@@ -155,7 +155,7 @@
                 while not await _is_ready(Address("127.0.0.1", entry[3] + 2)):
                     await trio.sleep(0.1)
 
-    async def _judge(self) -> None:
+    async def _check_histories(self) -> None:
         runs: Counter[IdempotencyKey] = Counter()
         most_busy = 0
         for _, _, first in RACKS:
@@ -167,13 +167,15 @@
         twice = sum(1 for count in runs.values() if count > 1)
         verdicts = Counter(self._verdicts.values())
         refused = [key for key, verdict in self._verdicts.items() if verdict == "not-run"]
-        lied = sum(1 for key in refused if runs[key])
+        misreported = sum(1 for key in refused if runs[key])
         lost = sum(
             1 for key, verdict in self._verdicts.items() if verdict == "answered" and not runs[key]
         )
         print(f"\nbookings by verdict: {dict(verdicts)}")
-        print(f"ran twice: {twice}; 'not run' but ran: {lied}; answered without a run: {lost}")
-        leaving = await _history(self.leaving)
+        print(
+            f"ran twice: {twice}; 'not run' but ran: {misreported}; answered without a run: {lost}"
+        )
+        leaving = await _history(self.leaving_address)
         last = max((run.started - self.leaving_since for run in leaving.runs), default=0.0)
         print(f"the leaving executor's last request came {last:.1f} s after the list said so")
         print(f"most slots of 8 in use at any executor: {most_busy}")
@@ -190,7 +192,7 @@
     client.close()
 
 
-def _timed_key() -> uuid.UUID:
+def _time_ordered_uuid() -> uuid.UUID:
     """Return a version 7 UUID with the current time."""
     milliseconds = time.time_ns() // 1_000_000
     value = milliseconds << 80 | uuid.uuid4().int & ((1 << 80) - 1)
@@ -258,7 +260,10 @@
             started = max((run.started for run in (await _history(address)).runs), default=0.0)
             if started > latest:
                 latest = started
-                trial.leaving, trial.leaving_id = address, f"booking-desk-{domain}-{number + 1}"
+                trial.leaving_address, trial.leaving_id = (
+                    address,
+                    f"booking-desk-{domain}-{number + 1}",
+                )
     await _put(INSTANCES, f"/v1/instances/{trial.leaving_id}", b"leaving")
     trial.leaving_since = time.time()
 
@@ -272,7 +277,7 @@
 async def _entry_killed(trial: Trial) -> None:
     trial.signal("entry-nadi-1", signal.SIGKILL)
     await trio.sleep(0.5)
-    trial.take_out(9021)
+    trial.remove_from_balancer(9021)
 
 
 async def _entry_stopped(trial: Trial) -> None:
@@ -282,7 +287,7 @@
     """
     trial.signal("entry-labasa-2", signal.SIGTERM)
     await trio.sleep(0.1)
-    trial.take_out(9041)
+    trial.remove_from_balancer(9041)
 
 
 PHASES = (
--- a/bench/job_scheduler_cost.py
+++ b/bench/job_scheduler_cost.py
@@ -42,7 +42,7 @@
 
 SIZES = (24, 48, 100, 200, 400, 800, 1600)
 STARTS_PER_EXECUTOR = 40
-MOST_STARTS = 8_000
+MAX_STARTS = 8_000
 SERVING_PER_EXECUTOR = 4
 SERVICE = ServiceName("desk")
 IMAGES = tuple(f"image-{number}" for number in range(9))
@@ -58,16 +58,16 @@
     polls: int = 0
 
 
-class Day:
+class Owner:
     """The scheduler of one owner with simulated executors."""
 
-    def __init__(self, executors: int, fills: bool = True) -> None:
+    def __init__(self, executors: int, uses_leftover_cpu: bool = True) -> None:
         """Register the executors and start the serving tasks.
 
         If ``uses_leftover_cpu`` is true, batch tasks use the processor time that serving tasks
         leave over; otherwise they reserve their own.
         """
-        self._fills = fills
+        self._uses_leftover_cpu = uses_leftover_cpu
         self._random = Random(executors)
         self._scheduler = Scheduler(SchedulerTerms(SERVICE, 8.0, 5.0))
         queue = QueueTerms(QueueName("q"), "h", "/q/", SERVICE, 0, 3, 2.0, 1000, 3000)
@@ -92,23 +92,31 @@
             image="web",
             tail_target_ms=18,
         )
-        self._hand_in(serving)
+        self._submit(serving)
         self._place()
         self.cost = Cost()
 
-    def play(self, starts: int) -> Cost:
+    def run(self, starts: int) -> Cost:
         """Submit jobs until this many tasks have been started, and return the cost."""
         while self.cost.starts < starts:
             for _ in range(max(1, len(self._scheduler.executors) // 8)):
                 image = self._random.choice(IMAGES)
-                self._hand_in(
-                    StepSpec(8, 1500, 1500, 0, 2000, image=image, uses_leftover_cpu=self._fills)
+                self._submit(
+                    StepSpec(
+                        8,
+                        1500,
+                        1500,
+                        0,
+                        2000,
+                        image=image,
+                        uses_leftover_cpu=self._uses_leftover_cpu,
+                    )
                 )
             self._place()
             self._poll_all(ends=True)
         return self.cost
 
-    def _hand_in(self, step: StepSpec) -> None:
+    def _submit(self, step: StepSpec) -> None:
         self._jobs += 1
         name = JobId(f"{self._jobs:016x}")
         spec = JobSpec(name, QueueName("q"), SERVICE, "work", (step,), 0)
@@ -128,9 +136,9 @@
         clock = int(self._now * 1000)
         for name, executor in tuple(self._scheduler.executors.items()):
             runs = list(executor.runs.values())
-            over = [run for run in runs if ends and not run.task.spec.long_running]
-            rows = tuple(_row(run) for run in runs if run not in over)
-            answer = PollAnswer(CallOutcome.ACCEPTED, clock, 1, rows, self._ended(name, over))
+            ended_runs = [run for run in runs if ends and not run.task.spec.long_running]
+            rows = tuple(_row(run) for run in runs if run not in ended_runs)
+            answer = PollAnswer(CallOutcome.ACCEPTED, clock, 1, rows, self._ended(name, ended_runs))
             begun = time.process_time()
             self._scheduler.poll_answered(executor, self._now, answer, self._now, 0)
             self.cost.polling += time.process_time() - begun
@@ -175,8 +183,8 @@
     """Print a line per number of executors."""
     print("executors  us a start that fills  us a start that reserves  us a poll")
     for size in SIZES:
-        starts = min(STARTS_PER_EXECUTOR * size, MOST_STARTS)
-        fills, reserves = Day(size).play(starts), Day(size, fills=False).play(starts)
+        starts = min(STARTS_PER_EXECUTOR * size, MAX_STARTS)
+        fills, reserves = Owner(size).run(starts), Owner(size, uses_leftover_cpu=False).run(starts)
         placing = [cost.placing / cost.starts * 1e6 for cost in (fills, reserves)]
         polling = fills.polling / fills.polls * 1e6
         print(f"{size:9d}  {placing[0]:21.0f}  {placing[1]:24.0f}  {polling:9.0f}")
--- a/bench/journal.py
+++ b/bench/journal.py
@@ -48,7 +48,7 @@
 )
 
 COMMIT_SECONDS = 0.25
-TASKS_OF_A_JOB = 50
+TASKS_PER_JOB = 50
 COMMITS = 400
 OWNER = MemberId("planner-suva-1-0a1b2c3d")
 CHANGE = ChangeId("0123456789abcdef0123456789abcdef")
@@ -84,7 +84,7 @@
         self._number = 0
         self._index = 0
         self._running: list[tuple[JobNumber, int]] = []
-        self._open: dict[JobNumber, int] = {}
+        self._unfinished_counts: dict[JobNumber, int] = {}
         self.table = TaskTable.empty()
         while len(self._running) < load.running:
             self.table = self.table.apply(self._starts(min(1000, load.running)))
@@ -100,13 +100,13 @@
     def _starts(self, count: int) -> tuple[DurableChange, ...]:
         changes: list[DurableChange] = []
         for _ in range(count):
-            if self._index % TASKS_OF_A_JOB == 0:
+            if self._index % TASKS_PER_JOB == 0:
                 self._number += 1
                 self._index = 0
                 number = JobNumber(self._number)
                 job_id = JobId(f"letters-{number:08d}")
-                changes.append(JobAccepted(number, job_id, SHAPE, TASKS_OF_A_JOB, 1.7e9))
-                self._open[number] = TASKS_OF_A_JOB
+                changes.append(JobAccepted(number, job_id, SHAPE, TASKS_PER_JOB, 1.7e9))
+                self._unfinished_counts[number] = TASKS_PER_JOB
             number = JobNumber(self._number)
             worker = WorkerId(f"suva-rack-{self._random.randrange(self._load.workers)}")
             attempt = AttemptNumber(1)
@@ -124,8 +124,8 @@
             number, index = self._running.pop()
             outcome = AttemptOutcome.FINISHED
             yield EndRecorded(number, index, AttemptNumber(1), outcome, self._now(), 1.0)
-            self._open[number] -= 1
-            if not self._open[number]:
+            self._unfinished_counts[number] -= 1
+            if not self._unfinished_counts[number]:
                 yield JobForgotten(number)
 
 
@@ -142,7 +142,7 @@
     for _ in range(COMMITS):
         changes = partition.next_commit(starts)
         due = position.snapshot_due or not snapshot
-        apply_seconds += _timed(partial(_advance, partition, changes))
+        apply_seconds += _processor_seconds(partial(_advance, partition, changes))
         begun = time.process_time()
         sequence = position.sequence + 1
         value = encode_segment(Segment(sequence, CHANGE, OWNER, changes))
@@ -161,7 +161,7 @@
             recent.clear()
     total = COMMITS * starts
     seconds = COMMITS * COMMIT_SECONDS
-    recovery = _timed(lambda: _recover(snapshot, recent))
+    recovery = _processor_seconds(lambda: _recover(snapshot, recent))
     print(f"{load.name}: {load.running} running, {load.starts_per_second} starts/s")
     print(
         f"  bytes per start {(segment_bytes + snapshot_bytes) / total:.0f} "
@@ -200,7 +200,7 @@
         [JobAccepted(number, JobId("wave"), SHAPE, tasks, 1.7e9)],
     )
     wave = [CancelRequested(number, index, 1.7e9) for index in range(tasks)]
-    return 1e6 * _timed(lambda: table.apply(wave)) / tasks
+    return 1e6 * _processor_seconds(lambda: table.apply(wave)) / tasks
 
 
 def _advance(partition: Partition, changes: tuple[DurableChange, ...]) -> None:
@@ -213,7 +213,7 @@
         table = table.apply(decode_segment(value).changes)
 
 
-def _timed(action: Callable[[], object]) -> float:
+def _processor_seconds(action: Callable[[], object]) -> float:
     begun = time.process_time()
     action()
     return time.process_time() - begun
--- a/bench/key_homes.py
+++ b/bench/key_homes.py
@@ -66,7 +66,9 @@
     added = sorted(2 * GUARD_HOP * random.lognormvariate(0, 0.3) for _ in range(2000))
     doubtful, needless = _lost_home(random, remembered=True)
     share = RATE / HOMES * KEY_BYTES
-    return Cost(_at(added, 0.5) * 1e3, _at(added, 0.99) * 1e3, 0.0, share, doubtful, needless)
+    return Cost(
+        _quantile(added, 0.5) * 1e3, _quantile(added, 0.99) * 1e3, 0.0, share, doubtful, needless
+    )
 
 
 def journal(random: Random) -> Cost:
@@ -81,7 +83,7 @@
     added.sort()
     doubtful, needless = _lost_home(random, remembered=True)
     size = RATE / HOMES * KEY_BYTES
-    tail, median = _at(added, 0.99) * 1e3, _at(added, 0.5) * 1e3
+    tail, median = _quantile(added, 0.99) * 1e3, _quantile(added, 0.5) * 1e3
     return Cost(median, tail, writes / SECONDS, size, doubtful, needless)
 
 
@@ -117,7 +119,7 @@
         now += random.expovariate(rate)
 
 
-def _at(ordered: Sequence[float], share: float) -> float:
+def _quantile(ordered: Sequence[float], share: float) -> float:
     return ordered[int(share * (len(ordered) - 1))]
 
 
--- a/bench/operator_replicas.py
+++ b/bench/operator_replicas.py
@@ -36,8 +36,8 @@
     """The costs of a fleet of one size."""
 
     instances: int
-    calls_a_second: float = 0.0
-    quiet_bytes_a_second: float = 0.0
+    calls_per_second: float = 0.0
+    quiet_bytes_per_second: float = 0.0
     """Bytes per second between the regions, in both directions."""
     change_bytes: int = 0
     change_seconds: float = 0.0
@@ -99,8 +99,8 @@
     async def _measure_quiet(self) -> None:
         calls, crossed = self._store.calls, self._crossed()
         await trio.sleep(QUIET_SECONDS)
-        self._costs.calls_a_second = (self._store.calls - calls) / QUIET_SECONDS
-        self._costs.quiet_bytes_a_second = (self._crossed() - crossed) / QUIET_SECONDS
+        self._costs.calls_per_second = (self._store.calls - calls) / QUIET_SECONDS
+        self._costs.quiet_bytes_per_second = (self._crossed() - crossed) / QUIET_SECONDS
 
     async def _measure_change(self) -> None:
         self._in_force = 0
@@ -123,7 +123,7 @@
     for instances in SIZES:
         costs = run_repeatably(SEED, _Fleet(instances).run)
         print(
-            f"{costs.instances:9}  {costs.calls_a_second:7.1f}  {costs.quiet_bytes_a_second / 1e3:10.2f}"
+            f"{costs.instances:9}  {costs.calls_per_second:7.1f}  {costs.quiet_bytes_per_second / 1e3:10.2f}"
             f"  {costs.change_bytes / 1e3:9.1f}  {costs.change_seconds:8.3f}"
         )
 
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -50,13 +50,13 @@
         for variant in VARIANTS:
             runs = [measure(OverloadModel(variant, load, seed).run()) for seed in seeds]
             cells = (
-                f"{_middle(column):6.1f} ({min(column):.1f}-{max(column):.1f})"
+                f"{_median(column):6.1f} ({min(column):.1f}-{max(column):.1f})"
                 for column in zip(*runs, strict=True)
             )
             yield f"{load:3.0f}x {variant.name:12}" + "".join(f"{cell:>24}" for cell in cells)
 
 
-def _middle(column: Sequence[float]) -> float:
+def _median(column: Sequence[float]) -> float:
     return sorted(column)[len(column) // 2]
 
 
--- a/bench/overload_model.py
+++ b/bench/overload_model.py
@@ -50,12 +50,12 @@
 """Standard deviation of the logarithm of the service time, which is lognormal."""
 TIMEOUT = 0.5
 HOP = 0.0005
-FIGURES_EVERY = 0.25
-FAULTY = 0.02
+LOAD_REPORT_SECONDS = 0.25
+REFUSED_CONNECTION_SHARE = 0.02
 """Share of attempts whose connection is refused, which proves that they have not run."""
 WARM_UP = 1.0
 MEASURED = 4.0
-MOST_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 CAPACITY = TARGETS * SLOTS / MEAN_SECONDS
 """Requests per second that the executors can run."""
 ENTRY_WEIGHTS = (4.0, 2.0, 1.0, 1.0, 1.0, 1.0)
@@ -127,13 +127,13 @@
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._owners = self._build_owners()
         self._budgets = [RetryBudget.full(RetryTerms()) for _ in range(ENTRIES)]
-        self._figures: list[dict[int, MemberLoad]] = [{} for _ in range(ENTRIES)]
-        self._turns = [0] * ENTRIES
+        self._peer_loads: list[dict[int, MemberLoad]] = [{} for _ in range(ENTRIES)]
+        self._round_robin_counters = [0] * ENTRIES
 
     def run(self) -> Outcomes:
         """Run until the last timeout of the measured time has passed, and return the outcomes."""
-        self._after(0.0, self._tell_figures)
-        self._after(0.0, self._arrive)
+        self._schedule(0.0, self._report_loads)
+        self._schedule(0.0, self._arrive)
         end = WARM_UP + MEASURED + TIMEOUT
         while self._events and self._events[0][0] <= end:
             self._now, _, happen = heapq.heappop(self._events)
@@ -159,18 +159,18 @@
         admission = AdmissionQueue(service.longest_queue, ServiceTime(MEAN_SECONDS, 0.0))
         return ModelOwner(ledgers, admission)
 
-    def _after(self, seconds: float, happen: Callable[[], None]) -> None:
+    def _schedule(self, seconds: float, happen: Callable[[], None]) -> None:
         self._serial += 1
         heapq.heappush(self._events, (self._now + seconds, self._serial, happen))
 
     def _arrive(self) -> None:
-        self._after(self._random.expovariate(self._load * CAPACITY), self._arrive)
+        self._schedule(self._random.expovariate(self._load * CAPACITY), self._arrive)
         entry = self._random.choices(range(ENTRIES), ENTRY_WEIGHTS)[0]
         request = ModelRequest(self._serial, entry, self._now, self._now + TIMEOUT)
         if self._is_measured(request):
             self.outcomes.arrived += 1
         self._budgets[entry] = self._budgets[entry].request()
-        self._after(TIMEOUT, lambda: self._time_out(request))
+        self._schedule(TIMEOUT, lambda: self._time_out(request))
         self._dispatch(request)
 
     def _is_measured(self, request: ModelRequest) -> bool:
@@ -184,21 +184,21 @@
             self._offer(owner, request)
         else:
             self._note_sent(request.entry, owner)
-            self._after(HOP, lambda: self._offer(owner, request))
+            self._schedule(HOP, lambda: self._offer(owner, request))
 
     def _choose_owner(self, request: ModelRequest) -> tuple[int | None, float]:
         if self._variant.fixed_share:
             return request.entry, 0.0
         if self._variant.round_robin:
-            self._turns[request.entry] += 1
-            return self._turns[request.entry] % TARGETS % ENTRIES, 0.0
-        chosen = route(self._question(request), {}, self._now)
+            self._round_robin_counters[request.entry] += 1
+            return self._round_robin_counters[request.entry] % TARGETS % ENTRIES, 0.0
+        chosen = route(self._build_route_input(request), {}, self._now)
         if chosen.kind is RouteKind.REFUSE:
             return None, chosen.retry_after
         member = chosen.member_id
         return (request.entry if member is None else int(member)), 0.0
 
-    def _question(self, request: ModelRequest) -> RouteInput:
+    def _build_route_input(self, request: ModelRequest) -> RouteInput:
         own = self._owners[request.entry]
         time_left = request.deadline - self._now - own.admission.service_time.expected
         return RouteInput(
@@ -206,7 +206,7 @@
             own=[OwnTarget(name, ledger.free(self._now)) for name, ledger in own.ledgers.items()],
             queued=self._queued(own),
             drain_per_second=own.admission.drain_per_second(_slots(own), self._now),
-            peers=tuple(self._figures[request.entry].values()),
+            peers=tuple(self._peer_loads[request.entry].values()),
             time_left=1e9 if self._variant.no_shedding else time_left,
             request_bytes=1000,
             forwarded=False,
@@ -217,23 +217,23 @@
         return len(owner.fifo) + len(owner.admission.waiting)
 
     def _note_sent(self, entry: int, owner: int) -> None:
-        known = self._figures[entry].get(owner)
+        known = self._peer_loads[entry].get(owner)
         if known is not None:
-            self._figures[entry][owner] = replace(known, sent_since=known.sent_since + 1)
+            self._peer_loads[entry][owner] = replace(known, sent_since=known.sent_since + 1)
 
-    def _tell_figures(self) -> None:
-        self._after(FIGURES_EVERY, self._tell_figures)
+    def _report_loads(self) -> None:
+        self._schedule(LOAD_REPORT_SECONDS, self._report_loads)
         for owner in range(ENTRIES):
             for entry in range(ENTRIES):
-                self._hear_figures(entry, owner)
+                self._update_load(entry, owner)
 
-    def _hear_figures(self, entry: int, owner: int) -> None:
+    def _update_load(self, entry: int, owner: int) -> None:
         if entry == owner:
             return
         state = self._owners[owner]
         free = sum(ledger.free(self._now) for ledger in state.ledgers.values())
         drain = state.admission.drain_per_second(_slots(state), self._now)
-        self._figures[entry][owner] = MemberLoad(
+        self._peer_loads[entry][owner] = MemberLoad(
             MemberId(str(owner)), REGION, free, self._queued(state), drain, self._now
         )
 
@@ -253,16 +253,16 @@
         state.requests[waiting.request_id] = request
         state.admission, decision = state.admission.offer(waiting, free, _slots(state), self._now)
         for refused in decision.refused:
-            self._tell_refusal(owner, refused.request.request_id, refused.retry_after)
+            self._send_refusal(owner, refused.request.request_id, refused.retry_after)
         if decision.kind is AdmissionKind.RUN:
             del state.requests[waiting.request_id]
             self._start(owner, request)
 
-    def _tell_refusal(self, owner: int, name: RequestId, retry_after: float) -> None:
+    def _send_refusal(self, owner: int, name: RequestId, retry_after: float) -> None:
         request = self._owners[owner].requests.pop(name)
         hop = 0.0 if owner == request.entry else HOP
-        self._hear_figures(request.entry, owner)
-        self._after(hop, lambda: self._refused(request, retry_after))
+        self._update_load(request.entry, owner)
+        self._schedule(hop, lambda: self._refused(request, retry_after))
 
     def _start(self, owner: int, request: ModelRequest) -> None:
         state = self._owners[owner]
@@ -271,12 +271,12 @@
         taken = state.ledgers[target].acquire(attempt, self._now)
         assert isinstance(taken, SlotLedger), taken
         state.ledgers[target] = taken
-        if self._random.random() < FAULTY:
-            self._after(HOP, lambda: self._fail(owner, target, attempt, request))
+        if self._random.random() < REFUSED_CONNECTION_SHARE:
+            self._schedule(HOP, lambda: self._fail(owner, target, attempt, request))
             return
         self.outcomes.runs += 1
         seconds = self._random.lognormvariate(0.0, SIGMA) * MEAN_SECONDS / _LOGNORMAL_MEAN
-        self._after(seconds, lambda: self._end(owner, target, attempt, request, seconds))
+        self._schedule(seconds, lambda: self._end(owner, target, attempt, request, seconds))
 
     def _end(
         self, owner: int, target: TargetId, attempt: RequestId, request: ModelRequest, took: float
@@ -285,7 +285,7 @@
         state.ledgers[target] = state.ledgers[target].release(attempt)
         state.admission = state.admission.answered(took, self._now)
         hop = 0.0 if owner == request.entry else HOP
-        self._after(hop, lambda: self._answered(owner, request))
+        self._schedule(hop, lambda: self._answered(owner, request))
         self._start_next(owner)
 
     def _fail(
@@ -294,7 +294,7 @@
         state = self._owners[owner]
         state.ledgers[target] = state.ledgers[target].release(attempt)
         hop = 0.0 if owner == request.entry else HOP
-        self._after(hop, lambda: self._not_run(request))
+        self._schedule(hop, lambda: self._not_run(request))
         self._start_next(owner)
 
     def _start_next(self, owner: int) -> None:
@@ -304,13 +304,13 @@
             return
         state.admission, overdue = state.admission.expire(self._now)
         for refused in overdue:
-            self._tell_refusal(owner, refused.request.request_id, refused.retry_after)
+            self._send_refusal(owner, refused.request.request_id, refused.retry_after)
         state.admission, following = state.admission.take(self._now)
         if following is not None:
             self._start(owner, state.requests.pop(following.request_id))
 
     def _answered(self, owner: int, request: ModelRequest) -> None:
-        self._hear_figures(request.entry, owner)
+        self._update_load(request.entry, owner)
         if not request.ended:
             request.ended = True
             if self._is_measured(request):
@@ -320,8 +320,8 @@
         """Handle a refusal for lack of room, which the product's entry does not retry."""
         if request.ended:
             return
-        if self._variant.plain_retry and request.attempts < MOST_ATTEMPTS:
-            self._again(request)
+        if self._variant.plain_retry and request.attempts < MAX_ATTEMPTS:
+            self._retry(request)
             return
         request.ended = True
         if self._is_measured(request):
@@ -333,19 +333,19 @@
         if request.ended:
             return
         if self._may_retry(request):
-            self._again(request)
+            self._retry(request)
             return
         request.ended = True
         self.outcomes.failed += self._is_measured(request)
 
-    def _again(self, request: ModelRequest) -> None:
+    def _retry(self, request: ModelRequest) -> None:
         request.attempts += 1
         self.outcomes.retries += self._is_measured(request)
         self._dispatch(request)
 
     def _may_retry(self, request: ModelRequest) -> bool:
         if self._variant.plain_retry:
-            return request.attempts < MOST_ATTEMPTS
+            return request.attempts < MAX_ATTEMPTS
         failed = FailedAttempt(
             Verdict.NOT_RUN, False, request.attempts, request.deadline, MEAN_SECONDS
         )
@@ -357,7 +357,7 @@
         if request.ended:
             return
         request.ended = True
-        again = self._variant.plain_retry and request.attempts < MOST_ATTEMPTS
+        again = self._variant.plain_retry and request.attempts < MAX_ATTEMPTS
         if self._is_measured(request) and not again:
             self.outcomes.timed_out += 1
         if again:
@@ -369,7 +369,7 @@
                 attempts=request.attempts + 1,
                 ended=False,
             )
-            self._after(TIMEOUT, lambda: self._time_out(second))
+            self._schedule(TIMEOUT, lambda: self._time_out(second))
             self._dispatch(second)
 
 
--- a/bench/ownership_costs.py
+++ b/bench/ownership_costs.py
@@ -35,8 +35,8 @@
 _OUTAGE_SECONDS = 60.0
 _HOUR = 3600.0
 _CHURN_HOURS = 2.0
-_FAILURES_A_DAY = 19
-_RESTARTS_A_DAY = 150
+_FAILURES_PER_DAY = 19
+_RESTARTS_PER_DAY = 150
 
 
 _FLEETS = {
@@ -46,7 +46,7 @@
 }
 
 
-def _settled(places: tuple[str, ...], seed: int) -> FleetSimulation:
+def _settled_simulation(places: tuple[str, ...], seed: int) -> FleetSimulation:
     simulation = FleetSimulation(seed, places, faults=NO_FAULTS)
     simulation.run(_SETTLE_SECONDS)
     return simulation
@@ -55,7 +55,7 @@
 def _takeover_seconds(places: tuple[str, ...], seeds: int) -> Iterator[float]:
     """Yield the seconds from the death of a random member until all partitions are served again."""
     for seed in range(seeds):
-        simulation = _settled(places, seed)
+        simulation = _settled_simulation(places, seed)
         simulation.kill(simulation.random.choice(simulation.processes))
         died = simulation.now
         while simulation.unserved() and simulation.now - died < _LONGEST_TAKEOVER_SECONDS:
@@ -66,7 +66,7 @@
 def _stopped_in_outage(places: tuple[str, ...], seeds: int, churned: bool) -> Iterator[int]:
     """Yield the number of other members that stop when one dies while the store is down."""
     for seed in range(seeds):
-        simulation = _settled(places, seed)
+        simulation = _settled_simulation(places, seed)
         if churned:
             _churn(simulation, events=len(places))
         simulation.store_down_until = simulation.now + _OUTAGE_SECONDS
@@ -85,7 +85,7 @@
 
 
 def _idle_hour(places: tuple[str, ...]) -> Counter[str]:
-    simulation = _settled(places, 1)
+    simulation = _settled_simulation(places, 1)
     simulation.counts.clear()
     simulation.run(_HOUR)
     return simulation.counts
@@ -93,9 +93,9 @@
 
 def _churned_day(places: tuple[str, ...]) -> Counter[str]:
     """Return the store calls of a day's failures and restarts, compressed into two hours."""
-    simulation = _settled(places, 2)
+    simulation = _settled_simulation(places, 2)
     simulation.counts.clear()
-    events = [True] * _FAILURES_A_DAY + [False] * _RESTARTS_A_DAY
+    events = [True] * _FAILURES_PER_DAY + [False] * _RESTARTS_PER_DAY
     simulation.random.shuffle(events)
     pause = _CHURN_HOURS * _HOUR / len(events)
     for is_failure in events:
@@ -109,25 +109,27 @@
     return simulation.counts
 
 
-def _record_slopes() -> tuple[int, float, float, int]:
+def _record_sizes() -> tuple[int, float, float, int]:
     """Return the bytes of an empty record, per member, per partition, and of the design size.
 
     The design size is 18 entries and 224 partitions.
     """
 
     def sized(members: int, partitions: int) -> int:
-        newcomers = [_named(number) for number in range(members)]
+        newcomers = [_member_with_long_id(number) for number in range(members)]
         return len(encode_fleet(balanced(fleet(newcomers, partitions))))
 
     empty = len(encode_fleet(FleetRecord()))
     per_member = (sized(18, 32) - sized(9, 32)) / 9
     per_partition = (sized(9, 128) - sized(9, 32)) / 96
-    newcomers = [_named(number, place) for number, place in enumerate(large_fleet_places(18))]
-    letter = len(encode_fleet(balanced(fleet(newcomers, 32))))
-    return empty, per_member, per_partition, letter
+    newcomers = [
+        _member_with_long_id(number, place) for number, place in enumerate(large_fleet_places(18))
+    ]
+    design_size = len(encode_fleet(balanced(fleet(newcomers, 32))))
+    return empty, per_member, per_partition, design_size
 
 
-def _named(number: int, place: str = "region-1/failure-domain-1") -> Member:
+def _member_with_long_id(number: int, place: str = "region-1/failure-domain-1") -> Member:
     """Return a member whose id is as long as a UUID."""
     return replace(member(str(number), place, 8000 + number), member_id=_long_id(number))
 
@@ -138,7 +140,7 @@
 
 def _processor_seconds(places: tuple[str, ...]) -> float:
     """Return the processor seconds per member and simulated second, simulation included."""
-    simulation = _settled(places, 3)
+    simulation = _settled_simulation(places, 3)
     began = time.process_time()
     simulation.run(300)
     return (time.process_time() - began) / 300 / len(places)
@@ -152,12 +154,12 @@
     for name, places in _FLEETS.items():
         cuts = quantiles(_takeover_seconds(places, seeds), n=100)
         print(f"{name}: takeover seconds p50 {cuts[49]:.2f}, p99 {cuts[98]:.2f}", flush=True)
-        fresh = list(_stopped_in_outage(places, seeds, churned=False))
-        worn = list(_stopped_in_outage(places, seeds, churned=True))
+        stopped_without_churn = list(_stopped_in_outage(places, seeds, churned=False))
+        stopped_after_churn = list(_stopped_in_outage(places, seeds, churned=True))
         print(
             f"{name}: living members stopped by one death in a store outage:"
-            f" mean {mean(fresh):.2f}, most {max(fresh)};"
-            f" after churn mean {mean(worn):.2f}, most {max(worn)}",
+            f" mean {mean(stopped_without_churn):.2f}, most {max(stopped_without_churn)};"
+            f" after churn mean {mean(stopped_after_churn):.2f}, most {max(stopped_after_churn)}",
             flush=True,
         )
         idle = _idle_hour(places)
@@ -169,7 +171,7 @@
         )
         day = _churned_day(places)
         print(
-            f"{name}: {_FAILURES_A_DAY} failures and {_RESTARTS_A_DAY} restarts:"
+            f"{name}: {_FAILURES_PER_DAY} failures and {_RESTARTS_PER_DAY} restarts:"
             f" {day['read']} reads, {day['write']} writes, {day['offer']} offers",
             flush=True,
         )
@@ -177,10 +179,10 @@
             f"{name}: processor {_processor_seconds(places) * 100:.3f} % of a core per member",
             flush=True,
         )
-    empty, per_member_bytes, per_partition, letter = _record_slopes()
+    empty, per_member_bytes, per_partition, design_size = _record_sizes()
     print(
         f"record: {empty} bytes empty, {per_member_bytes:.0f} per member,"
-        f" {per_partition:.1f} per partition, {letter} at 18 entries and 224 partitions"
+        f" {per_partition:.1f} per partition, {design_size} at 18 entries and 224 partitions"
     )
     question = GuardQuestion(_long_id(1), 123456, Revision(98765), ConfigurationVersion(4321))
     reply = GuardReply(123456, GuardAnswer(True), Revision(98765), ConfigurationVersion(4321))
--- a/bench/ownership_search.py
+++ b/bench/ownership_search.py
@@ -64,7 +64,9 @@
     """Let a joining member become the guard of others without informing their current guards."""
     join = changes.join
 
-    def careless(record: FleetRecord, newcomer: Member, change_id: ChangeId) -> FleetRecord | None:
+    def join_and_change_guards(
+        record: FleetRecord, newcomer: Member, change_id: ChangeId
+    ) -> FleetRecord | None:
         joined = join(record, newcomer, change_id)
         if joined is None:
             return None
@@ -75,7 +77,7 @@
                 members[other] = replace(member, guard=name)
         return replace(joined, members=members)
 
-    with mock.patch.object(changes, "join", careless):
+    with mock.patch.object(changes, "join", join_and_change_guards):
         yield
 
 
@@ -84,7 +86,7 @@
     """Assign new guards to the wards of a fenced member at the fence instead of at the takeover."""
     fence = changes.fence
 
-    def early(
+    def fence_and_change_guards(
         record: FleetRecord, ward: MemberId, by: MemberId, change_id: ChangeId
     ) -> FleetRecord | None:
         fenced = fence(record, ward, by, change_id)
@@ -96,7 +98,7 @@
                 members[name] = replace(member, guard=changes.choose_guard(members, member))
         return replace(fenced, members=members)
 
-    with mock.patch.object(changes, "fence", early):
+    with mock.patch.object(changes, "fence", fence_and_change_guards):
         yield
 
 
@@ -105,10 +107,10 @@
     """Let a member still count its old guard's acknowledgements while it replaces that guard."""
     writes = guards._writes
 
-    def forgetful(state: MembershipState, kind: ChangeKind) -> bool:
+    def writes_except_guard_change(state: MembershipState, kind: ChangeKind) -> bool:
         return kind is not ChangeKind.CHANGE_GUARD and writes(state, kind)
 
-    with mock.patch.object(guards, "_writes", forgetful):
+    with mock.patch.object(guards, "_writes", writes_except_guard_change):
         yield
 
 
@@ -149,9 +151,9 @@
     counts: Counter[str]
 
 
-def run_one(number: int, places: tuple[str, ...], seed: int) -> Outcome:
+def run_variant(variant_index: int, places: tuple[str, ...], seed: int) -> Outcome:
     """Run the variant at index ``variant_index`` with one seed."""
-    variant = VARIANTS[number]
+    variant = VARIANTS[variant_index]
     with variant.patch():
         simulation = FleetSimulation(seed, places, variant.rules)
         simulation.run(_SETTLE_SECONDS)
@@ -178,17 +180,17 @@
     :param processes: Processes to spread the runs over.
     """
     with ProcessPoolExecutor(processes) as pool:
-        for number, variant in enumerate(VARIANTS):
-            seeds = range(chosen_runs if number == 0 else runs)
+        for variant_index, variant in enumerate(VARIANTS):
+            seeds = range(chosen_runs if variant_index == 0 else runs)
             began = time.perf_counter()
-            run = partial(run_one, number, SIX_PLACES)
+            run = partial(run_variant, variant_index, SIX_PLACES)
             outcomes = list(pool.map(run, seeds, chunksize=10))
             _print(variant, outcomes, time.perf_counter() - began)
         began = time.perf_counter()
-        run = partial(run_one, 0, large_fleet_places(18))
+        run = partial(run_variant, 0, large_fleet_places(18))
         outcomes = list(pool.map(run, range(letter_runs), chunksize=5))
-        letter = replace(VARIANTS[0], name="chosen, 18 members over 7 regions")
-        _print(letter, outcomes, time.perf_counter() - began)
+        large_fleet = replace(VARIANTS[0], name="chosen, 18 members over 7 regions")
+        _print(large_fleet, outcomes, time.perf_counter() - began)
 
 
 def _print(variant: Variant, outcomes: list[Outcome], seconds: float) -> None:
@@ -197,14 +199,16 @@
     total: Counter[str] = Counter()
     for outcome in outcomes:
         total += outcome.counts
-    broken = [outcome.seed for outcome in outcomes if outcome.two_owners]
-    cycles = sum(1 for one in outcomes if one.unserved and one.dead_cycle)
-    stuck = [one.seed for one in outcomes if one.unserved and not one.dead_cycle]
+    two_owner_seeds = [outcome.seed for outcome in outcomes if outcome.two_owners]
+    cycles = sum(1 for result in outcomes if result.unserved and result.dead_cycle)
+    unserved_seeds = [
+        result.seed for result in outcomes if result.unserved and not result.dead_cycle
+    ]
     print(
-        f"{variant.name}: two owners in {len(broken)} of {len(outcomes)} runs"
-        f" (first seeds {broken[:3]}); {total['take-over']} takeovers, {total['fenced']} fenced"
+        f"{variant.name}: two owners in {len(two_owner_seeds)} of {len(outcomes)} runs"
+        f" (first seeds {two_owner_seeds[:3]}); {total['take-over']} takeovers, {total['fenced']} fenced"
         f" alive, {total['move']} moves, {total['leave']} planned stops, {total['join']} joins;"
-        f" unserved after healing: {len(stuck)} (seeds {stuck[:3]}), behind dead members that"
+        f" unserved after healing: {len(unserved_seeds)} (seeds {unserved_seeds[:3]}), behind dead members that"
         f" guard each other: {cycles}; {seconds:.0f} s",
         flush=True,
     )
--- a/bench/placement_cost.py
+++ b/bench/placement_cost.py
@@ -36,7 +36,7 @@
 _ROUND_SECONDS = 0.1
 _ROUNDS = 100
 _REPORT_ROUNDS = 50
-_MOST_FILL_ROUNDS = 80
+_MAX_FILL_ROUNDS = 80
 _FILL_ROUND_SECONDS = 5.0
 _SEED = 11
 
@@ -92,15 +92,15 @@
         replicas_per_worker=_REPLICAS_PER_WORKER,
         replica_share=0.05,
         batch_scale=0.2,
-        noisy_pairs=0.02,
+        noisy_pair_share=0.02,
     )
 
 
-class _Bench:
+class _SteadyFleet:
     """A fleet at its full number of tasks, with as many starts as ends."""
 
     def __init__(self, workers: int) -> None:
-        self._chance = random.Random(_SEED)
+        self._rng = random.Random(_SEED)
         self._site = _site(workers)
         self.policy = TimedPolicy(InterferenceAwarePolicy())
         self._model = WorkerModel(self._site, self.policy, _SEED)
@@ -108,24 +108,24 @@
     def fill(self) -> None:
         """Start all replicas, and batch tasks up to the intended number of running tasks."""
         self._model.submit_replicas()
-        for _ in range(_MOST_FILL_ROUNDS):
-            missing = self._wanted() - len(self._model.running)
+        for _ in range(_MAX_FILL_ROUNDS):
+            missing = self._intended_count() - len(self._model.running)
             if missing <= 0:
                 break
             unplaced = missing - self._model.waiting_count()
             if unplaced > 0:
-                self._model.submit_some(min(unplaced, 2 * self._site.workers), self._chance)
-            self._model.one_round(_FILL_ROUND_SECONDS)
+                self._model.submit_random_tasks(min(unplaced, 2 * self._site.workers), self._rng)
+            self._model.run_round(_FILL_ROUND_SECONDS)
             self._model.report_at_once()
         self._model.drop_waiting()
 
     def churn(self, rounds: int) -> None:
         """End and submit tasks at the peak rate, with a report every five seconds."""
-        each = round(_STARTS_PER_WORKER_AND_SECOND * _ROUND_SECONDS * self._site.workers)
+        tasks_per_round = round(_STARTS_PER_WORKER_AND_SECOND * _ROUND_SECONDS * self._site.workers)
         for number in range(rounds):
-            self._model.end_some(max(each, 1), self._chance, AttemptOutcome.FINISHED)
-            self._model.submit_some(max(each, 1), self._chance)
-            self._model.one_round(_ROUND_SECONDS)
+            self._model.end_random_runs(max(tasks_per_round, 1), self._rng, AttemptOutcome.FINISHED)
+            self._model.submit_random_tasks(max(tasks_per_round, 1), self._rng)
+            self._model.run_round(_ROUND_SECONDS)
             if number % _REPORT_ROUNDS == 0:
                 self._model.report_at_once()
 
@@ -134,10 +134,10 @@
         self._model.drop_waiting()
         self.policy.reset()
         for _ in range(20):
-            self._model.one_round(_ROUND_SECONDS)
+            self._model.run_round(_ROUND_SECONDS)
         return self.policy.microseconds("decide", "decide")
 
-    def _wanted(self) -> int:
+    def _intended_count(self) -> int:
         return self._site.workers * (_BATCH_PER_WORKER + _REPLICAS_PER_WORKER)
 
     @property
@@ -155,7 +155,7 @@
     filters = (tracemalloc.Filter(True, "*/decisions/placement/*"),)
     view_only.decide(model.view())
     empty = _traced(filters)
-    bench = _Bench(workers)
+    bench = _SteadyFleet(workers)
     bench.fill()
     full = _traced(filters) - empty
     tracemalloc.stop()
@@ -177,20 +177,20 @@
         "  share-of-core-at-peak  kB/worker  kB/task"
     )
     for workers in _SIZES:
-        bench = _Bench(workers)
-        bench.fill()
-        bench.churn(20)
-        bench.policy.reset()
-        bench.churn(_ROUNDS)
-        policy = bench.policy
+        fleet = _SteadyFleet(workers)
+        fleet.fill()
+        fleet.churn(20)
+        fleet.policy.reset()
+        fleet.churn(_ROUNDS)
+        policy = fleet.policy
         starts = policy.calls["starts"]
         per_start = policy.microseconds("decide", "starts")
         per_started = policy.microseconds("AttemptStarted", "AttemptStarted")
         per_started += policy.microseconds("AttemptEnded", "AttemptEnded")
         per_sample = policy.microseconds("SamplesTaken", "SamplesTaken")
         share = sum(policy.seconds.values()) / (_ROUNDS * _ROUND_SECONDS)
-        running = bench.running
-        idle = bench.idle_round()
+        running = fleet.running
+        idle = fleet.idle_round()
         per_worker, per_task = _memory(workers) if memory else (math.nan, math.nan)
         print(
             f"{workers:>7} {running:>7} {starts:>6} {per_start:>9.1f} {per_started:>12.1f}"
--- a/bench/request_decisions.py
+++ b/bench/request_decisions.py
@@ -39,13 +39,13 @@
 
 def microseconds(decide: Callable[[int], object]) -> list[float]:
     """Return the microseconds of processor time per call of each repeat, sorted."""
-    found = []
+    durations = []
     for repeat in range(REPEATS):
         began = time.process_time()
         for number in range(ROUNDS):
             decide(repeat * ROUNDS + number)
-        found.append((time.process_time() - began) / ROUNDS * 1e6)
-    return sorted(found)
+        durations.append((time.process_time() - began) / ROUNDS * 1e6)
+    return sorted(durations)
 
 
 def _slots() -> Callable[[int], object]:
@@ -143,7 +143,7 @@
     yield "key begun and answered (5000 keys)", _keys()
 
 
-def bytes_each(build: Callable[[int], object], count: int) -> float:
+def bytes_per_object(build: Callable[[int], object], count: int) -> float:
     """Return the bytes of memory that ``build(count)`` holds, divided by ``count``."""
     tracemalloc.start()
     held = build(count)
@@ -185,9 +185,11 @@
         found = microseconds(decide)
         print(f"{name:45}{found[REPEATS // 2]:8.2f} ({found[0]:.2f}-{found[-1]:.2f})", flush=True)
     print(
-        f"bytes for each answered key, without its answer {bytes_each(_answered_keys, 5000):9.0f}"
+        f"bytes for each answered key, without its answer {bytes_per_object(_answered_keys, 5000):9.0f}"
+    )
+    print(
+        f"bytes for each target with 8 busy slots         {bytes_per_object(_busy_ledgers, 500):9.0f}"
     )
-    print(f"bytes for each target with 8 busy slots         {bytes_each(_busy_ledgers, 500):9.0f}")
 
 
 if __name__ == "__main__":
