--- a/fireflyfork_standins/__init__.py
+++ b/fireflyfork_standins/__init__.py
@@ -1,4 +1,7 @@
-"""Small stand-ins for what the platform gives. The product never imports this package."""
+"""Test and demo implementations of the services that the users' platform provides.
+
+The product never imports this package.
+"""
 
 from ._history_checks import history_problems
 from ._simulated_workers import EventKind, Faults, HistoryEvent, SimulatedWorkers
--- a/fireflyfork_standins/_history_checks.py
+++ b/fireflyfork_standins/_history_checks.py
@@ -1,4 +1,4 @@
-"""Judges the history of a worker platform: what ran where, and whether it should have."""
+"""Checks the recorded history of a worker platform for violated scheduling guarantees."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 
 _ROUNDING = 0.001
 _PROMPT_SECONDS = 2.5
-"""Less than the margin that planners add to a lease."""
+"""An end that the platform learns of later than this doesn't count as known to the planner. The
+value is less than the margin that planners add to a lease."""
 
 
 def history_problems(history: Iterable[HistoryEvent], workers: Iterable[Worker]) -> Iterator[str]:
-    """What in a history breaks a promise, in words; nothing when all is well."""
+    """Yield a description of each violation in ``history``."""
     judge = _Judge({worker.worker_id: worker for worker in workers})
     for event in history:
         if event.kind is EventKind.STARTED:
@@ -27,11 +28,12 @@
 
 
 class _Judge:
-    """What the history showed so far.
+    """The state of the tasks and workers after the events that were read so far.
 
-    A finish counts only when the platform learned of it promptly. When the worker could not be
-    reached for longer than that, its lease is over and nothing outside it can tell whether the task
-    finished, so another attempt from the last reported checkpoint is right.
+    A task counts as finished only if the platform learned of its end within
+    ``_MAX_REPORT_DELAY_SECONDS``. If the worker was unreachable for longer, its lease has expired
+    and no other process can tell whether the task finished. Another attempt from the last reported
+    checkpoint is then correct.
     """
 
     def __init__(self, workers: Mapping[WorkerId, Worker]) -> None:
@@ -44,7 +46,7 @@
         self._known_finished: set[TaskId] = set()
 
     def started(self, event: HistoryEvent) -> Iterator[str]:
-        """Take in a start and judge it."""
+        """Record the start of an attempt and yield the violations that it causes."""
         label = f"{event.time:.2f}s: {event.task_id} attempt {event.attempt}"
         other = self._running.get(event.task_id)
         if other is not None:
@@ -60,14 +62,14 @@
         self._last_attempt[event.task_id] = event.attempt
 
     def ended(self, event: HistoryEvent) -> None:
-        """Take in an end."""
+        """Record the end of an attempt and release its resources."""
         self._used[event.worker_id] = self._used[event.worker_id] - event.resources
         self._running.pop(event.task_id, None)
         self._last_end[event.task_id] = event
         self._end_times[event.task_id, event.attempt] = event.time
 
     def end_reported(self, event: HistoryEvent) -> None:
-        """Take in that the platform knows of an end."""
+        """Record that the platform has learned of the end of an attempt."""
         end = self._end_times[event.task_id, event.attempt]
         prompt = event.time - end <= _PROMPT_SECONDS
         if event.state is RunState.FINISHED and prompt:
--- a/fireflyfork_standins/_program.py
+++ b/fireflyfork_standins/_program.py
@@ -1,4 +1,4 @@
-"""What every stand-in program does: listen, serve, and end on a signal."""
+"""Serving HTTP until a signal arrives, as all stand-in programs do."""
 
 from __future__ import annotations
 
@@ -23,9 +23,10 @@
 
 
 async def stop_on_signal(servers: list[HttpServer], scope: trio.CancelScope) -> None:
-    """Stop all ``servers`` at the first SIGTERM or SIGINT, and soon after cancel ``scope``.
+    """Stop all ``servers`` at the first SIGTERM or SIGINT, and cancel ``scope`` shortly after.
 
-    Waiting watches would otherwise keep a stand-in alive for as long as they were told to wait.
+    Without the cancellation, open watch requests would keep the process running until their wait
+    time is over.
     """
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
--- a/fireflyfork_standins/_simulated_workers.py
+++ b/fireflyfork_standins/_simulated_workers.py
@@ -1,4 +1,4 @@
-"""Workers that run tasks by letting time pass, with faults and a history of what ran where."""
+"""Simulated workers: tasks make progress as time passes, with injected faults and a history."""
 
 from __future__ import annotations
 
@@ -22,35 +22,36 @@
 STOPPED_ON_REQUEST = "stopped on request"
 _ALMOST_NOTHING = 1e-9
 _CHECKPOINT_SHARE = 0.05
-"""A run that ends without being asked keeps its work in steps of this share."""
+"""Share of a task between two checkpoints. A run that ends without a stop request keeps its
+progress up to the last checkpoint."""
 
 
 @dataclass(frozen=True, slots=True)
 class Faults:
-    """What the workers do wrong at present."""
+    """Faults that are currently injected into the workers."""
 
     fail_all: tuple[WorkerId, ...] = ()
     """Workers that fail every attempt as soon as it starts."""
     unreachable: tuple[WorkerId, ...] = ()
-    """Workers that go on running but get no order and no renewal, and of which no report comes."""
+    """Workers that keep running but receive no orders or renewals, and whose reports get lost."""
     slow_down: float = 1.0
-    """Every run takes so many times as long."""
+    """Factor by which the duration of every run is multiplied."""
     usage_factor: float = 1.0
-    """The share of its reservation that an attempt uses."""
+    """Share of its reservation that an attempt uses."""
 
 
 class EventKind(Enum):
-    """What the history records of an attempt."""
+    """Kind of an event in the history of an attempt."""
 
     STARTED = "started"
     ENDED = "ended"
     END_REPORTED = "end-reported"
-    """The platform, and whoever asks it, knows of the end from now on."""
+    """The platform has learned of the end and includes it in its answers from now on."""
 
 
 @dataclass(frozen=True, slots=True)
 class HistoryEvent:
-    """One line of the history."""
+    """One event of an attempt: its start, its end, or the report of its end."""
 
     time: float
     kind: EventKind
@@ -65,42 +66,47 @@
 
 @dataclass(slots=True)
 class _Run:
-    """One attempt, as its worker knows it."""
+    """The state of one attempt at its worker, and what the platform has learned of it."""
 
     order: StartOrder
     state: RunState
     progress: float
     progressed: float
-    """When ``progress`` was computed."""
+    """Time for which ``progress`` was computed, in seconds."""
     lease_end: float
     region: str
     millicores: int
     reason: str = ""
     stop_ordered: bool = False
     known: RunReport | None = None
-    """What the platform knows of it."""
+    """The latest report that has reached the platform; None before the first."""
     known_at: float = 0.0
-    """When the worker said so."""
+    """Time at which the worker sent ``latest_report``."""
     version: int = 0
-    """The number of that report."""
+    """Version of ``latest_report``; reports of all attempts share one counter."""
     next_report: float = 0.0
 
 
 class SimulatedWorkers:
-    """All workers of the platform. Time moves only by ``advance``."""
+    """All workers of the platform. Time passes only in ``advance``."""
 
     def __init__(
         self, workers: tuple[Worker, ...], report_interval: float = 1.0, report_lag: float = 0.5
     ) -> None:
-        """``report_interval`` and ``report_lag`` are in seconds."""
+        """Create idle ``workers``.
+
+        ``report_interval`` is the time between two usage reports of an attempt, ``report_lag`` the
+        time until a report can be read from the platform. Both are in seconds.
+        """
         self._workers = {worker.worker_id: worker for worker in workers}
         self._report_interval = report_interval
         self._report_lag = report_lag
         self._runs: dict[tuple[TaskId, AttemptNumber], _Run] = {}
         self._under_way: deque[tuple[float, _Run, RunReport]] = deque()
-        """Reports on their way to the platform, and when they were sent; oldest first."""
+        """Reports that haven't reached the platform yet, each with the time at which it was sent;
+        oldest first."""
         self._reported: dict[tuple[TaskId, AttemptNumber], _Run] = {}
-        """By the number of the last report, ascending."""
+        """Attempts with at least one published report, ordered by ascending ``report_version``."""
         self._fences: dict[TaskId, AttemptNumber] = {}
         self._used: dict[WorkerId, Resources] = {}
         self._running: dict[tuple[TaskId, AttemptNumber], _Run] = {}
@@ -111,15 +117,15 @@
 
     @property
     def history(self) -> list[HistoryEvent]:
-        """Every start and end of an attempt, in order."""
+        """All recorded events, in the order in which they were recorded."""
         return self._history
 
     def in_region(self, region: str) -> tuple[Worker, ...]:
-        """The workers of a region."""
+        """Return the workers of ``region``."""
         return tuple(worker for worker in self._workers.values() if worker.region == region)
 
     def start(self, order: StartOrder, now: float) -> RunReport:
-        """Start an attempt, or say what became of it when it was started before."""
+        """Start an attempt, or return the report of one that was started before."""
         key = (order.task_id, order.attempt)
         known = self._runs.get(key)
         if known is not None:
@@ -152,7 +158,7 @@
         return self._answer(run, now)
 
     def stop(self, call: StopCall, now: float) -> RunReport:
-        """Stop an attempt and fence it, whether it ever started or not."""
+        """Stop an attempt and fence it, even if it never started."""
         run = self._runs.get((call.task_id, call.attempt))
         fence = self._fences.get(call.task_id, AttemptNumber(0))
         self._fences[call.task_id] = max(fence, call.attempt)
@@ -175,7 +181,7 @@
         return self._answer(run, now)
 
     def throttle(self, call: ThrottleCall) -> None:
-        """Limit the processor time of an attempt."""
+        """Limit the CPU time of an attempt, or remove the limit if ``call.millicores`` is None."""
         run = self._running.get((call.task_id, call.attempt))
         if run is not None:
             self._progress(run, self._now)
@@ -183,17 +189,20 @@
             run.millicores = full if call.millicores is None else max(1, call.millicores)
 
     def renew(self, call: RenewCall, now: float) -> list[RunReport]:
-        """Renew leases; the answer holds the attempts that are over or unknown."""
+        """Renew the leases of running attempts. Return reports of the attempts that have ended."""
         return list(self._renewed(call, now))
 
     def report(self, region: str, cursor: int) -> PlatformReport:
-        """What changed after ``cursor`` and may be read by now."""
+        """Return the published reports of ``region`` with a version above ``cursor``."""
         fresh = takewhile(lambda run: run.version > cursor, reversed(self._reported.values()))
         reports = [self._aged(run) for run in fresh if run.region == region]
         return PlatformReport(max(cursor, self._version), tuple(reversed(reports)))
 
     def advance(self, now: float) -> None:
-        """Let time pass until ``now``: work progresses and ends, leases lapse, usage is reported."""
+        """Advance the time to ``now``.
+
+        Runs make progress and end, leases expire, and reports are sent and reach the platform.
+        """
         self._now = max(self._now, now)
         for run in tuple(self._running.values()):
             self._advance_run(run, now)
@@ -264,7 +273,7 @@
         self._under_way.append((now, run, self._report(run)))
 
     def _answer(self, run: _Run, now: float) -> RunReport:
-        """What the platform says when asked about one attempt: it asks the worker, if it can."""
+        """Return the latest report of an attempt, fetched from its worker if that is reachable."""
         if not self._is_unreachable(run):
             self._publish(run, self._report(run), now)
         return self._aged(run)
--- a/fireflyfork_standins/_switches.py
+++ b/fireflyfork_standins/_switches.py
@@ -1,4 +1,4 @@
-"""Failure switches that a test or an operator's curl sets on a stand-in over HTTP."""
+"""Failure switches of the stand-ins, which tests and operators set over HTTP."""
 
 from __future__ import annotations
 
@@ -14,36 +14,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Switches:
-    """What a stand-in does wrong at present."""
+    """Failures that a stand-in currently simulates."""
 
     down: bool = False
-    """Answer 503 before anything takes effect."""
+    """Answer every request with status 503 and change nothing."""
     slow_seconds: float = 0.0
-    """Wait this long before each answer."""
+    """Delay before each request is served, in seconds."""
     lose_answers: int = 0
-    """Let so many changes take effect and reset the connection instead of answering."""
+    """Number of further changes that take effect but whose connection is reset without an answer."""
     silent: bool = False
-    """Keep connections open and never answer."""
+    """Keep connections open but never answer."""
     paused: bool = False
-    """Take no request until switched back, as a stopped process would."""
+    """Process no request until the switch is off again, like a stopped process."""
 
 
 class SwitchedHandler(HttpHandler):
-    """A handler with failure switches at ``PUT /switches``."""
+    """A base class for handlers with failure switches at ``PUT /switches``."""
 
     def __init__(self) -> None:
-        """All switches off."""
+        """Create a handler with all switches off."""
         self.switches = Switches()
         self._changed = trio.Event()
 
     def switch(self, switches: Switches) -> None:
-        """Set all switches."""
+        """Replace all switches."""
         self.switches = switches
         self._changed.set()
         self._changed = trio.Event()
 
     async def handle(self, exchange: Exchange) -> None:
-        """Set switches, or misbehave as they say around ``serve``."""
+        """Set the switches, or pass the request to ``serve`` with the failures that are set."""
         if exchange.head.target == "/switches":
             await self._set(exchange)
             return
@@ -58,11 +58,14 @@
         await self.serve(exchange)
 
     async def serve(self, exchange: Exchange) -> None:
-        """Answer one ordinary request."""
+        """Answer one request for a path other than ``/switches``."""
         raise NotImplementedError
 
     def loses_this_answer(self) -> bool:
-        """Whether the answer to a change that took effect is to be lost; counts it if so."""
+        """Return whether to drop the answer to a change that took effect.
+
+        Decrements ``lose_answers`` if so.
+        """
         if not self.switches.lose_answers:
             return False
         self.switches = replace(self.switches, lose_answers=self.switches.lose_answers - 1)
--- a/fireflyfork_standins/demo.py
+++ b/fireflyfork_standins/demo.py
@@ -1,6 +1,6 @@
-"""The demo's callers: ``python -m fireflyfork_standins.demo FOLDER``.
+"""Callers of the demo: ``python -m fireflyfork_standins.demo FOLDER``.
 
-Books rooms through all entries, submits a batch of confirmation letters, and prints what happened.
+Books rooms through all entries, submits a batch of confirmation letters, and prints the results.
 """
 
 from __future__ import annotations
@@ -28,17 +28,17 @@
 
 
 class Demo:
-    """What the demo counts."""
+    """Runs the demo and counts its outcomes."""
 
     def __init__(self) -> None:
-        """Nothing yet."""
+        """Create a demo with all bookings still to be made."""
         self._outcomes: Counter[str] = Counter()
         self._latency = HdrHistogram(1, 60_000_000, 3)
         self._left = BOOKINGS
         self._traces: list[str] = []
 
     async def run(self) -> None:
-        """The whole demo."""
+        """Wait for all processes, run bookings and batch concurrently, and print the results."""
         with trio.fail_after(READY_SECONDS):
             for entry in ENTRIES:
                 await _wait_ready(Address("127.0.0.1", entry[3] + 2))
@@ -126,7 +126,7 @@
 
 
 def main() -> None:
-    """Run the demo and say where its traces are."""
+    """Run the demo and print where its traces are."""
     trio.run(Demo().run)
     print(f"traces: {Path(sys.argv[1]) / 'traces'}/entry-*.jsonl, a span per line and hop")
 
--- a/fireflyfork_standins/demo_settings.py
+++ b/fireflyfork_standins/demo_settings.py
@@ -1,4 +1,4 @@
-"""Writes the settings files of the demo: ``python -m fireflyfork_standins.demo_settings FOLDER``."""
+"""Settings files of the demo: ``python -m fireflyfork_standins.demo_settings FOLDER``."""
 
 from __future__ import annotations
 
@@ -16,19 +16,21 @@
     ("labasa-1", "vanua", "labasa", 9031),
     ("labasa-2", "vanua", "labasa", 9041),
 )
-"""Name, region, failure domain and first port: callers, then peers, then operators."""
+"""Name, region, failure domain and first port of each entry. Three consecutive ports are used: for
+callers, peers and operators."""
 
 PLANNERS = (("suva-1", "viti", "suva", 9051), ("nadi-1", "viti", "nadi", 9052))
 
 RACKS = (("viti", "suva", 9101), ("viti", "nadi", 9111), ("vanua", "labasa", 9121))
-"""Region, failure domain and first executor port; eight executors, each on a worker, to a rack."""
+"""Region, failure domain and first executor port of each rack. A rack has eight workers with one
+executor each."""
 
 EXECUTORS_PER_RACK = 8
 GIB = 1 << 30
 
 
 def entry_settings(name: str, region: str, failure_domain: str, port: int) -> dict[str, object]:
-    """The settings of one entry."""
+    """Return the settings of one entry."""
     return {
         "name": f"entry-{name}",
         "region": region,
@@ -44,7 +46,7 @@
 
 
 def planner_settings(name: str, region: str, failure_domain: str, port: int) -> dict[str, object]:
-    """The settings of one planner."""
+    """Return the settings of one planner."""
     return {
         "name": f"planner-{name}",
         "region": region,
@@ -59,7 +61,7 @@
 
 
 def executor_settings() -> dict[str, object]:
-    """The settings of the process that stands in for all executors."""
+    """Return the settings of the process that stands in for all executors."""
     ports = (first + i for _, _, first in RACKS for i in range(EXECUTORS_PER_RACK))
     return {
         "addresses": [f"127.0.0.1:{port}" for port in ports],
@@ -69,7 +71,7 @@
 
 
 def platform_settings() -> dict[str, object]:
-    """The settings of the stand-in for the worker platform."""
+    """Return the settings of the stand-in for the worker platform."""
     groups = [
         {
             "rack": f"{failure_domain}-rack",
@@ -84,7 +86,7 @@
 
 
 def main() -> None:
-    """Write all files into the folder named on the command line."""
+    """Write all settings files into the folder given on the command line."""
     folder = Path(sys.argv[1])
     files = {
         "executors": executor_settings(),
--- a/fireflyfork_standins/executor.py
+++ b/fireflyfork_standins/executor.py
@@ -1,7 +1,7 @@
 """A stand-in for a service's executors: ``python -m fireflyfork_standins.executor SETTINGS``.
 
-One process serves many executors, each at its own port. Each keeps a history of what it ran, at
-``GET /history``, and counts how far its slots and connections were ever exceeded.
+One process serves many executors, each at its own port. ``GET /history`` returns the requests that
+an executor ran, its slots, and the maximum number of requests that it ran at the same time.
 """
 
 from __future__ import annotations
@@ -26,19 +26,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ExecutorSettings:
-    """Settings of the process."""
+    """The settings file of the process."""
 
     addresses: tuple[str, ...]
-    """IP number and port of each executor."""
+    """IP address and port of each executor."""
     slots: int
     run_seconds: float
-    """Mean time of a request; single ones vary evenly between half and one and a half of it."""
+    """Mean duration of a request. Durations are distributed uniformly between 0.5 and 1.5 times the
+    mean."""
     seed: int = 1
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One request that an executor ran."""
+    """One request that an executor received and ran."""
 
     request_id: str
     key: str
@@ -50,10 +51,10 @@
 
 
 class ExecutorHandler(SwitchedHandler):
-    """One executor."""
+    """The HTTP handler of one executor."""
 
     def __init__(self, slots: int, run_seconds: float, random: Random) -> None:
-        """``run_seconds`` is the mean time of a request."""
+        """Create an idle executor; ``run_seconds`` is the mean duration of a request."""
         super().__init__()
         self._slots = slots
         self._run_seconds = run_seconds
@@ -64,16 +65,16 @@
 
     @property
     def most_busy(self) -> int:
-        """The most requests that ever ran at a time."""
+        """The maximum number of requests that ran at the same time."""
         return self._most_busy
 
     @property
     def history(self) -> tuple[Run, ...]:
-        """All that ran, in order."""
+        """All requests, in the order of their starts."""
         return tuple(self._history)
 
     async def serve(self, exchange: Exchange) -> None:
-        """Run one request, or tell the history."""
+        """Run one request, or return the history."""
         if exchange.head.target == "/history":
             counts = {"slots": self._slots, "most_busy": self._most_busy, "runs": self._history}
             await exchange.answer_json(200, counts)
@@ -106,7 +107,7 @@
 
 
 async def run_executors(settings: ExecutorSettings) -> None:
-    """Serve all executors until a signal."""
+    """Serve all executors until SIGTERM or SIGINT."""
     random = Random(settings.seed)
     servers: list[HttpServer] = []
     async with trio.open_nursery() as nursery:
@@ -122,7 +123,7 @@
 
 
 def main() -> None:
-    """Run the stand-in."""
+    """Run the stand-in with the settings file given on the command line."""
     trio.run(run_executors, load_settings_or_exit(Path(sys.argv[1]), ExecutorSettings))
 
 
--- a/fireflyfork_standins/instances.py
+++ b/fireflyfork_standins/instances.py
@@ -1,7 +1,7 @@
 """A stand-in for the platform's instance list: ``python -m fireflyfork_standins.instances IP:PORT``.
 
-``GET /v1/instances?after=CURSOR&wait=SECONDS`` reads changes; ``PUT /v1/instances/ID`` with a body
-of ``live``, ``leaving`` or ``gone`` makes one, which readers see after the lag.
+``GET /v1/instances?after=CURSOR&wait=SECONDS`` reads changes. ``PUT /v1/instances/ID`` with the body
+``live``, ``leaving`` or ``gone`` makes a change, which readers see after a lag.
 """
 
 from __future__ import annotations
@@ -27,20 +27,20 @@
 
 
 class InstancesHandler(SwitchedHandler):
-    """The whole list."""
+    """Serves the instance list over HTTP."""
 
     def __init__(self, lag_seconds: float = 1.0) -> None:
-        """Changes become visible ``lag_seconds`` after they were made."""
+        """Create an empty list whose changes become visible ``lag_seconds`` after they are made."""
         super().__init__()
         self._lag = lag_seconds
         self._changes: list[tuple[float, InstanceChange]] = []
 
     def change(self, target_id: TargetId, state: InstanceState) -> None:
-        """Make a change."""
+        """Set the state of an instance."""
         self._changes.append((trio.current_time() + self._lag, InstanceChange(target_id, state)))
 
     async def serve(self, exchange: Exchange) -> None:
-        """Answer one call."""
+        """Answer a request that reads or makes changes."""
         parts = urlsplit(exchange.head.target)
         if exchange.head.method == "PUT" and parts.path.startswith(f"{_PATH}/"):
             await self._put(exchange, TargetId(unquote(parts.path[len(_PATH) + 1 :])))
@@ -72,7 +72,7 @@
 
 
 def main() -> None:
-    """Run the stand-in."""
+    """Run the stand-in at the address given on the command line."""
     trio.run(serve_until_stopped, InstancesHandler(), Address.parse(sys.argv[1]))
 
 
--- a/fireflyfork_standins/platform.py
+++ b/fireflyfork_standins/platform.py
@@ -1,8 +1,8 @@
 """A stand-in for the worker platform: ``python -m fireflyfork_standins.platform SETTINGS``.
 
-It runs tasks by letting time pass, under leases, and keeps a history of what ran where. The
-failure switches of every stand-in are at ``PUT /switches``, its own at ``PUT /faults``, and the
-history at ``GET /history``.
+It simulates workers that run tasks under leases, and records a history of all attempts. The failure
+switches that all stand-ins have are set at ``PUT /switches``, the faults of the workers at
+``PUT /faults``. ``GET /history`` returns the history.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerGroup:
-    """Equal workers in one rack."""
+    """A number of workers of the same capacity in one rack."""
 
     region: str
     failure_domain: str
@@ -47,18 +47,18 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformSettings:
-    """The settings file, in JSON with comments."""
+    """The settings file, which is JSON with comments."""
 
     listen: str
-    """IP number and port."""
+    """IP address and port."""
     groups: tuple[WorkerGroup, ...]
     report_interval_seconds: float = 1.0
-    """How often the usage of a running attempt is reported."""
+    """Time between two usage reports of a running attempt."""
     report_lag_seconds: float = 0.5
-    """How old a report is when it can first be read."""
+    """Age of a report when it can first be read."""
 
     def workers(self) -> Iterator[Worker]:
-        """The workers of all groups."""
+        """Yield the workers of all groups."""
         for group in self.groups:
             for index in range(group.count):
                 yield msgspec.convert(
@@ -74,22 +74,22 @@
 
 
 class PlatformHandler(SwitchedHandler):
-    """The platform's calls over HTTP."""
+    """Serves the platform's calls over HTTP."""
 
     def __init__(self, workers: SimulatedWorkers, report_interval_seconds: float) -> None:
-        """Serve ``workers``."""
+        """Serve ``workers``. Long polls check for new reports four times per report interval."""
         super().__init__()
         self._workers = workers
         self._report_interval_seconds = report_interval_seconds
 
     async def let_time_pass(self) -> None:
-        """Move the workers' clock on, for ever."""
+        """Advance the workers to the current time four times per report interval, until cancelled."""
         while True:
             self._workers.advance(trio.current_time())
             await trio.sleep(self._report_interval_seconds / 4)
 
     async def serve(self, exchange: Exchange) -> None:
-        """Answer one call."""
+        """Advance the workers to the current time and answer one call."""
         self._workers.advance(trio.current_time())
         parts = urlsplit(exchange.head.target)
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
@@ -148,7 +148,7 @@
 
 
 async def run(settings: PlatformSettings) -> None:
-    """Serve until a signal."""
+    """Serve until SIGTERM or SIGINT."""
     workers = SimulatedWorkers(
         tuple(settings.workers()), settings.report_interval_seconds, settings.report_lag_seconds
     )
@@ -160,7 +160,7 @@
 
 
 def main() -> None:
-    """Run the stand-in."""
+    """Run the stand-in with the settings file given on the command line."""
     raw = jsonc.loads(Path(sys.argv[1]).read_text("utf-8"))
     trio.run(run, msgspec.convert(raw, PlatformSettings))
 
--- a/fireflyfork_standins/store.py
+++ b/fireflyfork_standins/store.py
@@ -1,7 +1,8 @@
 """A stand-in for the platform's store, in memory: ``python -m fireflyfork_standins.store IP:PORT``.
 
-``/v1/keys/KEY`` takes GET, PUT and DELETE with entity tags; ``GET /v1/keys?prefix=`` lists;
-``GET /v1/keys/KEY?after=REVISION&wait=SECONDS`` waits for a change; ``GET /statistics`` counts.
+``/v1/keys/KEY`` accepts GET, PUT and DELETE with entity tags. ``GET /v1/keys?prefix=PREFIX`` lists
+keys, ``GET /v1/keys/KEY?after=REVISION&wait=SECONDS`` waits for a change, and ``GET /statistics``
+returns the number of calls of each kind.
 """
 
 from __future__ import annotations
@@ -22,10 +23,10 @@
 
 
 class StoreHandler(SwitchedHandler):
-    """The whole store."""
+    """Stores values in memory and serves them over HTTP."""
 
     def __init__(self) -> None:
-        """An empty store."""
+        """Create an empty store at revision 0."""
         super().__init__()
         self._values: dict[str, StoredValue] = {}
         self._revision = 0
@@ -34,11 +35,11 @@
 
     @property
     def counts(self) -> Counter[str]:
-        """Calls by kind, as the platform would bill them."""
+        """Number of calls by kind, as the platform would bill them."""
         return self._counts
 
     async def serve(self, exchange: Exchange) -> None:
-        """Answer one call."""
+        """Answer a call to the store or a request for its statistics."""
         parts = urlsplit(exchange.head.target)
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
         if parts.path == "/statistics":
@@ -118,7 +119,7 @@
 
 
 def main() -> None:
-    """Run the stand-in."""
+    """Run the stand-in at the address given on the command line."""
     trio.run(serve_until_stopped, StoreHandler(), Address.parse(sys.argv[1]))
 
 
