--- a/fireflyfork_standins/scheduling/__init__.py
+++ b/fireflyfork_standins/scheduling/__init__.py
@@ -1,4 +1,4 @@
-"""The users' platform in one process: store, executors, callers, and trouble, on a virtual clock."""
+"""A simulation of the users' platform: store, executors, callers and failures on a virtual clock."""
 
 from ._executor_calls import StandInExecutorCalls
 from ._executors import ExecutorTrouble, StandInExecutor
--- a/fireflyfork_standins/scheduling/__main__.py
+++ b/fireflyfork_standins/scheduling/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m fireflyfork_standins.scheduling``: plays days of the platform and reports on them."""
+"""``python -m fireflyfork_standins.scheduling``: simulates days of the platform and reports on them."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
     waves: int = 0,
     logs: bool = False,
 ) -> None:
-    """Play days on a virtual clock, the scheduler's real code in one process.
+    """Simulate days on a virtual clock, with the scheduler's real code in one process.
 
-    :param seed: of the first day; each further day takes the next one
-    :param days: how many
-    :param seconds: of traffic a day
-    :param instances: of the scheduler
-    :param executors: of the platform
-    :param jobs_per_second: that callers hand in
-    :param troubles: kinds that may come, at any moment and together
-    :param all_troubles: every kind may come
-    :param waves: of upkeep, each of all machines
-    :param logs: also print what the instances log
+    :param seed: seed of the first day; each further day uses the next integer
+    :param days: number of days
+    :param seconds: duration of the traffic of a day, in seconds
+    :param instances: number of instances of the scheduler
+    :param executors: number of executors of the platform
+    :param jobs_per_second: rate at which callers submit jobs
+    :param troubles: kinds of trouble that may occur, at any time and concurrently
+    :param all_troubles: allow every kind of trouble
+    :param waves: number of waves of upkeep, each of all machines
+    :param logs: also print the logs of the instances
     """
     kinds = UPKEEP_TROUBLES if waves else TROUBLES
     unknown = sorted(set(troubles) - set(kinds))
--- a/fireflyfork_standins/scheduling/_configuration_sources.py
+++ b/fireflyfork_standins/scheduling/_configuration_sources.py
@@ -1,4 +1,4 @@
-"""How an instance of the stand-in comes by the configuration."""
+"""Sources from which a simulated instance gets its configuration."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 
 
 class ConfigurationSource(ABC):
-    """What one life of an instance knows of the configuration."""
+    """The configuration as one process of an instance has received it."""
 
     @property
     @abstractmethod
     def table(self) -> QueueTable | None:
-        """The queues in force; None before the first configuration."""
+        """The queues in force, or None before the first configuration was received."""
 
     @abstractmethod
     async def run(self) -> None:
@@ -38,21 +38,22 @@
 
     @abstractmethod
     async def wait_known(self) -> None:
-        """Wait for the first one."""
+        """Wait until the first configuration was received."""
 
 
 MakeSource = Callable[
     [CoordinationStore, Clock, Changed, Announcements, Awake], ConfigurationSource
 ]
-"""For each life anew: the instance's store client, its clock, what hears of newer versions, what instances
-announce, and what waits until the instance isn't frozen."""
+"""Creates the source for one process of an instance. The arguments are its store client, its clock, a
+listener for newer versions, the announcements of the instances, and a function that waits while the
+instance is frozen."""
 
 
 class FixedConfiguration(ConfigurationSource):
-    """Nothing changes."""
+    """A configuration that never changes."""
 
     def __init__(self, table: QueueTable) -> None:
-        """Known from the beginning."""
+        """Use ``table`` from the start."""
         self._table = table
 
     @property
@@ -68,7 +69,7 @@
 
 
 class _GatedAnswers(ReplicaSource):
-    """Answers of an instance that may be frozen."""
+    """Answers replica questions, but waits while the instance is frozen."""
 
     def __init__(self, inner: ReplicaSource, awake: Awake) -> None:
         self._inner = inner
@@ -82,7 +83,7 @@
 
 
 class ReplicatedConfiguration(ConfigurationSource):
-    """Each instance follows the operator's keys, and tells others of them."""
+    """Follows the operator's keys in the store and answers replica questions of other instances."""
 
     def __init__(
         self,
@@ -95,7 +96,11 @@
         network: ReplicaNetwork,
         awake: Awake,
     ) -> None:
-        """A change has to be in force within ``bound_seconds``."""
+        """Prepare to follow the configuration.
+
+        A change must be in force within ``bound_seconds``. ``on_change`` is called with each newer
+        table, and ``wait_awake`` waits while the instance is frozen.
+        """
         self._node = node
         self._network = network
         self._awake = awake
--- a/fireflyfork_standins/scheduling/_executor_calls.py
+++ b/fireflyfork_standins/scheduling/_executor_calls.py
@@ -1,4 +1,4 @@
-"""The platform's executors as one instance reaches them: latency, cuts, lost and late answers."""
+"""Calls to simulated executors, with latency, network partitions, and lost or late answers."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class StandInExecutorCalls(ExecutorCalls):
-    """All executors as one instance reaches them."""
+    """The calls of one instance to all executors."""
 
     def __init__(
         self,
@@ -37,13 +37,13 @@
         nursery: trio.Nursery,
         random: Random,
     ) -> None:
-        """Late orders are carried out in ``nursery``, also when the instance is gone."""
+        """Carry out delayed orders in ``nursery``, even after the instance has ended."""
         self._node = node
         self._executors = executors
         self._nursery = nursery
         self._random = random
         self._connected: dict[ExecutorId, int] = {}
-        """The incarnation that the connections to an executor lead to."""
+        """The incarnation of each executor to which the kept connections were opened."""
 
     async def start(
         self, place: ExecutorPlace, token: FencingToken, order: StartRequest
@@ -71,7 +71,7 @@
     async def poll(
         self, place: ExecutorPlace, token: FencingToken, request: PollRequest, fresh: bool = False
     ) -> PollAnswer:
-        """See ExecutorCalls. Connections here don't go silent by themselves."""
+        """See ExecutorCalls. ``fresh`` is ignored, as simulated connections never go silent."""
         executor = self._reachable(place)
         if executor is None:
             await trio.sleep(TIMEOUT_SECONDS)
@@ -102,7 +102,7 @@
 
     @staticmethod
     async def _under_way(answer: PollAnswer, seconds: float, patience: float) -> PollAnswer:
-        """An answer, if it comes before its caller gives it up."""
+        """Deliver an answer after ``seconds``, or UNKNOWN if that exceeds the caller's patience."""
         await trio.sleep(min(seconds, patience))
         return answer if seconds <= patience else PollAnswer(CallOutcome.UNKNOWN)
 
@@ -128,7 +128,11 @@
         return OrderAnswer(CallOutcome.UNKNOWN, None)
 
     async def _arrive(self, executor: StandInExecutor, place: ExecutorPlace) -> CallOutcome | None:
-        """A call comes to its executor. What becomes of one that was meant for another incarnation."""
+        """Deliver a call to its executor.
+
+        Returns None if the call may be carried out. If it was addressed to another incarnation,
+        returns the outcome that the caller sees.
+        """
         await trio.sleep(LATENCY_SECONDS)
         if executor.trouble.reborn_at_call and executor.up:
             executor.trouble.reborn_at_call = False
@@ -139,7 +143,7 @@
         if place.incarnation in (ANY_INCARNATION, executor.born) or not executor.up:
             return None
         if connected == place.incarnation:
-            # It was sent over a connection that has ended with the process at its other end.
+            # The call was sent over a connection to a process that has ended.
             await trio.sleep(TIMEOUT_SECONDS)
             return CallOutcome.UNKNOWN
         return CallOutcome.OTHER_INCARNATION
@@ -147,7 +151,7 @@
     async def _late(self, executor: StandInExecutor, carry_out: Callable[[], object]) -> None:
         life = executor.born
         await trio.sleep(self._random.uniform(*LATE_SECONDS))
-        # What was on its way to a process dies with its connections.
+        # An order in transit is lost when the connections of the executor's process end.
         if executor.up and executor.born == life:
             carry_out()
 
@@ -161,5 +165,5 @@
 
 
 def _told(missed: CallOutcome, executor: StandInExecutor) -> int | None:
-    """The incarnation that a call learns of: a connection that has ended tells nothing."""
+    """Return the incarnation that an answer reports, or None if the connection broke."""
     return executor.born if missed is CallOutcome.OTHER_INCARNATION else None
--- a/fireflyfork_standins/scheduling/_executors.py
+++ b/fireflyfork_standins/scheduling/_executors.py
@@ -1,4 +1,4 @@
-"""The platform's executors: runs under leases, fencing tokens, lists of ends, late orders."""
+"""Simulated executors, which run tasks under leases, check fencing tokens and list ended runs."""
 
 from __future__ import annotations
 
@@ -35,34 +35,34 @@
 from ._store import StandInStore
 
 NOWHERE = Address("10.0.0.1", 80)
-"""Where executors are that are called without sockets."""
+"""The registered address of executors that are called without sockets."""
 _NO_TOKEN = FencingToken(0)
 STEP_SECONDS = 0.01
 STOP_SECONDS = 0.05
 LONGEST_LEASE_SECONDS = 6.0
-"""The longest that is granted at once, unless a day says otherwise."""
+"""Default of the maximum lease that an executor accepts at once."""
 LONGEST_LIST_OF_ENDS = 500
 FAILURE_DOMAIN = FailureDomainName("suva")
-"""Where executors are, unless a day says otherwise."""
+"""Default failure domain of executors."""
 
 
 @dataclass(slots=True)
 class ExecutorTrouble:
-    """What goes wrong at one executor at present."""
+    """Failures that currently affect one executor."""
 
     unreachable_from: set[NodeName] = field(default_factory=set)
     late_share: float = 0.0
-    """This share of orders gets no answer and is carried out seconds later."""
+    """Share of orders that get no answer and are carried out seconds later."""
     lost_share: float = 0.0
-    """This share is carried out at once and not answered."""
+    """Share of orders that are carried out at once but get no answer."""
     fail_share: float = 0.0
     stands_still: bool = False
     speed: float = 1.0
-    """Of its usual one."""
+    """Speed of all runs relative to the usual speed."""
     answers_after: float = 0.0
-    """Seconds that answers to polls are under way: the link from here is full."""
+    """Delay of answers to polls in seconds, as over a saturated link."""
     reborn_at_call: bool = False
-    """The next call finds that it has just started anew; then this is over."""
+    """Restart the executor just before the next call reaches it. Reset by that call."""
 
 
 @dataclass(slots=True)
@@ -85,7 +85,7 @@
 
 @dataclass(slots=True)
 class _Life:
-    """What one incarnation knows."""
+    """The state of one incarnation of an executor, which a restart loses."""
 
     began: float
     runs: dict[tuple[TaskName, int], _Run] = field(default_factory=dict)
@@ -100,7 +100,7 @@
 
 
 class StandInExecutor:
-    """One executor through all its lives."""
+    """One executor across all its incarnations."""
 
     def __init__(
         self,
@@ -114,7 +114,7 @@
         longest_lease_seconds: float = LONGEST_LEASE_SECONDS,
         failure_domain: FailureDomainName = FAILURE_DOMAIN,
     ) -> None:
-        """Registers when ``run`` is called, at ``address``."""
+        """Create an executor that registers with ``address`` when ``run`` is called."""
         self.executor = executor
         self.trouble = ExecutorTrouble()
         self.up = True
@@ -132,26 +132,26 @@
 
     @property
     def running(self) -> tuple[TaskName, ...]:
-        """The tasks that run."""
+        """The tasks that are running."""
         return tuple(task for task, _ in self._life.runs)
 
     @property
     def born(self) -> int:
-        """When this life began, in milliseconds."""
+        """The number of this incarnation: its start time in milliseconds, plus 1."""
         return int(self._life.began * 1000) + 1
 
     @property
     def clock_ms(self) -> int:
-        """Its steady clock."""
+        """The monotonic clock of this incarnation in milliseconds, which runs up to 2% slow."""
         return int((trio.current_time() - self._life.began) * 1000 * self._rate)
 
     @property
     def lease_left_ms(self) -> int:
-        """How much longer what runs may go on if nobody renews its lease."""
+        """Time until the lease expires if it isn't renewed, in milliseconds."""
         return self._life.deadline_ms - self.clock_ms
 
     async def run(self) -> None:
-        """Work, until cancelled."""
+        """Register, then advance the runs until cancelled."""
         self._register()
         while True:
             await trio.sleep(STEP_SECONDS)
@@ -159,33 +159,33 @@
                 self._work()
 
     def crash(self) -> None:
-        """Everything that runs is gone, without a word."""
+        """End the process. All runs are lost, and nothing is reported."""
         self.up = False
         for run in self._life.runs.values():
             self._history.ended(self._id(run.task, run.attempt), EndReason.LAPSED)
         self._life.runs.clear()
 
     def begin_again(self) -> None:
-        """Start under the same id; nothing of before is known."""
+        """Start a new incarnation under the same id, without any state of the last one."""
         self.up = True
         self._begin_life()
         self._register()
 
     def unregister(self) -> None:
-        """The registration lapses, as it does while the executor can't reach the store."""
+        """Remove the registration, as when its lease expires while the store is unreachable."""
         self._store.remove(f"{REGISTRATION_PREFIX}{self.executor}")
 
     def register(self) -> None:
-        """The registration is back."""
+        """Restore the registration."""
         self._register()
 
     def drain(self) -> None:
-        """Announce that it leaves."""
+        """Register as draining."""
         self._draining = True
         self._register()
 
     def start(self, token: FencingToken, order: StartRequest) -> CallOutcome:
-        """Carry a start out."""
+        """Start a run, unless the order is fenced, stale, late or malformed."""
         refusal = self._refusal(token)
         if refusal is not None:
             return refusal
@@ -213,7 +213,7 @@
         return CallOutcome.ACCEPTED
 
     def stop(self, token: FencingToken, task: TaskName, attempt: int) -> CallOutcome:
-        """Carry a stop out."""
+        """Stop a run after ``STOP_SECONDS``, and bar this and all earlier attempts of the task."""
         refusal = self._refusal(token)
         if refusal is not None:
             return refusal
@@ -225,7 +225,7 @@
         return CallOutcome.ACCEPTED
 
     def pace(self, token: FencingToken, task: TaskName, attempt: int, percent: int) -> CallOutcome:
-        """Carry a change of pace out."""
+        """Set the pace of a run to ``percent`` of its full speed."""
         refusal = self._refusal(token)
         run = self._life.runs.get((task, attempt))
         if refusal is None and run is not None:
@@ -233,7 +233,10 @@
         return refusal or CallOutcome.ACCEPTED
 
     def renew(self, token: FencingToken, forget_to: int, until_ms: int | None) -> CallOutcome:
-        """Take a renewal of the lease in, and forget ends."""
+        """Extend the lease to ``until_ms``, unless that is None, and forget ended runs.
+
+        Ends with numbers up to ``forget_to`` are forgotten.
+        """
         refusal = self._refusal(token)
         if refusal is not None:
             return refusal
@@ -248,7 +251,7 @@
         return CallOutcome.ACCEPTED
 
     def listing(self) -> PollAnswer:
-        """What it says of itself."""
+        """Return the answer to a poll: all running and the first ``MAX_LISTED_ENDS`` ended runs."""
         for row in self._life.ends[:LONGEST_LIST_OF_ENDS]:
             self._history.listed(self._id(row.task, row.attempt), self._has_lapsed_since(row))
         running = tuple(
@@ -266,11 +269,11 @@
         )
 
     def has_end_after(self, number: int) -> bool:
-        """Whether a later run has ended."""
+        """Return whether the list of ends has one with a number above ``number``."""
         return any(row.number > number for row in self._life.ends)
 
     def _has_lapsed_since(self, row: EndedRow) -> bool:
-        """Whether the lease has run out after a run had ended."""
+        """Return whether the lease has expired since the run ended."""
         lapsed_at = self._life.lapsed_at
         return lapsed_at is not None and self._life.ended_at[row.number] < lapsed_at
 
@@ -295,7 +298,7 @@
     def _work(self) -> None:
         now = trio.current_time()
         if self.clock_ms > self._life.deadline_ms:
-            # A lease that ends with nothing running has lapsed all the same.
+            # A lease expires even if nothing is running.
             self._life.lapsed_at = now
             for run in tuple(self._life.runs.values()):
                 self._end(run, EndReason.LAPSED)
--- a/fireflyfork_standins/scheduling/_history.py
+++ b/fireflyfork_standins/scheduling/_history.py
@@ -1,4 +1,4 @@
-"""What happened at the executors, and which promises that breaks."""
+"""The history of all runs at the executors, and the promises to callers that it violates."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from fireflyfork.decisions.jobs import EndReason, JobSpec, StepSpec, TaskKey, parse_task_name
 
 STARTUP_SECONDS = 0.35
-"""A lasting task is at work so long after its start."""
+"""Time from the start of a long-running task until it is available."""
 CANCEL_SECONDS = 3.0
-"""A task may start until so long after its job's cancelling was acknowledged."""
+"""Time after the acknowledgement of a job's cancellation during which its tasks may still start."""
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A broken promise."""
+    """A promise to callers that was broken."""
 
     at: float
     promise: str
@@ -27,7 +27,8 @@
 
 @dataclass(frozen=True, slots=True)
 class RunId:
-    """One run: attempts may count anew in an executor's next life."""
+    """Identifies one run. The incarnation is part of it, as a restarted executor may run the same
+    attempt again."""
 
     task: TaskName
     attempt: int
@@ -48,25 +49,26 @@
 
 @dataclass(slots=True)
 class History:
-    """Everything that executors and callers saw."""
+    """All events that executors and callers observed, checked as they are recorded."""
 
     jobs: dict[JobId, JobSpec] = field(default_factory=dict)
     acknowledged: dict[JobId, float] = field(default_factory=dict)
     cancelling: set[JobId] = field(default_factory=set)
-    """Jobs that their callers have asked to cancel, acknowledged or not."""
+    """Jobs for which a caller has requested cancellation, acknowledged or not."""
     cancelled: dict[JobId, float] = field(default_factory=dict)
     violations: list[Violation] = field(default_factory=list)
     checks_budgets: bool = False
-    """Whether nothing but the scheduler takes lasting tasks away, so that it answers for each."""
+    """Whether to check the unavailability budgets of long-running tasks. Only valid if nothing but the
+    scheduler makes them unavailable."""
     listing_counts: bool = False
-    """Whether an end that an executor has listed is the scheduler's to know, also if the answer got lost:
-    nothing is wrong with either of them, nor with the network between them."""
+    """Whether an end counts as known to the scheduler once an executor has listed it, even if the
+    answer got lost. Valid on days on which executors, scheduler and network work correctly."""
     starts: int = 0
     ends: dict[EndReason, int] = field(default_factory=lambda: defaultdict(int))
     _runs: dict[TaskName, list[_Run]] = field(default_factory=lambda: defaultdict(list))
 
     def began(self, run: RunId) -> None:
-        """A run began. Checks the promises about starts."""
+        """Record the start of a run, and check the promises about starts."""
         now = trio.current_time()
         task = run.task
         self.starts += 1
@@ -85,7 +87,7 @@
         self._runs[task].append(_Run(run, now))
 
     def ended(self, run: RunId, reason: EndReason) -> None:
-        """A run ended, or vanished with its executor."""
+        """Record that a run ended or was lost in a crash of its executor."""
         self.ends[reason] += 1
         for known in self._runs[run.task]:
             if known.run == run and known.ended is None:
@@ -93,7 +95,7 @@
                 known.reason = reason
 
     def stopped(self, run: RunId) -> None:
-        """The scheduler ordered a run to stop. Checks how many of its step that leaves at work."""
+        """Record that the scheduler ordered a run to stop, and check the budget of its step."""
         for known in self._runs[run.task]:
             if known.run == run and known.stopped_at is None:
                 if self.checks_budgets and self._at_work(run.task):
@@ -101,7 +103,10 @@
                 known.stopped_at = trio.current_time()
 
     def noted(self, run: RunId, lapsed: bool) -> None:
-        """The scheduler let the executor forget an end; ``lapsed``: its lease ran out before."""
+        """Record that the scheduler allowed an executor to forget the end of a run.
+
+        ``lapsed`` tells whether the executor's lease expired between the end and this moment.
+        """
         for known in self._runs[run.task]:
             if known.run == run:
                 known.noted_at = trio.current_time()
@@ -109,7 +114,10 @@
                 self._check_restarts(known)
 
     def listed(self, run: RunId, lapsed: bool) -> None:
-        """An executor named an end in an answer; ``lapsed``: its lease ran out before."""
+        """Record that an executor listed the end of a run in an answer.
+
+        ``lapsed`` tells whether the executor's lease expired between the end and this moment.
+        """
         if not self.listing_counts:
             return
         for known in self._runs[run.task]:
@@ -119,11 +127,11 @@
                 self._check_restarts(known)
 
     def over_room(self, executor: ExecutorId, task: TaskName) -> None:
-        """A start brought an executor over its room."""
+        """Record that a start exceeded the room of an executor."""
         self.broken("room", f"{task} does not fit on {executor}")
 
     def done_tasks(self, job: JobId) -> set[TaskKey]:
-        """Tasks of a job that have ended well somewhere."""
+        """Return the tasks of a job that have completed on any executor."""
         return {
             parsed[1]
             for task, runs in self._runs.items()
@@ -181,5 +189,5 @@
                     self.broken("order", f"{key.name(spec.job)} begins before {name} is done")
 
     def broken(self, promise: str, what: str) -> None:
-        """A promise was broken just now."""
+        """Record a violation of ``promise`` at the current time."""
         self.violations.append(Violation(trio.current_time(), promise, what))
--- a/fireflyfork_standins/scheduling/_link_calls.py
+++ b/fireflyfork_standins/scheduling/_link_calls.py
@@ -1,4 +1,4 @@
-"""Calls across the link between two regions: kept connections, and when their callers give up."""
+"""Calls across the link between two regions, with kept connections and timeouts."""
 
 from __future__ import annotations
 
@@ -13,25 +13,26 @@
 from ._region_link import DELAY_SECONDS, Purpose, Region, RegionLink
 
 PACKET_BYTES = 60
-"""One that opens, acknowledges or resets a connection."""
+"""Size of a packet that opens, acknowledges or resets a connection."""
 _Answer = TypeVar("_Answer")
 
 
 @dataclass(frozen=True, slots=True)
 class Question(Generic[_Answer]):
-    """What is asked on the other side."""
+    """A request to the other region."""
 
     size: int
     purpose: Purpose
     serve: Callable[[], Awaitable[_Answer | None]]
-    """Carried out there when the question arrives, also for a caller that has gone; None: no answer."""
+    """Produces the answer when the request arrives, even if the caller has given up. None means that
+    no answer is sent."""
     answer_size: Callable[[_Answer], int]
     answer_purpose: Callable[[_Answer], Purpose]
 
 
 @dataclass(slots=True, eq=False)
 class _Exchange(Generic[_Answer]):
-    """One question on one connection."""
+    """One request and its answer on one connection."""
 
     question: Question[_Answer]
     arrives_at: float
@@ -42,7 +43,10 @@
 
 
 class LinkCalls:
-    """Calls of one client to one server across the link. Timeouts and connections as in HttpClient."""
+    """Calls of one client to one server across the link.
+
+    Timeouts and the reuse of connections are the same as in ``HttpClient``.
+    """
 
     def __init__(
         self,
@@ -54,7 +58,14 @@
         unacknowledged: float = UNACKNOWLEDGED_SECONDS,
         connects_patiently: bool = False,
     ) -> None:
-        """``home`` is the caller's region; ``greet`` is called on each new connection."""
+        """Create a client without connections.
+
+        ``caller_region`` is the region of the client, and ``timeout`` limits the time until the
+        answer begins. ``pause`` limits the time between two parts of an answer and defaults to
+        ``timeout``. ``handshake`` is called on each new connection. A call fails if it isn't
+        acknowledged within ``unacknowledged`` seconds. If ``connects_patiently``, connecting may
+        also use the extra seconds of a call. All times are in seconds.
+        """
         self._link = link
         self._home = home
         self._timeout = timeout
@@ -66,7 +77,7 @@
         self._doubtful = False
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         self._idle = 0
 
     async def call(
@@ -76,7 +87,12 @@
         is_greeting: bool = False,
         fresh: bool = False,
     ) -> _Answer:
-        """One call; see HttpClient. Raises HttpError, ConnectError."""
+        """Send a request and return its answer, see ``HttpClient``.
+
+        ``extra_seconds`` are added to the timeout, ``is_handshake`` skips the handshake on a new
+        connection, and ``fresh`` requires a new connection. Raises HttpError, or ConnectError if no
+        connection can be opened.
+        """
         fresh = fresh or self._doubtful
         connected = False
         limit = trio.current_time() + self._timeout + extra_seconds
@@ -102,7 +118,11 @@
     async def exchange(
         self, question: Question[_Answer], received: Callable[[], None] = lambda: None
     ) -> _Answer:
-        """One question and its answer on a connection. Raises HttpError."""
+        """Send a request over an open connection and return its answer.
+
+        ``received`` is called for each part of the answer that arrives. Raises HttpError if the
+        request isn't acknowledged in time.
+        """
         sent_at = trio.current_time()
         arrives_at = self._link.send(self._home.other, question.size, question.purpose)
         exchange = _Exchange(question, arrives_at, received)
@@ -131,7 +151,7 @@
             await self._greet(self)
 
     async def _serve(self, exchange: _Exchange[_Answer]) -> None:
-        """What the other side does."""
+        """Serve the request in the other region and send the answer back."""
         question = exchange.question
         with exchange.served:
             await trio.sleep_until(exchange.arrives_at)
@@ -144,7 +164,7 @@
             exchange.done.set()
 
     async def _reset(self, exchange: _Exchange[_Answer]) -> None:
-        """The caller has closed the connection; the other side goes on until it hears of that."""
+        """Close the connection; the server continues until the reset packet arrives."""
         exchange.received = lambda: None
         await self._link.carry(self._home.other, PACKET_BYTES, Purpose.OTHER)
         exchange.served.cancel()
--- a/fireflyfork_standins/scheduling/_linked_executors.py
+++ b/fireflyfork_standins/scheduling/_linked_executors.py
@@ -1,4 +1,4 @@
-"""Executors on both sides of the link as one instance reaches them."""
+"""Calls of one instance to executors in both regions."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from ._region_link import Purpose, Region, RegionLink
 
 POLL_BYTES = 300
-"""Of a question or an answer, without its rows."""
+"""Size of a poll request, and of its answer without rows."""
 ROW_BYTES = 60
 ORDER_BYTES = 500
 ORDER_ANSWER_BYTES = 150
@@ -35,7 +35,10 @@
 
 
 class LinkedExecutorCalls(ExecutorCalls):
-    """Calls to executors; those across the link give up as the client of the platform's executors does."""
+    """Calls to executors in both regions.
+
+    Calls across the link have the same timeouts as the client of the platform's executors.
+    """
 
     def __init__(
         self,
@@ -44,7 +47,10 @@
         home: Region,
         regions: Mapping[ExecutorId, Region],
     ) -> None:
-        """``inner`` reaches an executor from next to it; ``home`` is the instance's region."""
+        """Prepare calls from an instance in ``caller_region``.
+
+        ``inner`` calls executors without a link, and ``regions`` is the region of each executor.
+        """
         self._inner = inner
         self._link = link
         self._home = home
@@ -137,7 +143,7 @@
         )
 
     async def _greet(self, place: ExecutorPlace, token: FencingToken, calls: LinkCalls) -> None:
-        """Ask on a new connection which incarnation it leads to."""
+        """Check on a new connection that it leads to the expected incarnation."""
         if place.incarnation == ANY_INCARNATION:
             return
         request = PollRequest(0, None, 0.0, CALL_TIMEOUT_SECONDS)
@@ -166,8 +172,8 @@
 
 
 class _NotGreetedError(HttpError):
-    """A new connection leads to another incarnation, or its executor refuses this caller."""
+    """A new connection leads to another incarnation, or the executor refuses the caller."""
 
     def __init__(self, answer: PollAnswer) -> None:
-        super().__init__(f"greeted: {answer.outcome.value}")
+        super().__init__(f"handshake refused: {answer.outcome.value}")
         self.answer = answer
--- a/fireflyfork_standins/scheduling/_linked_store.py
+++ b/fireflyfork_standins/scheduling/_linked_store.py
@@ -1,4 +1,4 @@
-"""The platform's store as an instance in the other region reaches it."""
+"""A client of the platform's store for instances in the other region."""
 
 from __future__ import annotations
 
@@ -29,38 +29,41 @@
 from ._region_link import Purpose, Region, RegionLink
 
 CALL_BYTES = 250
-"""Of a question or an answer, without what it holds."""
+"""Size of a request or an answer without its items."""
 ITEM_BYTES = 150
-"""Of an item, without its value."""
+"""Size of an item without its value."""
 
 _Found = TypeVar("_Found")
 
 
 @dataclass(frozen=True, slots=True)
 class _Answered(Generic[_Found]):
-    """What the store answered, which may be that it won't."""
+    """An answer of the store: a value or an error."""
 
     found: _Found | None = None
     error: StoreError | None = None
 
 
 def carried_bytes(value: bytes) -> int:
-    """What a value takes on the wire."""
+    """Return the size of an item with this value on the wire, where values are base64."""
     return -(-len(value) // 3) * 4 + ITEM_BYTES
 
 
 class LinkedStoreClient(CoordinationStore):
-    """One instance's calls across the link; gives up as the client of the platform's store does."""
+    """The calls of one instance to the store across the link.
+
+    Timeouts and retries are the same as in the client of the platform's store.
+    """
 
     def __init__(self, inner: CoordinationStore, link: RegionLink, home: Region) -> None:
-        """``inner`` is the store as it is reached from next to it."""
+        """Prepare calls from ``caller_region``; ``inner`` is a client without a link."""
         self._inner = inner
         self._link = link
         self._home = home
         self.begin_life()
 
     def begin_life(self) -> None:
-        """A new process: no connection, and no failure yet."""
+        """Reset to the state of a new process, without connections or counted failures."""
         self._calls = LinkCalls(self._link, self._home, CALL_TIMEOUT_SECONDS, ANSWER_PAUSE_SECONDS)
         self._failures = 0
 
@@ -76,7 +79,7 @@
         )
 
     async def list(self, prefix: str) -> StoreListing:
-        """See CoordinationStore. A listing is one page."""
+        """See CoordinationStore. The whole listing is simulated as a single page."""
         for _ in range(PAGE_TRIES - 1):
             try:
                 return await self._list(prefix)
--- a/fireflyfork_standins/scheduling/_machines.py
+++ b/fireflyfork_standins/scheduling/_machines.py
@@ -1,4 +1,4 @@
-"""The platform's service that lists machines and takes them down for upkeep."""
+"""A simulation of the platform's service that lists machines and takes them down for upkeep."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 @dataclass(slots=True)
 class MachinesTrouble:
-    """What goes wrong with orders at present."""
+    """Failures that currently affect orders."""
 
     lost_share: float = 0.0
-    """This share is carried out and not answered."""
+    """Share of orders that are carried out but get no answer."""
     late_share: float = 0.0
-    """This share gets no answer and is carried out seconds later."""
+    """Share of orders that get no answer and are carried out seconds later."""
 
 
 @dataclass(slots=True)
@@ -37,18 +37,18 @@
     state: MachineState = MachineState.UP
     token: int = 0
     waves: set[int] = field(default_factory=set)
-    """Those that it has had its upkeep for."""
+    """Numbers of the waves for which the machine has begun its upkeep."""
     down_for: int = 0
-    """The wave that it is down for now."""
+    """Number of the wave of the latest upkeep; 0 before the first."""
 
 
 def machine_of(executor: ExecutorId) -> MachineId:
-    """The machine that an executor is a life of."""
+    """Return the machine on which an executor runs."""
     return MachineId(f"m-{executor}")
 
 
 class StandInMachines:
-    """All machines of one service."""
+    """All machines of one service, each with one executor."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         history: History,
         random: Random,
     ) -> None:
-        """All up; ``history`` hears of limits that are broken."""
+        """Create machines that are all up. Violations of upkeep limits are recorded in ``history``."""
         self.trouble = MachinesTrouble()
         self.waves: list[UpkeepWave] = []
         self._service = service
@@ -66,15 +66,18 @@
         self._random = random
 
     def client(self, nursery: trio.Nursery) -> MachineCalls:
-        """Calls of one instance; late orders and upkeeps go on in ``nursery`` when it is gone."""
+        """Return a client for one instance.
+
+        Late orders and upkeeps run in ``nursery``, even after the instance has ended.
+        """
         return _Client(self, nursery)
 
     def begun(self, wave: UpkeepWave) -> bool:
-        """Whether all machines of a wave have begun their upkeep."""
+        """Return whether all machines of a wave have begun their upkeep."""
         return all(wave.number in self._machines[name].waves for name in wave.machines)
 
     def listing(self) -> tuple[MachineListing, ...]:
-        """What the service says of its machines."""
+        """Return the state of all machines, with the executors of those that are up."""
         return tuple(
             MachineListing(
                 name,
@@ -88,7 +91,10 @@
     def order(
         self, name: MachineId, wave: int, token: FencingToken, nursery: trio.Nursery
     ) -> UpkeepOutcome:
-        """Carry an order out."""
+        """Begin the upkeep of a machine, unless the order is fenced, unknown or the machine is busy.
+
+        Records a violation if too many machines of the wave are down or the machine still runs tasks.
+        """
         machine = self._machines.get(name)
         known = next((one for one in self.waves if one.number == wave), None)
         if machine is None:
@@ -126,11 +132,11 @@
         machine.executor.begin_again()
 
     def draws(self, share: float) -> bool:
-        """Whether this order meets trouble."""
+        """Draw whether a failure with this probability happens to an order."""
         return share > 0 and self._random.random() < share
 
     async def later(self, carry_out: Callable[[], object]) -> None:
-        """Carry an order out that got no answer."""
+        """Carry out an order after a delay drawn from ``LATE_DELAY_SECONDS``."""
         await trio.sleep(self._random.uniform(*LATE_SECONDS))
         carry_out()
 
--- a/fireflyfork_standins/scheduling/_nodes.py
+++ b/fireflyfork_standins/scheduling/_nodes.py
@@ -1,4 +1,4 @@
-"""Instances of the scheduler in one process, which can be killed, frozen and started again."""
+"""Simulated instances of the scheduler, which can be killed, frozen and restarted."""
 
 from __future__ import annotations
 
@@ -55,14 +55,15 @@
 from ._store import StandInStore
 
 UPTIME_SECONDS = 12_000.0
-"""Instances have been up for hours when executors start, whose clocks begin at 0 with each of them."""
+"""Reading of the instances' monotonic clock at the start. Instances have been up for hours when the
+executors start, whose clocks begin at 0."""
 PROCESSORS = 1.0
-"""What each instance is granted."""
+"""Number of processors granted to each instance."""
 UNIX_MS_AT_START = 1_700_000_000_000
 
 
 class VirtualClock(Clock):
-    """The clocks of all instances, which agree."""
+    """The clock of all instances, without any skew between them."""
 
     def now(self) -> float:
         """See Clock."""
@@ -74,7 +75,7 @@
 
 
 class _GatedStore(CoordinationStore):
-    """A store client whose instance may be frozen: calls go out and answers come in after it wakes."""
+    """A store client that delays calls and answers while its instance is frozen."""
 
     def __init__(self, inner: CoordinationStore, node: StandInNode) -> None:
         self._inner = inner
@@ -131,7 +132,7 @@
 
 
 class _GatedCalls(ExecutorCalls):
-    """Calls to executors of an instance that may be frozen."""
+    """Calls to executors, delayed while the calling instance is frozen."""
 
     def __init__(self, inner: ExecutorCalls, node: StandInNode) -> None:
         self._inner = inner
@@ -179,7 +180,7 @@
 
 
 class _GatedMachines(MachineCalls):
-    """Calls about machines of an instance that may be frozen."""
+    """Calls about machines, delayed while the calling instance is frozen."""
 
     def __init__(self, inner: MachineCalls, node: StandInNode) -> None:
         self._inner = inner
@@ -201,7 +202,7 @@
 
 
 class StandInNode:
-    """One instance."""
+    """One instance of the scheduler, across restarts of its process."""
 
     def __init__(
         self,
@@ -216,7 +217,11 @@
         link_mbps: float,
         site: Site | None = None,
     ) -> None:
-        """Not started; without a site there is one region, and ``queues`` never change."""
+        """Create an instance whose process isn't started.
+
+        Without a site there is one region, and ``queues`` never change. With a site the instance
+        reads its queues from the store.
+        """
         self.name = name
         self._link_mbps = link_mbps
         self._service = service
@@ -238,31 +243,34 @@
 
     @property
     def up(self) -> bool:
-        """Whether its process runs."""
+        """Whether the process of the instance is running."""
         return self._life is not None
 
     @property
     def serves(self) -> bool:
-        """Whether its process runs and knows a configuration."""
+        """Whether the process is running and has received a configuration."""
         return self.up and self._source.table is not None
 
     @property
     def owns(self) -> bool:
-        """Whether it takes itself for the owner."""
+        """Whether the instance considers itself the owner of the service."""
         return self._candidate is not None and self._candidate.owner is not None
 
     @property
     def decides(self) -> bool:
-        """Whether it owns the service and has read what it needs."""
+        """Whether the instance owns the service and has finished its recovery from the store."""
         owner = self._candidate.owner if self._candidate is not None else None
         return owner is not None and owner.ready
 
     async def awake(self) -> None:
-        """Wait until it is not frozen."""
+        """Wait until the instance isn't frozen."""
         await self._awake.wait()
 
     async def live(self, nursery: trio.Nursery) -> None:
-        """One life of its process; late orders outlive it in ``nursery``."""
+        """Run one process of the instance until it is killed or stopped.
+
+        Late orders to executors and machines continue in ``nursery`` afterwards.
+        """
         if isinstance(self._reached_store, LinkedStoreClient):
             self._reached_store.begin_life()
         announcements = Announcements(
@@ -308,23 +316,23 @@
         self._candidate = None
 
     def kill(self) -> None:
-        """End its process at once."""
+        """End the process at once."""
         self.thaw()
         if self._life is not None:
             self._life.cancel()
 
     async def stop(self) -> None:
-        """A planned stop."""
+        """Stop the process gracefully."""
         if self._candidate is not None:
             await self._candidate.stop()
 
     def freeze(self) -> None:
-        """Let it stand still."""
+        """Hold back all calls and answers of the instance until ``thaw`` is called."""
         if self._awake.is_set():
             self._awake = trio.Event()
 
     def thaw(self) -> None:
-        """Let it go on."""
+        """Release the calls and answers that ``freeze`` holds back."""
         self._awake.set()
 
     def _make_source(self, announcements: Announcements) -> ConfigurationSource:
--- a/fireflyfork_standins/scheduling/_region_link.py
+++ b/fireflyfork_standins/scheduling/_region_link.py
@@ -1,4 +1,4 @@
-"""The one link between two regions, which everything that crosses it shares."""
+"""The link between two regions, whose bandwidth all traffic between them shares."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 import trio
 
 DELAY_SECONDS = 0.02
-"""One way."""
+"""Propagation delay in one direction."""
 SEGMENT_BYTES = 16_384
 WINDOW_BYTES = 262_144
-"""What one connection may have under way. Many answers share the link by turns of so much, so that each
-pauses once it has begun."""
+"""Maximum number of unacknowledged bytes of a connection. Concurrent answers take turns on the link,
+one window each, so each of them pauses after its first window."""
 
 
 class Region(Enum):
     """The two regions."""
 
     NEAR = "near"
-    """Where the store is."""
+    """The region of the store."""
     FAR = "far"
 
     @property
     def other(self) -> Region:
-        """The one on the other side of the link."""
+        """The region at the other end of the link."""
         return Region.FAR if self is Region.NEAR else Region.NEAR
 
 
 class Purpose(Enum):
-    """What bytes on the link are for."""
+    """Kind of traffic on the link."""
 
     CONFIGURATION = "configuration"
     POLLS = "polls"
@@ -39,10 +39,10 @@
 
 
 class RegionLink:
-    """A link of limited bandwidth each way. What is sent first arrives first; nothing is lost."""
+    """A link with limited bandwidth in each direction, which delivers in order and without loss."""
 
     def __init__(self, mbps: float) -> None:
-        """Idle."""
+        """Create an idle link with a bandwidth of ``mbps`` Mbit/s in each direction."""
         self._bytes_per_second = mbps * 1e6 / 8
         self._free_at = dict.fromkeys(Region, 0.0)
         self._crossed: Counter[Purpose] = Counter()
@@ -50,11 +50,11 @@
 
     @property
     def crossed(self) -> dict[Purpose, int]:
-        """Bytes sent so far in both directions."""
+        """Number of bytes sent so far by kind of traffic, both directions together."""
         return dict(self._crossed)
 
     async def run(self) -> None:
-        """Let what is under way outlive its sender, until cancelled."""
+        """Run the tasks of ``run_in_background`` until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             try:
@@ -63,25 +63,28 @@
                 self._nursery = None
 
     def go_on(self, task: Callable[[], Awaitable[None]]) -> None:
-        """Run a task of whoever is at the other end."""
+        """Run a task of the remote end, which continues if the caller ends."""
         if self._nursery is not None:
             self._nursery.start_soon(task)
 
     def send(self, towards: Region, size: int, purpose: Purpose) -> float:
-        """Put so many bytes on the link. Their time of arrival."""
+        """Queue ``size`` bytes on the link and return the time at which the last one arrives."""
         begins = max(trio.current_time(), self._free_at[towards])
         self._free_at[towards] = begins + size / self._bytes_per_second
         self._crossed[purpose] += size
         return self._free_at[towards] + DELAY_SECONDS
 
     async def carry(self, towards: Region, size: int, purpose: Purpose) -> None:
-        """Send, and wait for the arrival."""
+        """Send ``size`` bytes and wait for their arrival."""
         await trio.sleep_until(self.send(towards, size, purpose))
 
     async def stream(
         self, towards: Region, size: int, purpose: Purpose, received: Callable[[], None]
     ) -> None:
-        """Send something large, a window at a time; ``received`` is called with each part of it."""
+        """Send ``size`` bytes with at most one window in flight, and wait for their arrival.
+
+        ``received`` is called for each segment that arrives.
+        """
         under_way: deque[float] = deque()
         left = size
         while left or under_way:
--- a/fireflyfork_standins/scheduling/_regions.py
+++ b/fireflyfork_standins/scheduling/_regions.py
@@ -1,4 +1,4 @@
-"""A day with two regions: where instances and executors are, and what the operator does there."""
+"""Days with two regions: the placement of instances and executors, and configuration changes."""
 
 from __future__ import annotations
 
@@ -32,43 +32,45 @@
 INSTANCE_PREFIX = "n-"
 REPLICA = Address("10.0.0.1", 81)
 CALL_BYTES = 100
-"""Of what frames a question or an answer between instances."""
+"""Size of the framing of a question or an answer between instances."""
 HOSTS = 4
-"""Of added routes."""
+"""Number of different hosts of the added routes."""
 PATH_BYTES = 130
-"""Of an added route; a route takes some 280 bytes in all."""
+"""Length of the path of an added route. A whole route takes some 280 bytes."""
 
 
 @dataclass(frozen=True, slots=True)
 class RouteChange:
-    """The operator adds or removes routes."""
+    """A change of the configuration in which the operator adds or removes routes."""
 
     at: float
-    """Seconds from the start of traffic."""
+    """Time from the start of the traffic, in seconds."""
     added: int
-    """Below 0: that many are removed."""
+    """Number of added routes; if negative, number of removed routes."""
 
 
 @dataclass(frozen=True, slots=True)
 class RegionProfile:
-    """The regions of a day."""
+    """The settings of a day with two regions."""
 
     link_mbps: float = 8.0
-    """The share of each far instance, when all read at once, is that of a large deployment."""
+    """Bandwidth of the link in Mbit/s. The share of each far instance, when all of them read at once,
+    is that of a large deployment."""
     far_instances: int = 6
-    """The last ones; the others are near the store."""
+    """Number of instances in the far region, counted from the last; the others are near the store."""
     far_domains: int = 2
-    """Failure domains of the far region, which its instances and executors fill by turns."""
+    """Number of failure domains of the far region, to which its instances and executors are assigned
+    round-robin."""
     far_executors: int = 3
-    """The last ones."""
+    """Number of executors in the far region, counted from the last."""
     first_added: int = 0
-    """Added routes of the version that precedes the traffic."""
+    """Number of added routes in the version that is written before the traffic starts."""
     changes: tuple[RouteChange, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Site:
-    """Where an instance is, and how it reaches what is elsewhere."""
+    """The location of an instance, and its access to the store, executors and configuration."""
 
     region: Region
     failure_domain: FailureDomainName
@@ -76,24 +78,24 @@
     executor_regions: Mapping[ExecutorId, Region]
     make_source: MakeSource
     replica: Address
-    """Where an instance here announces that it answers for its replica."""
+    """The address that an instance announces for its replica of the configuration."""
 
     def store(self, near: CoordinationStore) -> CoordinationStore:
-        """The store as it is reached from here; ``near``: from next to it."""
+        """Return a store client for this region; ``local_store`` is one without a link."""
         if self.region is Region.NEAR:
             return near
         return LinkedStoreClient(near, self.link, self.region)
 
     def calls(self, beside: ExecutorCalls) -> ExecutorCalls:
-        """Executors as they are reached from here; ``beside``: each from next to it."""
+        """Return the executor calls of this region; ``local_calls`` are calls without a link."""
         return LinkedExecutorCalls(beside, self.link, self.region, self.executor_regions)
 
 
 class RegionMap:
-    """Where everything of a day is."""
+    """Assigns the instances and executors of a day to regions and failure domains."""
 
     def __init__(self, profile: RegionProfile | None, instances: int, executors: int) -> None:
-        """Without a profile everything is in one place."""
+        """Create the map. Without a profile there is one region with one failure domain."""
         self._profile = profile
         self._instances = instances
         self._executors = executors
@@ -101,17 +103,20 @@
         self._replicas = ReplicaNetwork(carry=self._carry)
 
     def executor_domain(self, number: int) -> FailureDomainName:
-        """Where an executor is."""
+        """Return the failure domain of an executor."""
         if self._profile is None:
             return NEAR_DOMAIN
         return self._domain(number, self._executors - self._profile.far_executors)
 
     def operator(self, store: StandInStore, service: ServiceName) -> Operator | None:
-        """Who changes the configuration, if it changes."""
+        """Return the operator that writes the configuration, or None if it never changes."""
         return Operator(store, service, self._profile) if self._profile else None
 
     def site(self, number: int, bound_seconds: float) -> Site | None:
-        """Where an instance is; a change has to be in force within ``bound_seconds``."""
+        """Return the site of an instance, or None if there is one region.
+
+        A change of the configuration must be in force within ``bound_seconds``.
+        """
         if self._profile is None or self.link is None:
             return None
         domain = self._domain(number, self._instances - self._profile.far_instances)
@@ -141,7 +146,7 @@
         return Site(_region(domain), domain, self.link, regions, make_source, REPLICA)
 
     async def _carry(self, sender: NodeName, receiver: NodeName, size: int) -> None:
-        """Between instances of one region bytes take no time."""
+        """Transfer bytes between instances, which takes no time within a region."""
         towards = self._region_of(receiver)
         if self.link is None or self._region_of(sender) is towards:
             await trio.lowlevel.checkpoint()
@@ -160,7 +165,7 @@
 
 
 def instance_name(number: int) -> NodeName:
-    """The name of an instance."""
+    """Return the name of an instance."""
     return NodeName(f"{INSTANCE_PREFIX}{number}")
 
 
@@ -169,7 +174,7 @@
 
 
 def encode_configuration(version: int, service: ServiceName, added: int) -> bytes:
-    """A configuration with the queue of the day's jobs and so many more routes."""
+    """Encode a configuration with the queue of the day's jobs and ``added`` further routes."""
     own = _route("q", "h", "/q/", service)
     more = (
         _route(
@@ -185,24 +190,24 @@
 
 
 class Operator:
-    """Writes each version of the configuration whole."""
+    """Writes each version of the configuration as a whole."""
 
     def __init__(self, store: StandInStore, service: ServiceName, profile: RegionProfile) -> None:
-        """The first version is written by ``begin``."""
+        """Prepare the changes of ``profile``; ``begin`` writes the first version."""
         self._store = store
         self._service = service
         self._changes = profile.changes
         self._version = 0
         self._added = profile.first_added
         self.carried_bytes = 0
-        """What all versions take when each crosses a link once."""
+        """Number of bytes that all versions take if each crosses a link once."""
 
     def begin(self) -> None:
-        """Write the version that precedes the traffic."""
+        """Write the first version, before the traffic starts."""
         self._write()
 
     async def run(self) -> None:
-        """Make all changes."""
+        """Write all changes at their times."""
         begun = trio.current_time()
         for change in self._changes:
             await trio.sleep_until(begun + change.at)
--- a/fireflyfork_standins/scheduling/_repeatable.py
+++ b/fireflyfork_standins/scheduling/_repeatable.py
@@ -1,4 +1,4 @@
-"""Plays on a virtual clock that go the same way each time."""
+"""Deterministic runs of trio programs on a virtual clock."""
 
 from __future__ import annotations
 
@@ -12,8 +12,9 @@
 
 
 def run_repeatably(seed: int, play: Callable[[], Awaitable[_Result]]) -> _Result:
-    """Run a play on a virtual clock. The same seed gives the same order of events."""
-    # Trio shuffles the tasks that may run; without its own switch for that, a seed would not repeat.
+    """Run ``play`` on a virtual clock. The same seed gives the same order of events."""
+    # Trio shuffles the runnable tasks, so a seed alone doesn't make a run repeatable. This private
+    # switch of trio sorts them before the shuffle.
     trio_run = vars(trio._core._run)
     trio_run["_ALLOW_DETERMINISTIC_SCHEDULING"] = True
     trio_run["_r"].seed(seed)
--- a/fireflyfork_standins/scheduling/_replicas.py
+++ b/fireflyfork_standins/scheduling/_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas of other instances without sockets: their answers can be late, and instances gone or frozen."""
+"""Replicas of other instances without sockets, with late answers and instances that end or freeze."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from fireflyfork.adapters._replica_messages import Ask, ItemEncoder
 
 Carry = Callable[[NodeName, NodeName, int], Awaitable[None]]
-"""Takes so many bytes from one instance to another."""
+"""Transfers a number of bytes from the first instance to the second."""
 
 
 async def _at_once(_sender: NodeName, _receiver: NodeName, _size: int) -> None:
@@ -33,16 +33,16 @@
 
 @dataclass(slots=True)
 class ReplicaNetwork:
-    """All instances that answer for a replica."""
+    """All instances that answer questions from their replicas."""
 
     sources: dict[NodeName, ReplicaSource] = field(default_factory=dict)
     frozen: set[NodeName] = field(default_factory=set)
-    """These accept connections and answer nothing."""
+    """Instances that accept connections but answer nothing."""
     carry: Carry = _at_once
 
 
 class StandInReplicaPeers(ReplicaPeers):
-    """The replicas of other instances as one instance reaches them."""
+    """Connections of one instance to the replicas of others."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         network: ReplicaNetwork,
         awake: Callable[[], Awaitable[None]] = trio.lowlevel.checkpoint,
     ) -> None:
-        """``node`` asks; ``awake`` waits until it isn't frozen."""
+        """Connect from ``node``; ``wait_awake`` waits while ``node`` is frozen."""
         self._node = node
         self._network = network
         self._awake = awake
@@ -79,7 +79,7 @@
         self._encoder = ItemEncoder()
 
     async def ask(self, question: ReplicaQuestion, patience: float = inf) -> ReplicaAnswer:
-        """See ReplicaPeer. An answer that goes on coming may take longer than silence is borne."""
+        """See ReplicaPeer. Once an answer arrives, its transfer may exceed the limit of silence."""
         carry = self._network.carry
         await carry(self._node, self._other, _size(Ask.of(question)))
         silent_at = trio.current_time() + min(SILENT_SECONDS, patience)
@@ -88,7 +88,7 @@
             answer = await self._source.answer(question)
         if scope.cancelled_caught:
             raise PeerError(f"{self._other} is silent")
-        # What was asked before the other one went isn't answered either.
+        # The other instance may have ended or been frozen while it answered.
         await self._fail_if_gone(silent_at)
         update = self._encoder.update(answer)
         await carry(self._other, self._node, _size(update))
--- a/fireflyfork_standins/scheduling/_store.py
+++ b/fireflyfork_standins/scheduling/_store.py
@@ -1,4 +1,4 @@
-"""The platform's store in memory, with the ways in which it fails."""
+"""An in-memory simulation of the platform's store with injected failures."""
 
 from __future__ import annotations
 
@@ -30,29 +30,29 @@
 LATENCY_SECONDS = 0.004
 TIMEOUT_SECONDS = 0.9
 LATE_SECONDS = (0.5, 4.0)
-"""When a change whose answer was lost takes effect, if it does so late."""
+"""Range of the delay with which a change takes effect that was lost and applied late."""
 PAGE_ITEMS = 100
 LINK_MBPS = 1000.0
-"""The link of an instance that is not a thin one."""
+"""Default bandwidth between an instance and the store, in Mbit/s."""
 
 
 @dataclass(slots=True)
 class StoreTrouble:
-    """What goes wrong at present."""
+    """Failures that currently affect calls to the store."""
 
     refused: set[NodeName] = field(default_factory=set)
-    """These nodes are turned away, and nothing of theirs is done."""
+    """Instances whose calls are refused without any effect."""
     silent: set[NodeName] = field(default_factory=set)
-    """These get no answer, and nothing of theirs is done."""
+    """Instances whose calls get no answer and have no effect."""
     silent_watches: set[tuple[NodeName, str]] = field(default_factory=set)
-    """Questions of a node for changes under a prefix get no answer; its other calls do."""
+    """Pairs of an instance and a key prefix whose watches get no answer. Other calls are answered."""
     down: bool = False
-    """Nobody gets an answer."""
+    """No call gets an answer."""
     slow_factor: float = 1.0
     lost_share: float = 0.0
-    """This share of changes is made and not answered."""
+    """Share of transactions that get no answer."""
     late_share: float = 0.0
-    """Of those, this share is made seconds later."""
+    """Share of the transactions without an answer that are applied seconds later instead of at once."""
 
 
 @dataclass(slots=True)
@@ -63,10 +63,10 @@
 
 
 class StandInStore:
-    """What all clients share."""
+    """The state of the store, which all clients share."""
 
     def __init__(self, random: Random) -> None:
-        """Empty, at revision 1."""
+        """Create an empty store at revision 1."""
         self.trouble = StoreTrouble()
         self.calls = 0
         self._random = random
@@ -80,7 +80,7 @@
         self._nursery: trio.Nursery | None = None
 
     async def run(self) -> None:
-        """End leases and carry out late changes, until cancelled."""
+        """Expire leases and apply late transactions until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             while True:
@@ -88,45 +88,48 @@
                 self._end_leases()
 
     def client(self, node: NodeName, link_mbps: float = LINK_MBPS) -> StandInStoreClient:
-        """The store as one instance reaches it, over a link of so many Mbit/s."""
+        """Return the client of an instance whose link has ``link_mbps`` Mbit/s."""
         return StandInStoreClient(self, node, link_mbps)
 
     def drop_history(self) -> None:
-        """Forget all changes so far."""
+        """Drop all changes so far, so that watches after an earlier revision fail."""
         self._history.clear()
         self._oldest = self._revision
         self._notify()
 
     def revoke(self, key: str) -> None:
-        """Take a key away though its lease lives on."""
+        """Remove a key although its lease hasn't ended."""
         if key in self._items:
             self.apply({}, (), (key,))
 
     def put(self, key: str, value: bytes) -> None:
-        """Write as the operator or an executor, whatever the trouble."""
+        """Write a key as the operator or an executor does, unaffected by failures."""
         self.apply({}, (Put(key, value),), ())
 
     def remove(self, key: str) -> None:
-        """Remove as an executor."""
+        """Remove a key as an executor does."""
         self.revoke(key)
 
     def get(self, key: str) -> StoredItem | None:
-        """The item, for checks."""
+        """Return the item of a key, or None."""
         return self._items.get(key)
 
     def under(self, prefix: str) -> tuple[StoredItem, ...]:
-        """All items whose keys start with ``prefix``, sorted."""
+        """Return all items whose keys start with ``prefix``, sorted by key."""
         return tuple(self._items[key] for key in sorted(self._items) if key.startswith(prefix))
 
     @property
     def revision(self) -> Revision:
-        """The number of the last change."""
+        """The revision of the last transaction."""
         return Revision(self._revision)
 
     def changes_after(self, prefix: str, after: Revision) -> tuple[StoreChange, ...]:
-        """Changes under a prefix. Raises StoreHistoryLostError."""
+        """Return the changes under a prefix after a revision.
+
+        Raises StoreHistoryLostError if some of them were dropped.
+        """
         if after < self._oldest:
-            raise StoreHistoryLostError(f"nothing is known before {self._oldest}")
+            raise StoreHistoryLostError(f"changes before revision {self._oldest} were dropped")
         return tuple(
             change
             for change in self._history
@@ -136,7 +139,11 @@
     def apply(
         self, expected: dict[str, Revision], puts: tuple[Put, ...], removals: tuple[str, ...]
     ) -> Revision:
-        """One transaction. Raises TransactionConflictError, LeaseEndedError."""
+        """Apply a transaction and return its revision.
+
+        Raises TransactionConflictError if a key has another revision than expected, LeaseEndedError
+        if a lease of a put has ended.
+        """
         present = {key: self._items[key].revision for key in expected if key in self._items}
         if any(present.get(key, 0) != revision for key, revision in expected.items()):
             raise TransactionConflictError(
@@ -165,7 +172,7 @@
         return revision
 
     def _attach(self, key: str, lease: LeaseId | None) -> None:
-        """A key goes with the lease that it was last written under, and with no earlier one."""
+        """Attach a key to the lease of its last write, and detach it from any earlier one."""
         before = self._lease_of.pop(key, None)
         if before is not None:
             self._leases[before].keys.discard(key)
@@ -174,13 +181,13 @@
             self._leases[lease].keys.add(key)
 
     def grant(self, seconds: float) -> LeaseId:
-        """A new lease."""
+        """Grant a lease of ``seconds`` and return its id."""
         lease = LeaseId(len(self._leases) + 1000)
         self._leases[lease] = _Lease(trio.current_time() + seconds, seconds)
         return lease
 
     def keep(self, lease: LeaseId) -> None:
-        """Renew. Raises LeaseEndedError."""
+        """Renew a lease. Raises LeaseEndedError."""
         known = self._leases.get(lease)
         if known is None or known.until < trio.current_time():
             raise LeaseEndedError(f"no lease {lease}")
@@ -200,7 +207,7 @@
     def later(
         self, expected: dict[str, Revision], puts: tuple[Put, ...], gone: tuple[str, ...]
     ) -> None:
-        """Carry a transaction out in some seconds, if its condition still holds then."""
+        """Apply a transaction some seconds later, if its conditions still hold then."""
         if self._nursery is not None:
             self._nursery.start_soon(self._apply_late, expected, puts, gone)
 
@@ -212,7 +219,7 @@
             self.apply(expected, puts, gone)
 
     def draws(self, share: float) -> bool:
-        """Whether something that happens to this share happens now."""
+        """Draw whether a failure with this probability happens."""
         return share > 0 and self._random.random() < share
 
     def _end_leases(self) -> None:
@@ -230,10 +237,10 @@
 
 
 class StandInStoreClient(CoordinationStore):
-    """One instance's calls."""
+    """The calls of one instance to the store."""
 
     def __init__(self, store: StandInStore, node: NodeName, link_mbps: float) -> None:
-        """See StandInStore.client."""
+        """Create the client of ``node``, see ``StandInStore.client``."""
         self._store = store
         self._node = node
         self._link_mbps = link_mbps
@@ -251,7 +258,7 @@
         return self._store.get(key)
 
     async def list(self, prefix: str) -> StoreListing:
-        """See CoordinationStore. Pages are not a snapshot."""
+        """See CoordinationStore. The pages of a listing are read at different revisions."""
         await self._reach()
         as_of = self._store.revision
         items: list[StoredItem] = []
@@ -291,7 +298,7 @@
             if self._store.draws(trouble.late_share):
                 self._store.later(expected, puts, removals)
             else:
-                # What became of it is what nobody hears.
+                # The caller gets no answer, so it doesn't learn whether the transaction failed.
                 with suppress(TransactionConflictError, LeaseEndedError):
                     self._store.apply(expected, puts, removals)
             await trio.sleep(TIMEOUT_SECONDS)
@@ -314,7 +321,10 @@
         self._store.end(lease)
 
     async def _transfer(self, sizes: Iterable[int]) -> None:
-        """Take as long as these values take on the link; the answer keeps coming all the while."""
+        """Wait for as long as the transfer of values of these sizes takes on the link.
+
+        There is no timeout, as parts of the answer arrive all the time.
+        """
         await trio.sleep(sum(sizes) * 8 / (self._link_mbps * 1e6))
 
     async def _reach(self) -> None:
@@ -329,6 +339,6 @@
     def _fail_if_unreachable(self) -> None:
         trouble = self._store.trouble
         if self._node in trouble.refused:
-            raise StoreRefusedError("turned away")
+            raise StoreRefusedError("the store refuses calls of this instance")
         if trouble.down or self._node in trouble.silent:
-            raise StoreUnavailableError("the connection broke")
+            raise StoreUnavailableError("connection lost")
--- a/fireflyfork_standins/scheduling/_troubles.py
+++ b/fireflyfork_standins/scheduling/_troubles.py
@@ -1,4 +1,4 @@
-"""The kinds of trouble that a day of the platform may have."""
+"""Kinds of trouble that can occur on a simulated day."""
 
 from __future__ import annotations
 
@@ -32,14 +32,15 @@
     "executor_stalls",
     "unregistered",
 )
-"""The kinds of trouble; each is a method of ``Troubles`` of the same name."""
+"""Kinds of trouble. Each is the name of a method of ``Troubles`` without its leading underscore."""
 UPKEEP_TROUBLES = (*TROUBLES, "upkeep_lost")
-"""Those of days with waves of upkeep. Kept apart: a seed draws its kinds by their places in the tuple,
-and seeds that once showed a fault have to play the same day for ever."""
+"""Kinds of trouble of days with waves of upkeep. They are a separate tuple because a seed draws kinds
+by their index, and seeds that once revealed a fault must always play the same day."""
 ALL_TROUBLES = (*UPKEEP_TROUBLES, "executor_slow", "graceful_stop")
-"""All there were before executors that start anew in series."""
+"""All kinds of trouble except those that were added with ``INCARNATION_TROUBLES``."""
 INCARNATION_TROUBLES = ("executor_flaps", "executor_reborn_cut", "executor_cut", "unregistered")
-"""Executors that start anew under their ids, in series and just before they are cut off."""
+"""Kinds of trouble in which executors restart under their ids, repeatedly or just before a network
+partition."""
 RESTART_SECONDS = 0.7
 FLAPS = 4
 FLAP_SECONDS = (0.3, 1.4)
@@ -50,7 +51,7 @@
 
 
 class Troubles:
-    """Draws kinds of trouble and lets them happen, at any moment and together."""
+    """Injects kinds of trouble, which may overlap, at random or planned times."""
 
     def __init__(
         self,
@@ -64,11 +65,11 @@
         seconds: float,
         gap_seconds: float,
     ) -> None:
-        """For so many seconds, one each ``gap_seconds`` on average."""
+        """Prepare to draw from ``kinds`` for ``seconds``, every ``gap_seconds`` on average."""
         self.log: list[str] = []
-        """When which came."""
+        """Time and kind of each trouble that was injected."""
         self.longest_hand_over = 0.0
-        """From the planned stop of an owner, in seconds, until another one decides."""
+        """Maximum time from the planned stop of an owner until another owner is active, in seconds."""
         self._service = service
         self._nodes = nodes
         self._executors = executors
@@ -80,7 +81,10 @@
         self._gap_seconds = gap_seconds
 
     async def run(self, nursery: trio.Nursery) -> None:
-        """Let trouble come until the day's traffic ends; what it starts goes on in ``nursery``."""
+        """Inject random trouble until the day's traffic ends.
+
+        The tasks that it starts continue in ``nursery``.
+        """
         end = trio.current_time() + self._seconds
         while trio.current_time() < end:
             await trio.sleep(self._random.expovariate(1 / self._gap_seconds))
@@ -89,7 +93,7 @@
             nursery.start_soon(getattr(self, f"_{kind}"), nursery)
 
     async def happen(self, planned: tuple[tuple[float, str], ...], nursery: trio.Nursery) -> None:
-        """Let each kind come at its time, in seconds from now."""
+        """Inject each planned kind at its time, given in seconds from now."""
         begun = trio.current_time()
         for at, kind in planned:
             await trio.sleep_until(begun + at)
@@ -97,7 +101,7 @@
             nursery.start_soon(getattr(self, f"_{kind}"), nursery)
 
     def _some_node(self) -> StandInNode:
-        """The owner, mostly: most can go wrong there."""
+        """Draw an instance. The owner is preferred because trouble there has the most effects."""
         owners = [node for node in self._nodes if node.owns]
         if owners and self._random.random() < 0.7:
             return owners[0]
@@ -157,7 +161,7 @@
         while not any(node.decides for node in others):
             await trio.sleep(0.01)
             if not any(node.up for node in others):
-                # All instances are being restarted; nobody is there to take over.
+                # All instances are being restarted, so none can take over.
                 begun = trio.current_time()
         self.longest_hand_over = max(self.longest_hand_over, trio.current_time() - begun)
 
@@ -202,7 +206,7 @@
             executor.begin_again()
 
     async def _executor_flaps(self, _: trio.Nursery) -> None:
-        """Down and up by turns."""
+        """Crash and restart one executor repeatedly."""
         executor = self._some_executor()
         for _turn in range(FLAPS):
             if executor.up:
@@ -213,7 +217,7 @@
             await trio.sleep(self._random.uniform(*FLAP_SECONDS))
 
     async def _executor_reborn_cut(self, _: trio.Nursery) -> None:
-        """Begins anew while a call is on its way to it, and is cut off from all instances right after."""
+        """Restart an executor while a call is in transit, then cut it off from all instances."""
         executor = self._some_executor()
         executor.trouble.reborn_at_call = True
         with trio.move_on_after(CALL_WAIT_SECONDS):
@@ -227,7 +231,7 @@
         executor.trouble.unreachable_from -= cut
 
     async def _answers_late(self, _: trio.Nursery) -> None:
-        """The link from some executors is full: what they answer is seconds under way."""
+        """Delay the answers of some executors by seconds, as over a saturated link."""
         for executor in self._executors.values():
             if self._random.random() < LATE_ANSWERS_SHARE:
                 executor.trouble.answers_after = self._random.uniform(*LATE_ANSWER_SECONDS)
--- a/fireflyfork_standins/scheduling/_wire_callers.py
+++ b/fireflyfork_standins/scheduling/_wire_callers.py
@@ -1,4 +1,4 @@
-"""Callers of the scheduler over HTTP: they hand jobs in, try again, and ask how they are."""
+"""Callers of the scheduler over HTTP, which submit jobs with retries and poll their states."""
 
 from __future__ import annotations
 
@@ -24,22 +24,23 @@
 
 
 class WireCallers:
-    """All callers of one play."""
+    """All callers of one simulation."""
 
     def __init__(self, fronts: tuple[Address, ...], history: History, random: Random) -> None:
-        """Call any of ``fronts``; ``history`` hears of each job before it is handed in."""
+        """Call the scheduler at ``instances``. Each job is added to ``history`` before submission."""
         self.tries: Counter[str] = Counter()
-        """Status or error of every try to hand a job in."""
+        """Number of submission attempts by HTTP status or error."""
         self.states: Counter[str] = Counter()
-        """How jobs ended, as callers were told."""
+        """Number of jobs by the final state that was reported to their callers."""
         self.seconds = HdrHistogram(1, 600_000, 3)
-        """From handing in to the word that it is over, in milliseconds."""
+        """Time from the first submission attempt of a job until its caller reads a final state, in
+        milliseconds."""
         self._fronts = fronts
         self._history = history
         self._random = random
 
     async def run(self, jobs: int, per_second: float) -> None:
-        """Hand in so many jobs and follow each to its end."""
+        """Submit ``jobs`` jobs at a mean rate of ``per_second``, and wait until all have ended."""
         async with trio.open_nursery() as nursery:
             for number in range(1, jobs + 1):
                 nursery.start_soon(self._caller, JobId(f"{number:016x}"))
@@ -81,12 +82,12 @@
         return str(msgspec.json.decode(body)["state"]) if status == 200 else ""
 
     async def _answered(self, method: str, name: JobId, body: bytes) -> tuple[int, bytes]:
-        """Status and body of one try at any instance; 0 when there was no answer."""
+        """Send a request to a random instance. Return status and body, status 0 without an answer."""
         client = HttpClient(self._random.choice(self._fronts), CALL_SECONDS)
         try:
             head, answer = await client.call(method, f"{QUEUE_PREFIX}{name}", (_HOST,), body)
         except HttpError:
-            # An instance may be down: like the callers that it stands for, this one tries another.
+            # An instance may be down. Like a real caller, this one retries with another instance.
             return 0, b""
         finally:
             client.close()
--- a/fireflyfork_standins/scheduling/_wire_executor.py
+++ b/fireflyfork_standins/scheduling/_wire_executor.py
@@ -1,4 +1,4 @@
-"""An executor as it is spoken to over HTTP."""
+"""The HTTP interface of a simulated executor."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 
 LONGEST_BODY_BYTES = 1 << 20
 PATIENCE_SECONDS = 10.0
-"""Whoever asks over a socket decides for itself how long it waits."""
+"""Limit for the delay of answers to polls. It is long, as clients over sockets have their own
+timeouts."""
 
 _REFUSALS = {
     CallOutcome.FENCED: (409, "fence"),
@@ -37,7 +38,7 @@
 
 
 class _Call(msgspec.Struct):
-    """The fields of all calls together."""
+    """The fields of all kinds of calls."""
 
     fencing_token: int = 0
     task: str = ""
@@ -51,10 +52,10 @@
 
 
 class ExecutorWire(HttpHandler):
-    """Answers the calls to one executor."""
+    """Serves the calls to one executor over HTTP."""
 
     def __init__(self, calls: ExecutorCalls, place: ExecutorPlace) -> None:
-        """Carry calls out through ``calls``, troubles and all."""
+        """Carry out calls through ``calls``, which apply the executor's current failures."""
         self._calls = calls
         self._place = place
 
--- a/fireflyfork_standins/scheduling/_wire_platform.py
+++ b/fireflyfork_standins/scheduling/_wire_platform.py
@@ -1,4 +1,4 @@
-"""The whole platform on sockets of this machine, for programs that run as processes."""
+"""The simulated platform on loopback sockets, for schedulers that run as processes."""
 
 from __future__ import annotations
 
@@ -25,37 +25,38 @@
 SERVICE = ServiceName("desk")
 QUEUE_HOST, QUEUE_PREFIX = "desk.example", "/holds/"
 EVERYBODY = NodeName("everybody")
-"""Calls over loopback don't tell which instance they are from."""
+"""Placeholder for the calling instance, as calls over loopback don't identify it."""
 
 
 @dataclass(frozen=True, slots=True)
 class WireLayout:
-    """Which ports are used."""
+    """The ports of the platform and of the scheduler's instances."""
 
     first_port: int
-    """The store's; executors follow, then five ports for each instance of the scheduler."""
+    """Port of the store. The next ports are one for each executor, then five for each instance of the
+    scheduler."""
     executors: int = 4
     instances: int = 2
 
     @property
     def store(self) -> Address:
-        """The store's address."""
+        """The address of the store."""
         return Address(HOST, self.first_port)
 
     def executor(self, number: int) -> Address:
-        """An executor's address."""
+        """Return the address of an executor."""
         return Address(HOST, self.first_port + 1 + number)
 
     def caller(self, number: int) -> Address:
-        """Where an instance of the scheduler takes callers' requests."""
+        """Return the address at which an instance of the scheduler serves callers."""
         return Address(HOST, self._base(number))
 
     def readiness(self, number: int) -> Address:
-        """Where an instance tells whether it is ready."""
+        """Return the address at which an instance reports its readiness."""
         return Address(HOST, self._base(number) + 1)
 
     def settings(self, number: int) -> str:
-        """The settings file of an instance."""
+        """Return the text of the settings file of an instance."""
         base = self._base(number)
         return "\n".join(
             (
@@ -84,10 +85,10 @@
 
 
 class WirePlatform:
-    """Store and executors, served over HTTP."""
+    """The store and the executors, served over HTTP."""
 
     def __init__(self, layout: WireLayout, random: Random) -> None:
-        """Nothing is served yet."""
+        """Create the store and the executors; ``run`` serves them."""
         self.history = History()
         self.store = StandInStore(random)
         self._layout = layout
@@ -106,7 +107,7 @@
             )
 
     async def run(self, nursery: trio.Nursery) -> None:
-        """Serve in ``nursery``; returns when all sockets listen."""
+        """Serve in ``nursery``. Returns when all sockets listen."""
         await self._serve(nursery, StoreWire(self.store, EVERYBODY), self._layout.store)
         nursery.start_soon(self.store.run)
         calls = StandInExecutorCalls(EVERYBODY, self._executors, nursery, self._random)
--- a/fireflyfork_standins/scheduling/_wire_store.py
+++ b/fireflyfork_standins/scheduling/_wire_store.py
@@ -1,4 +1,4 @@
-"""The store as it is spoken to over HTTP."""
+"""The HTTP interface of the simulated store."""
 
 from __future__ import annotations
 
@@ -45,10 +45,10 @@
 
 
 class StoreWire(HttpHandler):
-    """Answers every call of one instance, or of several that trouble treats alike."""
+    """Serves all calls to the store over HTTP."""
 
     def __init__(self, store: StandInStore, node: NodeName) -> None:
-        """Calls count as those of ``node``."""
+        """Treat all calls as calls of ``node``, so failures affect all callers alike."""
         self._store = store
         self._client = store.client(node)
 
@@ -102,7 +102,8 @@
 
     async def _page(self, query: dict[str, str]) -> dict[str, object]:
         prefix, after = query["path_prefix"], query.get("after", "")
-        # The client's own listing reads all pages; here the caller asks for them one by one.
+        # The simulated client lists all pages at once, but callers over HTTP request single pages.
+        # This read only applies the failures and the latency of a call.
         await self._client.read(prefix)
         left = [item for item in self._store.under(prefix) if item.key > after]
         page = left[:PAGE_ITEMS]
--- a/fireflyfork_standins/scheduling/_world.py
+++ b/fireflyfork_standins/scheduling/_world.py
@@ -1,4 +1,4 @@
-"""A day of the platform: instances, executors, callers and trouble, drawn from a seed."""
+"""Simulation of a day of the platform: instances, executors, callers and trouble from a seed."""
 
 from __future__ import annotations
 
@@ -42,13 +42,13 @@
 WAVE_AT_ONCE = 2
 OWNER_CHECK_SECONDS = 0.05
 SETTLE_SECONDS = 60.0
-"""After the last trouble everything that was accepted has to end within this: the longest wait for
-executors that nobody reached is 9 s, and some tasks have to run one after the other."""
+"""Limit for all accepted jobs to end after the last trouble. The longest wait for unreachable
+executors is 9 s, and some tasks have to run one after the other."""
 
 
 @dataclass(frozen=True, slots=True)
 class Profile:
-    """What a day consists of."""
+    """The settings of a day."""
 
     instances: int = 3
     executors: int = 6
@@ -56,31 +56,33 @@
     jobs_per_second: float = 2.0
     cancel_share: float = 0.08
     troubles: tuple[str, ...] = ()
-    """Which kinds of trouble may come; none: a calm day."""
+    """Kinds of trouble that may occur at random times. The day is calm if there are none."""
     trouble_gap_seconds: float = 3.0
     speculative_share: float = 0.0
-    """Of steps whose tasks may be copied."""
+    """Share of steps whose tasks may run speculatively on several executors."""
     waves: int = 0
-    """So many waves of upkeep, each of all machines, two at once."""
+    """Number of waves of upkeep, each of all machines with at most two of them down at once."""
     thin_instances: int = 0
-    """So many instances, the first ones, have thin links."""
+    """Number of instances with a slow link, counted from the first."""
     thin_link_mbps: float = 0.02
-    """Reading what thirty jobs have left in the store takes some five seconds over it."""
+    """Bandwidth of a slow link in Mbit/s. Reading the stored state of thirty jobs over it takes some
+    five seconds."""
     retention_seconds: float = 120.0
-    """For how long the state of a job must be readable after its end."""
+    """Time for which the state of a job must be readable after its end."""
     listing_counts: bool = False
-    """Whether ends count as known as soon as an executor has listed them."""
+    """Whether an end counts as known to the scheduler as soon as an executor has listed it."""
     longest_lease_seconds: float = LONGEST_LEASE_SECONDS
-    """What executors grant at once; longer ones are cut to it."""
+    """Maximum lease that executors accept at once. They cut longer ones to it."""
     regions: RegionProfile | None = None
-    """Two regions with one link between them; None: one region, whose configuration never changes."""
+    """Settings of two regions with one link between them, or None for one region with a configuration
+    that never changes."""
     planned_troubles: tuple[tuple[float, str], ...] = ()
-    """Kinds of trouble with their seconds from the start of traffic."""
+    """Times from the start of the traffic, in seconds, and the kinds of trouble to inject then."""
 
 
 @dataclass(slots=True)
 class Report:
-    """What a day showed."""
+    """The results of a day."""
 
     violations: list[Violation]
     accepted: int = 0
@@ -89,23 +91,24 @@
     starts: int = 0
     store_calls: int = 0
     longest_without_owner: float = 0.0
-    """In seconds, once there was one: nobody owned the service, or its owner was still reading."""
+    """Longest time without an active owner after the first one, in seconds. An owner isn't active
+    while it is still recovering."""
     longest_hand_over: float = 0.0
-    """From the planned stop of an owner, in seconds, until another one decided."""
+    """Maximum time from the planned stop of an owner until another owner is active, in seconds."""
     waves_over: int = 0
     keys_left: int = 0
-    """Jobs that the store still holds at the end."""
+    """Number of jobs that the store still holds at the end."""
     states: dict[JobState, int] = field(default_factory=dict)
     ends: dict[EndReason, int] = field(default_factory=dict)
     troubles: list[str] = field(default_factory=list)
     crossed: dict[Purpose, int] = field(default_factory=dict)
-    """Bytes that crossed the link between the regions, both ways."""
+    """Number of bytes on the link between the regions by kind of traffic, both directions together."""
     configuration_bytes: int = 0
-    """What all versions of the configuration take when each crosses the link once."""
+    """Number of bytes that all versions of the configuration take if each crosses the link once."""
 
 
 def run_world(seed: int, profile: Profile) -> Report:
-    """Play a day on a virtual clock. The same seed plays the same day."""
+    """Simulate a day on a virtual clock. The same seed gives the same day."""
     return run_repeatably(seed, lambda: _World(seed, profile).run())
 
 
@@ -167,7 +170,7 @@
         self._refused_only: set[JobId] = set()
 
     async def run(self) -> Report:
-        """Play the day."""
+        """Simulate the day and return its report."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._store.run)
             if self._map.link is not None:
@@ -179,7 +182,8 @@
             await trio.sleep(0.1)
             for node in self._nodes:
                 nursery.start_soon(node.live, nursery)
-            # Without regions all know it from the beginning, and a wait would change days that seeds play.
+            # Without regions all instances have a configuration from the start, and a wait would change
+            # the days of existing seeds.
             while self._operator is not None and not all(node.serves for node in self._nodes):
                 await trio.sleep(OWNER_CHECK_SECONDS)
             nursery.start_soon(self._watch_owner)
@@ -216,8 +220,6 @@
             without = 0.0 if decided else without + OWNER_CHECK_SECONDS
             self._report.longest_without_owner = max(self._report.longest_without_owner, without)
 
-    # Callers.
-
     async def _callers(self, nursery: trio.Nursery) -> None:
         end = trio.current_time() + self._profile.seconds
         number = 0
@@ -296,8 +298,6 @@
     def _draws(self, share: float) -> bool:
         return share > 0 and self._random.random() < share
 
-    # Upkeep.
-
     async def _ask_for_upkeep(self, nursery: trio.Nursery) -> None:
         for number in range(1, self._profile.waves + 1):
             await trio.sleep(3.0)
@@ -307,7 +307,7 @@
             nursery.start_soon(self._follow_wave, wave)
 
     async def _follow_wave(self, wave: UpkeepWave) -> None:
-        """Judge a wave's report as the operator reads it."""
+        """Wait for the wave's status in the store to report its end, and check that it is true."""
         key = wave_status_key(wave.number)
         while not any(reports_over(item.value) for item in self._store.under(key)):
             await trio.sleep(0.05)
@@ -315,12 +315,10 @@
         if not self._machines.begun(wave):
             self._broken("upkeep", f"wave {wave.number} is reported as over too early")
 
-    # The end of the day.
-
     async def _settle(self) -> None:
         await trio.sleep(10.0)
         if self._profile.retention_seconds < 0:
-            # Everything that ended long enough ago is removed; nothing is left to ask about.
+            # Jobs that have ended are removed from the store, so their states can't be checked.
             await trio.sleep(30.0)
             return
         end = trio.current_time() + SETTLE_SECONDS
--- a/fireflyfork_standins/scheduling/processes.py
+++ b/fireflyfork_standins/scheduling/processes.py
@@ -1,7 +1,7 @@
-"""``python -m fireflyfork_standins.scheduling.processes FOLDER``: the platform for real processes.
+"""``python -m fireflyfork_standins.scheduling.processes FOLDER``: the platform for scheduler processes.
 
 Writes a settings file for each instance of ``fireflyfork-scheduler`` into FOLDER, serves the store and
-the executors, waits for the instances, hands jobs in, and reports what callers and executors saw.
+the executors, waits for the instances, submits jobs, and prints a summary of the results.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 
 
 def play(folder: Path, *, seed: int = 1, jobs: int = 100, jobs_per_second: float = 10.0) -> None:
-    """Serve the platform and hand jobs in.
+    """Serve the platform and submit jobs.
 
-    :param folder: where the settings of the instances go
-    :param seed: of jobs and run times
-    :param jobs: how many
-    :param jobs_per_second: how fast they are handed in
+    :param folder: folder for the settings files of the instances
+    :param seed: seed of jobs and run times
+    :param jobs: number of jobs
+    :param jobs_per_second: mean rate at which jobs are submitted
     """
     layout = WireLayout(FIRST_PORT)
     for number in range(layout.instances):
@@ -55,13 +55,13 @@
 
 
 async def wait_ready(layout: WireLayout, number: int) -> None:
-    """Wait until an instance says that it is ready."""
+    """Wait until an instance reports that it is ready."""
     client = HttpClient(layout.readiness(number), 1.0)
     while True:
         try:
             head, _ = await client.call("GET", "/readyz")
         except HttpError:
-            # It is not up yet.
+            # The instance isn't running yet.
             await trio.sleep(0.05)
             continue
         if head.status == 200:
