--- a/fireflyfork_standins/scheduling/_troubles.py
+++ b/fireflyfork_standins/scheduling/_troubles.py
@@ -37,7 +37,8 @@
 """Kinds of trouble of days with waves of upkeep. They are a separate tuple because a seed draws kinds
 by their index, and seeds that once revealed a fault must always play the same day."""
 ALL_TROUBLES = (*UPKEEP_TROUBLES, "executor_slow", "graceful_stop")
-"""All kinds of trouble except those that were added with ``INCARNATION_TROUBLES``."""
+"""All kinds of trouble except ``executor_flaps``, ``executor_reborn_cut`` and ``answers_late``, which
+would change the days of existing seeds."""
 INCARNATION_TROUBLES = ("executor_flaps", "executor_reborn_cut", "executor_cut", "unregistered")
 """Kinds of trouble in which executors restart under their ids, repeatedly or just before a network
 partition."""
--- a/fireflyfork_standins/tests/__init__.py
+++ b/fireflyfork_standins/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package above."""
+"""Tests of the stand-ins and of the scheduler on the simulated platform."""
--- a/fireflyfork_standins/tests/builders_split.py
+++ b/fireflyfork_standins/tests/builders_split.py
@@ -1,4 +1,4 @@
-"""Two instances and two executors, and a network that falls apart between them."""
+"""Builders of tests with a network partition between two instances and two executors."""
 
 from __future__ import annotations
 
@@ -19,13 +19,16 @@
 NEAR_EXECUTOR, FAR_EXECUTOR = ExecutorId("i-near"), ExecutorId("i-far")
 BOUNDS = PlatformBounds(6.0, 0.2, 6.0, 120.0, 2.5)
 SETTLE_SECONDS = 2.0
-"""For the first instance to own the service, and for the second to stand for it."""
+"""Time for the first instance to become the owner, and for the second to become a candidate."""
 STARTED_SECONDS = 0.5
-"""For the job's tasks to run."""
+"""Time for the tasks of the job to start."""
 
 
 def play_split(seed: int, spec: JobSpec, split_seconds: float, after_seconds: float) -> History:
-    """A job is handed in, the network falls apart for so long, and so much time passes afterwards."""
+    """Submit a job, partition the network for ``split_seconds``, then wait ``after_seconds``.
+
+    Return the history of all runs.
+    """
 
     async def main() -> History:
         world = _World(seed)
@@ -44,9 +47,9 @@
 
 
 class _World:
-    """One side of the split holds the store, an instance and an executor; the other one the rest.
+    """Two instances and two executors, of which one each are on either side of the partition.
 
-    The owner is the instance that is cut off from the store.
+    The store is on the side of ``NEAR``. The partition cuts off the owner, ``FAR``, from it.
     """
 
     def __init__(self, seed: int) -> None:
--- a/fireflyfork_standins/tests/builders_takeovers.py
+++ b/fireflyfork_standins/tests/builders_takeovers.py
@@ -1,4 +1,4 @@
-"""A small platform on which a test decides what happens and when."""
+"""A small platform whose events are controlled by a test."""
 
 from __future__ import annotations
 
@@ -40,18 +40,20 @@
 BOUNDS = PlatformBounds(6.0, 0.2, 6.0, 120.0, 2.5)
 LINK_MBPS = 1000.0
 LOOK_SECONDS = 0.0005
-"""Far below the latency of any call, so that a test can act between two of them."""
+"""Interval between two checks of a condition. It is far below the latency of any call, so a test can
+act between two calls."""
 PATIENCE_SECONDS = 30.0
 SHORT_MS = 1_500
 LONG_MS = 12_000
-"""At the least, half of this: longer than any lease."""
+"""Estimate of a long task. The simulated duration is at least half of it, which is longer than any
+lease."""
 
 
 class Stage:
-    """Store, instances and executors."""
+    """A store, instances, and executors that the test adds."""
 
     def __init__(self, seed: int, instances: int = 2) -> None:
-        """No executor yet."""
+        """Create a platform without executors, whose instances aren't started."""
         self.history = History()
         self._random = Random(seed)
         self.store = StandInStore(self._random)
@@ -76,16 +78,16 @@
 
     @property
     def broken(self) -> list[tuple[str, str]]:
-        """The promises that were broken so far."""
+        """Promise and description of each violation so far."""
         return [(one.promise, one.what) for one in self.history.violations]
 
     @property
     def decided(self) -> bool:
-        """Whether there is an owner that has read what it needs."""
+        """Whether there is an owner that has finished its recovery."""
         return any(node.decides for node in self.nodes)
 
     async def begin(self, nursery: trio.Nursery) -> None:
-        """Set store and instances to work in ``nursery``, and wait for an owner."""
+        """Start the store and the instances in ``nursery``, and wait for an active owner."""
         self._nursery = nursery
         nursery.start_soon(self.store.run)
         for node in self.nodes:
@@ -93,13 +95,13 @@
         await self.until(lambda: self.decided)
 
     async def until(self, condition: Callable[[], bool]) -> None:
-        """Wait for something; a test in which it doesn't come fails."""
+        """Wait until ``condition`` holds, and fail after ``PATIENCE_SECONDS``."""
         with trio.fail_after(PATIENCE_SECONDS):
             while not condition():
                 await trio.sleep(LOOK_SECONDS)
 
     async def hand_in(self, job: JobId, estimate_ms: int = SHORT_MS) -> None:
-        """A job of one task is accepted."""
+        """Submit a job with one task and wait for its acceptance."""
         now_ms = UNIX_MS_AT_START + int(trio.current_time() * 1000)
         step = StepSpec(1, 1000, 1000, 0, estimate_ms)
         spec = JobSpec(job, QueueName("q"), SERVICE, "work", (step,), now_ms)
@@ -108,13 +110,13 @@
         self.history.acknowledged[job] = trio.current_time()
 
     async def until_completed(self, job: JobId) -> None:
-        """Wait for the end of a job."""
+        """Wait until a job is completed, and fail after ``PATIENCE_SECONDS``."""
         with trio.fail_after(PATIENCE_SECONDS):
             while await self.nodes[0].requests.state(job) is not JobState.COMPLETED:
                 await trio.sleep(0.1)
 
     def add_executor(self, name: str) -> StandInExecutor:
-        """An executor registers."""
+        """Start an executor, which registers."""
         assert self._nursery is not None
         executor = StandInExecutor(
             ExecutorId(name),
@@ -129,33 +131,33 @@
         return executor
 
     def vanish(self, executor: StandInExecutor) -> None:
-        """Nothing gets through to or from an executor any more; its registration has lapsed."""
+        """Remove the registration of an executor and cut it off from all instances."""
         executor.unregister()
         self.cut(executor)
 
     def cut(self, executor: StandInExecutor, *nodes: NodeName) -> None:
-        """These instances, or all, don't reach an executor any more."""
+        """Cut off an executor from ``nodes``, or from all instances if none are given."""
         executor.trouble.unreachable_from |= set(nodes or (node.name for node in self.nodes))
 
     @property
     def owner(self) -> StandInNode:
-        """The instance that owns the service."""
+        """The only active owner of the service."""
         (owner,) = (node for node in self.nodes if node.decides)
         return owner
 
     def silence_work(self, node: NodeName) -> None:
-        """An instance hears of no job any more, nor of a change of owner."""
+        """Stop answering an instance's watch of work, which reports jobs and changes of owner."""
         self.store.trouble.silent_watches.add((node, WORK_PREFIX))
 
     def connect(self, executor: StandInExecutor) -> None:
-        """All instances reach an executor again."""
+        """End the partition between an executor and all instances."""
         executor.trouble.unreachable_from.clear()
 
     def turn_up(self, executor: StandInExecutor) -> None:
-        """An executor that had vanished is back."""
+        """Reconnect an executor after ``vanish`` and restore its registration."""
         self.connect(executor)
         executor.register()
 
     def depose(self) -> None:
-        """The owner's key is taken away, so that a write of its that is on its way fails."""
+        """Remove the owner's key, so that its writes in transit fail."""
         self.store.revoke(owner_key(SERVICE))
--- a/fireflyfork_standins/tests/test_full_links.py
+++ b/fireflyfork_standins/tests/test_full_links.py
@@ -1,4 +1,4 @@
-"""Answers of executors that are seconds under way, since the link that they come over is full."""
+"""Tests with executors whose answers take seconds because a link is saturated."""
 
 import unittest
 
@@ -8,13 +8,13 @@
 
 
 class FullLinksTest(unittest.TestCase):
-    """Nothing is wrong with the executors, nor with the owner."""
+    """Executors and owner work correctly, but answers are late."""
 
     def test_a_task_whose_end_is_on_its_way_is_not_started_again(self) -> None:
-        """Something large is on its way over the link between two regions, and answers of executors on its
-        far side take seconds. Their owner breaks each poll off before its answer comes, takes them for
-        silent, lets their leases run out and starts their tasks again elsewhere, also those whose good end
-        had been listed in an answer that it didn't wait for. Their users get everything twice.
+        """A large transfer saturates the link between two regions, so answers of executors in the far
+        region take seconds. An owner that aborts each poll before its answer arrives considers the
+        executors unreachable, lets their leases expire and restarts their tasks elsewhere. This
+        includes tasks whose successful end was listed in an aborted answer, so they run twice.
         """
         for seed in range(700, 706):
             with self.subTest(seed):
--- a/fireflyfork_standins/tests/test_incarnations.py
+++ b/fireflyfork_standins/tests/test_incarnations.py
@@ -1,4 +1,5 @@
-"""Executors that start anew under their ids, while what was meant for their earlier lives is on its way."""
+"""Tests with executors that restart under their ids while calls to earlier incarnations are in
+transit."""
 
 import unittest
 
@@ -11,22 +12,23 @@
     longest_lease_seconds=10.0,
 )
 SEEDS_OF_SECOND_RUNS = (1005, 1009, 1031, 1034, 1035, 1037, 1051, 1053)
-"""Days on which a task that had ended well was started again."""
+"""Seeds of days on which a completed task was started again."""
 
 
 class IncarnationsTest(unittest.TestCase):
-    """Nothing runs twice, whichever life an order reaches."""
+    """No task runs twice, whichever incarnation an order reaches."""
 
     def test_no_task_that_ended_well_runs_again(self) -> None:
-        """An executor starts anew under its id while an order or a renewal is on its way to it, and is cut
-        off for some seconds before its owner has noticed. Its task ends well there. The owner takes the
-        task for over too early and starts it again elsewhere, and when the executor is back it lists the
-        end of the first run. The task's user gets two letters, two bookings, two certificates.
+        """An executor restarts under its id while an order or a renewal is in transit to it, and is cut
+        off for some seconds before its owner notices the restart. Its task completes there. The owner
+        considers the task's lease expired too early and starts the task again elsewhere. When the
+        executor is reachable again, it lists the end of the first run, so the task has run twice.
 
-        The order carried a deadline by the clock of the last life, far ahead of the new one's, and the new
-        life took it up to the longest lease there is, twice what the owner reckoned with. The log of such a
-        day shows the second start after "its lease lapsed", 5.25 s after the last renewal, and the executor
-        with a lease of 10 s that no order by its own clock gave it.
+        The cause was that the deadline in the order was a reading of the last incarnation's clock, far
+        ahead of the new one's. The new incarnation cut it to the maximum lease of 10 s, which is twice
+        the lease that the owner assumed. The log of such a day shows the second start after "its lease
+        lapsed", 5.25 s after the last renewal, while the executor had a lease of 10 s that no order by
+        its own clock had granted.
         """
         for seed in SEEDS_OF_SECOND_RUNS:
             with self.subTest(seed):
--- a/fireflyfork_standins/tests/test_scheduling_days.py
+++ b/fireflyfork_standins/tests/test_scheduling_days.py
@@ -1,4 +1,4 @@
-"""Whole days of the scheduler's real code on the stand-in of the platform, judged by histories."""
+"""Tests that run the scheduler's real code on simulated days and check the histories."""
 
 import unittest
 from dataclasses import replace
@@ -16,26 +16,27 @@
 )
 
 FAILED_BEFORE = (
-    # An executor's clock was taken to be hours ahead, so its tasks were given away too early.
+    # An executor's clock was assumed to be hours ahead, so its tasks were restarted too early.
     (4, ("executor_cut",)),
     (5, ("executor_cut",)),
-    # A poll still out removed the next life of an executor that had been given up.
+    # A pending poll to an executor that was considered lost removed its next incarnation.
     (2, ("executor_crash",)),
     (6, ("executor_crash",)),
     (105, ("freeze", "executor_crash")),
-    # An order that the next life of an executor had carried out was taken to have gone with the last.
+    # An order that an executor's next incarnation had carried out was considered lost with the last.
     (11, ("executor_reborn",)),
-    # The stand-in took runs of two lives for one, and carried an order out in a process that was gone.
+    # The simulation confused runs of two incarnations, and carried out an order in an ended process.
     (1139, TROUBLES),
     (1182, TROUBLES),
 )
 
 THIN_PROFILE = Profile(troubles=("kill",), trouble_gap_seconds=5.0)
 LONGEST_HAND_OVER = 0.5
-"""Seconds. Storing what is left, asking for the ownership and reading take some 0.1 s together."""
+"""Limit in seconds. Storing pending changes, bidding for the ownership and reading the state take some
+0.1 s together."""
 THIN_DAY = replace(THIN_PROFILE, instances=4, thin_instances=2, jobs_per_second=5.0)
 LONGEST_WITHOUT_OWNER = 3.0
-"""Seconds. A lease of 1.2 s has to lapse, and two changes of owner may follow each other."""
+"""Limit in seconds. A lease of 1.2 s has to expire, and two changes of owner may follow each other."""
 UPKEEP_PROFILE = Profile(waves=2, jobs_per_second=1.0)
 
 
@@ -44,7 +45,7 @@
 
 
 class DaysTest(unittest.TestCase):
-    """No promise is broken, whatever happens."""
+    """No promise to callers is broken, whatever kind of trouble occurs."""
 
     def test_a_calm_day(self) -> None:
         report = _play(1)
@@ -53,8 +54,8 @@
         self.assertGreater(report.starts, 100)
 
     def test_each_kind_of_trouble(self) -> None:
-        """Processes are killed, frozen and stopped, the store fails in its ways, and executors crash,
-        hang, vanish or answer late. Callers still get what they were promised.
+        """Processes are killed, frozen and stopped, the store fails, and executors crash, hang, become
+        unreachable or answer late. The promises to callers must still hold.
         """
         for kind in TROUBLES:
             with self.subTest(kind):
@@ -63,14 +64,14 @@
                 self.assertTrue(report.troubles)
 
     def test_all_kinds_together(self) -> None:
-        """Several things go wrong at once, and again while the first is being mended."""
+        """Several failures overlap, and further ones occur during the recovery from the first."""
         for seed in range(20, 26):
             with self.subTest(seed):
                 self.assertEqual(_play(seed, TROUBLES).violations, [])
 
     def test_jobs_that_are_long_over_leave_the_store(self) -> None:
-        """Nothing removed jobs that had ended, so the store filled up, and each new owner read all
-        jobs there ever were before it placed the first task.
+        """If ended jobs aren't removed, the store fills up, and each new owner reads all jobs that were
+        ever submitted before it places its first task.
         """
         kept = run_world(3, Profile())
         self.assertEqual(kept.keys_left, kept.accepted)
@@ -79,15 +80,15 @@
         self.assertEqual(removed.keys_left, 0)
 
     def test_a_store_that_forgets_its_history_is_not_asked_in_a_loop(self) -> None:
-        """The store drops its history. Candidates that go on asking for changes since the owner took
-        over, long before that, are told each time that they are gone, and ask again at once: the
-        store is busy with that, and its operators pay for every call.
+        """The store drops its history. Candidates that keep requesting the changes since the owner's
+        takeover get an error each time, as these were dropped, and retry at once. This loads the
+        store, whose operators pay for every call.
         """
         calm, forgetful = _play(3), _play(3, ("store_forgets",))
         self.assertLess(forgetful.store_calls, calm.store_calls * 1.3)
 
     def test_days_that_broke_a_promise_once(self) -> None:
-        """Each of these days showed a fault, in the scheduler or in the stand-in."""
+        """Each of these days revealed a fault of the scheduler or of the simulation."""
         for seed, troubles in FAILED_BEFORE:
             with self.subTest(seed, troubles=troubles):
                 self.assertEqual(_play(seed, troubles).violations, [])
@@ -97,12 +98,12 @@
 
 
 class UpkeepDaysTest(unittest.TestCase):
-    """Days with two waves of upkeep of all machines, each to be finished."""
+    """Days with two waves of upkeep of all machines, both of which must finish."""
 
     def test_a_calm_day(self) -> None:
-        """Every machine goes down twice, two at a time. Nothing is running on it then, and of no
-        service more tasks are away at once than its users were promised. Seeds 1 and 2 showed tasks of
-        one service stopped together, since polls told late that one was at work.
+        """Every machine goes down twice, at most two at a time. No task may run on it then, and the
+        number of unavailable tasks of a step must stay within its budget. Seeds 1 and 2 revealed that
+        tasks of one step were stopped together, as polls were late to report one as available.
         """
         for seed in (1, 2):
             with self.subTest(seed):
@@ -110,9 +111,9 @@
                 self.assertEqual((report.violations, report.waves_over), ([], 2))
 
     def test_days_that_broke_a_promise_once(self) -> None:
-        """The platform's answers to orders are lost or come late while owners change, and waves
-        overlap. Machines went down with work on them: an order was repeated when the machine was back
-        (100), or was decided upon seconds before it was sent (137).
+        """The platform's answers to orders are lost or late while owners change, and waves overlap.
+        Machines went down while tasks ran on them because an order was repeated after the machine was
+        up again (seed 100), or was sent seconds after the decision (seed 137).
         """
         profile = replace(UPKEEP_PROFILE, troubles=UPKEEP_TROUBLES)
         for seed in (100, 137):
@@ -122,12 +123,12 @@
 
 
 class ThinLinksTest(unittest.TestCase):
-    """Days on which some instances have links that can't carry an owner's work."""
+    """Days on which some instances have links that are too slow for an owner."""
 
     def test_an_able_instance_owns_the_service(self) -> None:
-        """Two of four instances read for ten seconds and more before they can place a task. When the
-        owner dies one of them may be the first to ask for its part, and callers whose jobs were accepted
-        meanwhile wait for nothing but its reading.
+        """Two of four instances need ten seconds and more to read the state before they can place a
+        task. When the owner is killed, one of them may be the first to bid for the ownership. Callers
+        whose jobs were accepted in the meantime then wait until it has read the state.
         """
         for seed in range(400, 406):
             with self.subTest(seed):
@@ -136,18 +137,18 @@
                 self.assertLess(report.longest_without_owner, LONGEST_WITHOUT_OWNER)
 
     def test_where_no_instance_is_able_a_slow_one_still_gets_there(self) -> None:
-        """All instances are slow, so each owner that gives its recovery up is followed by another one."""
+        """All instances are slow, so each owner that aborts its recovery is followed by another one."""
         report = run_world(410, replace(THIN_PROFILE, thin_instances=3))
         self.assertEqual(report.violations, [])
 
 
 class HandOverTest(unittest.TestCase):
-    """Planned stops of owners."""
+    """The hand-over of the ownership in a planned stop of the owner."""
 
     def test_a_planned_stop_of_a_busy_owner_leaves_no_gap(self) -> None:
-        """An operator restarts the instances one after the other. The owner waited until everything was
-        stored, but its executors reported further ends all the while, so it held on for as long as it
-        could; for almost two seconds no task was placed.
+        """An operator restarts the instances one after the other. An owner that waits until all changes
+        are stored keeps the ownership up to its limit, as executors report further ends all the time.
+        No task was placed for almost two seconds.
         """
         busy = Profile(
             executors=10,
@@ -165,11 +166,11 @@
 
 
 class SlowExecutorsTest(unittest.TestCase):
-    """Days on which executors turn slow, and a third of the steps may be copied."""
+    """Days on which executors become slow, and 30% of the steps allow speculative copies."""
 
     def test_copies_break_no_promise(self) -> None:
-        """A task runs on two executors, while owners change and answers are lost. Its job ends once,
-        and steps that may not be copied still run in one place.
+        """A task runs on two executors while owners change and answers are lost. Its job must end once,
+        and tasks of steps that don't allow copies must still run on one executor only.
         """
         profile = Profile(speculative_share=0.3, troubles=ALL_TROUBLES, trouble_gap_seconds=1.5)
         for seed in (300, 301):
@@ -178,7 +179,7 @@
 
 
 class ChecksTest(unittest.TestCase):
-    """Each check finds the fault that it is for, when the fault is put in on purpose."""
+    """Each check of the history detects its fault when the fault is injected into the scheduler."""
 
     def _broken(self, seeds: range, troubles: tuple[str, ...]) -> set[str]:
         return {one.promise for seed in seeds for one in _play(seed, troubles).violations}
--- a/fireflyfork_standins/tests/test_scheduling_wire.py
+++ b/fireflyfork_standins/tests/test_scheduling_wire.py
@@ -1,4 +1,4 @@
-"""The scheduler's programs and the platform's wire on real sockets, without virtual time."""
+"""Tests of the scheduler and the simulated platform over real sockets, without virtual time."""
 
 import socket
 import unittest
@@ -18,11 +18,11 @@
 
 PORTS = range(31_000, 32_000, 20)
 STUCK_SECONDS = 120.0
-"""Only so that a test that hangs ends; nothing is measured."""
+"""Limit that only ends a test that hangs."""
 
 
 def _free_layout() -> WireLayout:
-    """A layout whose ports nobody uses, as far as can be told."""
+    """Return a layout whose ports don't accept connections, so they are most likely unused."""
     free = (WireLayout(first) for first in PORTS if all(map(_is_free, range(first, first + 15))))
     return next(islice(free, 1))
 
@@ -44,7 +44,7 @@
 
 
 class WireTest(unittest.TestCase):
-    """Callers speak HTTP to two instances, which speak HTTP to the store and to executors."""
+    """Callers use two instances over HTTP, which use the store and the executors over HTTP."""
 
     def test_jobs_end_and_bad_requests_are_refused(self) -> None:
         async def main() -> None:
--- a/fireflyfork_standins/tests/test_split.py
+++ b/fireflyfork_standins/tests/test_split.py
@@ -1,4 +1,5 @@
-"""Two instances that both take themselves for the owner, each with executors that only it reaches."""
+"""Tests with two instances that both consider themselves the owner, each with executors that only it
+can reach."""
 
 import unittest
 
@@ -10,13 +11,13 @@
 
 
 class SplitTest(unittest.TestCase):
-    """An owner is cut off from the store and from some executors, and keeps the others to itself."""
+    """An owner is cut off from the store and some executors, and only it can reach the others."""
 
     def test_tasks_that_the_successor_keeps_alive_are_not_started_again(self) -> None:
-        """Two regions lose each other. The owner is cut off from the store; its successor takes over the
-        executors on the store's side, renews their leases and hears of their ends. The owner took the
-        leases that it had granted itself for the last ones, and started all of their tasks a second time
-        when those would have lapsed.
+        """The network between two regions is partitioned, and the owner is cut off from the store. Its
+        successor takes over the executors on the store's side, renews their leases and receives their
+        ends. An owner that ignores renewals by a successor considers the leases that it granted itself
+        as the last ones. It starts all of these tasks again when those leases would have expired.
         """
         for seed in range(6):
             with self.subTest(seed):
@@ -26,9 +27,10 @@
                 self.assertEqual(len(history.done_tasks(spec.job)), 12)
 
     def test_nothing_runs_twice_however_long_the_split_lasts(self) -> None:
-        """The same with tasks that take longer than a lease: the successor waits until the leases on the
-        executors that it can't reach must be over, and starts their tasks elsewhere. The owner went on
-        starting the same ones there, each for the second that a start is valid by itself.
+        """Tasks take longer than a lease. The successor waits until the leases of the executors that it
+        can't reach must have expired, and starts their tasks elsewhere. A former owner that keeps
+        starting tasks on its side runs the same ones again, each for the second that a start is valid
+        without a renewal.
         """
         for seed in range(6):
             with self.subTest(seed):
--- a/fireflyfork_standins/tests/test_store.py
+++ b/fireflyfork_standins/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store's client against the stand-in, over real sockets."""
+"""Tests of the store's client with the stand-in over real sockets."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -15,7 +15,7 @@
 
 
 def run_with_store(body: Body) -> None:
-    """Run ``body`` with a client and the stand-in behind it."""
+    """Run ``body`` with a client and the handler of the stand-in that serves it."""
 
     async def main() -> None:
         handler = StoreHandler()
@@ -32,10 +32,10 @@
 
 
 class StoreTest(unittest.TestCase):
-    """What the store promises, and how its failures look."""
+    """The guarantees of the store, and its failures as the client sees them."""
 
     def test_compare_and_swap(self) -> None:
-        """Two operators change the same key; the second must lose."""
+        """Two operators change the same key. The second change must fail with a conflict."""
 
         async def body(store: HttpStore, _: StoreHandler) -> None:
             self.assertIsNone(await store.read("a/b c"))
@@ -53,7 +53,7 @@
         run_with_store(body)
 
     def test_a_lost_answer_has_taken_effect(self) -> None:
-        """The store applies a write and the answer is lost; the writer sees only an error."""
+        """The store applies a write but its answer is lost, so the writer gets only an error."""
 
         async def body(store: HttpStore, handler: StoreHandler) -> None:
             handler.switch(Switches(lose_answers=1))
@@ -66,7 +66,7 @@
         run_with_store(body)
 
     def test_outage(self) -> None:
-        """The store is down for a while; calls fail with an error that says so, then work."""
+        """While the store is down, calls fail as unavailable. They succeed when it is up again."""
 
         async def body(store: HttpStore, handler: StoreHandler) -> None:
             handler.switch(Switches(down=True))
@@ -78,7 +78,7 @@
         run_with_store(body)
 
     def test_wait_sees_the_change(self) -> None:
-        """A watch returns with the value as soon as it changes, and empty when nothing does."""
+        """A watch returns the value as soon as it changes, or None if it doesn't change in time."""
 
         async def body(store: HttpStore, _: StoreHandler) -> None:
             async with trio.open_nursery() as nursery:
--- a/fireflyfork_standins/tests/test_takeovers.py
+++ b/fireflyfork_standins/tests/test_takeovers.py
@@ -1,4 +1,4 @@
-"""Changes of owner at moments that days of trouble hardly ever hit."""
+"""Tests of changes of owner at moments that random days of trouble rarely hit."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -13,29 +13,31 @@
 JOB = JobId("00000000000000aa")
 SEED = 1
 START_VALID_MS = 1_000
-"""So long a start lets a task run by itself; a renewal lets it run for longer."""
+"""Time for which a start alone allows a task to run. A renewal extends it."""
 AWAY_SECONDS = 2.5
-"""Longer than a short task takes, shorter than the executor's lease."""
+"""Time of a partition that is longer than a short task and shorter than the executor's lease."""
 BARELY_AWAY_SECONDS = 0.4
-"""A run whose lease was not renewed yet goes on for a second; after this there is time to renew it."""
+"""Time of a partition after which a lease can still be renewed. A run whose lease wasn't renewed yet
+continues for one second."""
 FORGOTTEN_SECONDS = 7.0
-"""An executor that is away for so long has lost its lease, and its owner has dropped it."""
+"""Time of a partition after which an executor's lease has expired and its owner has dropped it."""
 ORPHANED_SECONDS = 2.6
-"""An owner without the store for so long renews no lease."""
+"""Time without the store after which an owner renews no lease."""
 HEARD_SECONDS = 0.7
-"""The owner tries such an executor each second; the next list after that would come a second later."""
+"""Time for exactly one list of an unreachable executor to arrive, as the owner polls it once a
+second."""
 ASKED_SECONDS = 4.0
-"""The last question that is answered is over."""
+"""Time after which the last watch that is answered has ended."""
 UNHEARD_SECONDS = 9.5
-"""Longer than a new owner waits for an executor that it doesn't reach."""
+"""Time that is longer than a new owner waits for an unreachable executor."""
 SOON_SECONDS = 1.0
-"""A task starts, or an end is stored and forgotten, well within this."""
+"""Time that is ample for a task to start, or for an end to be stored and forgotten."""
 TROUBLE_SECONDS = 0.7
-"""Shorter than a call that gets no answer takes."""
+"""Time that is shorter than the timeout of a call without an answer."""
 
 
 def play(body: Callable[[Stage], Awaitable[None]]) -> Stage:
-    """Let ``body`` act on a platform with an owner and no executor."""
+    """Run ``body`` on a platform with an active owner and without executors. Return the platform."""
     stage = Stage(SEED)
 
     async def main() -> None:
@@ -51,7 +53,10 @@
 async def change_owner_while_away(
     stage: Stage, executor: StandInExecutor, seconds: float = AWAY_SECONDS
 ) -> None:
-    """The owner goes, and an executor can't be reached for some seconds; another one can."""
+    """Depose the owner while ``executor`` is unreachable for ``seconds`` and another one is added.
+
+    Waits until the job is completed.
+    """
     stage.depose()
     stage.vanish(executor)
     stage.add_executor("i-1")
@@ -61,13 +66,13 @@
 
 
 class NewExecutorsTest(unittest.TestCase):
-    """A new owner waits for every executor that may run something for the last one."""
+    """A new owner waits for every executor that may still run tasks of the last owner."""
 
     def test_an_executor_that_has_just_come(self) -> None:
-        """An executor registers and gets its first task within milliseconds. Then its owner is replaced,
-        before it could store that it uses this executor, and the executor's registration lapses on a
-        saturated link. A successor that knows nothing of it starts the task again on another one, and a
-        clerk holds two rooms.
+        """An executor registers and gets its first task within milliseconds. Its owner is replaced
+        before it could store that it uses the executor, whose registration then expires because of a
+        saturated link. A successor without a record of the executor would start the task again on
+        another one, and its effects would happen twice.
         """
 
         async def body(stage: Stage) -> None:
@@ -81,8 +86,9 @@
         self.assertEqual(stage.history.starts, 1)
 
     def test_an_end_that_nobody_has_heard_of(self) -> None:
-        """The same, but the task ends well on the executor that nobody reaches, and only then another
-        executor has room. What was done is done again, and the end comes to light when it is too late.
+        """A new executor is unreachable after a change of owner, as above. Its task completes there
+        before another executor has room. A successor that doesn't wait would run the task again, and
+        would receive the first end too late.
         """
 
         async def body(stage: Stage) -> None:
@@ -103,8 +109,9 @@
         self.assertEqual(stage.history.starts, 1)
 
     def test_an_executor_that_had_been_dropped_and_is_back(self) -> None:
-        """The owner has given an executor up and stored that. When it is back it gets a task at once, and
-        the owner goes before it could store that the executor counts again.
+        """The owner has dropped an executor and stored that. When the executor is reachable again, it
+        gets a task at once, and the owner is replaced before it could store that it uses the executor
+        again.
         """
 
         async def body(stage: Stage) -> None:
@@ -123,9 +130,9 @@
         self.assertEqual(stage.history.starts, 2)
 
     def test_a_write_without_an_answer_tells_a_successor_nothing(self) -> None:
-        """The owner writes down that it uses an executor, and the answer doesn't come. The write may have
-        been lost, so nothing may start there yet; taken for stored, the executor would run a task that no
-        successor waits for.
+        """The owner stores that it uses an executor, but gets no answer. The write may have been lost,
+        so no task may start there yet. If the owner considered the write as stored, the executor could
+        run a task for which no successor waits.
         """
 
         async def body(stage: Stage) -> None:
@@ -142,13 +149,13 @@
 
 
 class EarlierLeasesTest(unittest.TestCase):
-    """A new owner reckons with the leases that the last one has granted."""
+    """A new owner takes the leases into account that the last one granted."""
 
     def test_an_owner_that_does_not_hear_of_its_successor(self) -> None:
-        """An owner's question about work gets no answer on its link, while its other calls to the store do.
-        It doesn't hear that it was replaced, and renews the lease of an executor that only it reaches. Its
-        successor can wait for that no longer than an owner without the store goes on; then it starts the
-        task elsewhere, and it runs in two places.
+        """An owner's watch of work gets no answer, while its other calls to the store do. The owner
+        isn't notified of its replacement, and would keep renewing the lease of an executor that only it
+        can reach. Its successor waits only as long as an owner without the store may continue. It then
+        starts the task elsewhere, so the task would run on two executors.
         """
 
         async def body(stage: Stage) -> None:
@@ -168,10 +175,11 @@
         self.assertEqual(play(body).broken, [])
 
     def test_an_executor_that_is_heard_once_while_the_store_is_away(self) -> None:
-        """The owner renews an executor's lease and goes. The store fails just after its successor has read,
-        and links to the executor come and go: for some seconds nothing, then one list that shows the task,
-        then nothing again. A successor that renews no lease without the store, and knows of no other, takes
-        the executor's for over and starts the task elsewhere while it still runs.
+        """The owner renews an executor's lease and is replaced. The store fails just after its successor
+        has read the state. The executor is unreachable for some seconds, then returns one list with the
+        task, and is unreachable again. A successor that renews no lease without the store, and doesn't
+        account for its predecessor's, considers the lease expired and starts the task elsewhere while
+        it still runs.
         """
 
         async def body(stage: Stage) -> None:
--- a/fireflyfork_standins/tests/test_wire_incarnations.py
+++ b/fireflyfork_standins/tests/test_wire_incarnations.py
@@ -1,4 +1,4 @@
-"""The client of executors over real sockets, while the process at the other end is replaced."""
+"""Tests of the executor client over real sockets while the executor's process is replaced."""
 
 import socket
 import unittest
@@ -37,7 +37,7 @@
 TASK = TaskKey(0, 0, 0).name(JOB)
 TOKEN = FencingToken(7)
 FAR_DEADLINE_MS = 400_000
-"""What the clock of an executor that has been up for minutes gives."""
+"""A deadline by the clock of an executor that has been up for minutes."""
 
 
 def _free_address() -> Address:
@@ -47,7 +47,7 @@
 
 
 class _Life:
-    """One life of the executor's process: its connections end with it."""
+    """One process of the executor, whose connections end with it."""
 
     def __init__(self, address: Address) -> None:
         history = History()
@@ -63,12 +63,12 @@
 
     @property
     def place(self) -> ExecutorPlace:
-        """Where it is, and which life it is."""
+        """The address and the incarnation of the executor."""
         return ExecutorPlace(NAME, self._address, self.executor.born)
 
     @asynccontextmanager
     async def lives(self) -> AsyncIterator[None]:
-        """Serve for as long as the block runs."""
+        """Serve calls while the block runs."""
         async with trio.open_nursery() as nursery:
             everything = {NAME: self.executor}
             calls = StandInExecutorCalls(EVERYBODY, everything, nursery, self._random)
@@ -86,12 +86,12 @@
 
 
 class IncarnationsOnTheWireTest(unittest.TestCase):
-    """An order comes to the life that it was meant for, or to none."""
+    """An order reaches the incarnation that it was addressed to, or none."""
 
     def test_an_order_for_an_earlier_life_is_not_carried_out_by_the_next(self) -> None:
-        """An executor starts anew at its address under its id, unnoticed. An order by the clock of its
-        last life, carried out by the next one, would let a task run there for much longer than its owner
-        reckons with, and the task would be started a second time.
+        """An executor restarts under its id and at its address before its owner notices. If the new
+        incarnation carried out an order with a deadline by the last one's clock, the task would run
+        there for much longer than the owner assumes, and would be started a second time elsewhere.
         """
         trio.run(self._order_for_an_earlier_life)
 
