--- a/bench/operator_replicas.py
+++ b/bench/operator_replicas.py
@@ -16,7 +16,12 @@
 from fireflyfork._ids import ServiceName
 from fireflyfork.decisions.jobs import QueueTable
 from fireflyfork.programs._announcements import Announcements
-from fireflyfork_standins.scheduling import RegionProfile, RouteChange, StandInStore, run_repeatably
+from fireflyfork_standins.scheduling import (
+    RegionProfile,
+    RouteChange,
+    StandInStore,
+    run_deterministically,
+)
 from fireflyfork_standins.scheduling._nodes import PROCESSORS, VirtualClock
 from fireflyfork_standins.scheduling._regions import RegionMap, instance_name
 
@@ -121,7 +126,7 @@
     """Print a line per fleet size."""
     print("instances  calls/s  quiet KB/s  change KB  change s")
     for instances in SIZES:
-        costs = run_repeatably(SEED, _Fleet(instances).run)
+        costs = run_deterministically(SEED, _Fleet(instances).run)
         print(
             f"{costs.instances:9}  {costs.calls_per_second:7.1f}  {costs.quiet_bytes_per_second / 1e3:10.2f}"
             f"  {costs.change_bytes / 1e3:9.1f}  {costs.change_seconds:8.3f}"
--- a/fireflyfork/programs/tests/builders_journal.py
+++ b/fireflyfork/programs/tests/builders_journal.py
@@ -62,7 +62,7 @@
 
     async def list(self, prefix: str) -> StoreListing:
         """See CoordinationStore."""
-        return StoreListing(self.backing.under(prefix), self.backing.revision)
+        return StoreListing(self.backing.items_under(prefix), self.backing.revision)
 
     async def changes(self, prefix: str, after: Revision, wait_seconds: float) -> StoreChanges:
         """See CoordinationStore."""
--- a/fireflyfork/programs/tests/test_idle_executors.py
+++ b/fireflyfork/programs/tests/test_idle_executors.py
@@ -46,7 +46,7 @@
         if lapses:
             world.executor.unregister()
         await trio.sleep(3.0)
-        world.executor.begin_again()
+        world.executor.restart()
         await trio.sleep(3.0)
         world.accept_job(job())
         await trio.sleep(30.0)
@@ -62,7 +62,7 @@
         world.executor.unregister()
         await trio.sleep(60.0)
         nursery.cancel_scope.cancel()
-    (stored,) = world.store.under(executors_key(SERVICE))
+    (stored,) = world.store.items_under(executors_key(SERVICE))
     return len(decode_registrations(stored.value))
 
 
--- a/fireflyfork/programs/tests/test_service_owner.py
+++ b/fireflyfork/programs/tests/test_service_owner.py
@@ -55,7 +55,7 @@
                 world = OwnerFixture(nursery)
                 world.replace_owner()
                 world.accept_job(job())
-                listing = StoreListing(world.store.under(WORK_PREFIX), world.store.revision)
+                listing = StoreListing(world.store.items_under(WORK_PREFIX), world.store.revision)
                 lost = False
                 try:
                     world.owner._work_intake.take_listing(listing)
--- a/fireflyfork_standins/_history_checks.py
+++ b/fireflyfork_standins/_history_checks.py
@@ -9,25 +9,25 @@
 
 from ._simulated_workers import STOPPED_ON_REQUEST, EventKind, HistoryEvent
 
-_ROUNDING = 0.001
-_PROMPT_SECONDS = 2.5
+_PROGRESS_TOLERANCE = 0.001
+_MAX_REPORT_DELAY_SECONDS = 2.5
 """An end that the platform learns of later than this doesn't count as known to the planner. The
 value is less than the margin that planners add to a lease."""
 
 
 def history_problems(history: Iterable[HistoryEvent], workers: Iterable[Worker]) -> Iterator[str]:
     """Yield a description of each violation in ``history``."""
-    judge = _Judge({worker.worker_id: worker for worker in workers})
+    checker = _HistoryChecker({worker.worker_id: worker for worker in workers})
     for event in history:
         if event.kind is EventKind.STARTED:
-            yield from judge.started(event)
+            yield from checker.check_start(event)
         elif event.kind is EventKind.ENDED:
-            judge.ended(event)
+            checker.record_end(event)
         else:
-            judge.end_reported(event)
+            checker.record_end_report(event)
 
 
-class _Judge:
+class _HistoryChecker:
     """The state of the tasks and workers after the events that were read so far.
 
     A task counts as finished only if the platform learned of its end within
@@ -45,7 +45,7 @@
         self._end_times: dict[tuple[TaskId, AttemptNumber], float] = {}
         self._known_finished: set[TaskId] = set()
 
-    def started(self, event: HistoryEvent) -> Iterator[str]:
+    def check_start(self, event: HistoryEvent) -> Iterator[str]:
         """Record the start of an attempt and yield the violations that it causes."""
         label = f"{event.time:.2f}s: {event.task_id} attempt {event.attempt}"
         other = self._running.get(event.task_id)
@@ -61,17 +61,17 @@
         self._running[event.task_id] = event
         self._last_attempt[event.task_id] = event.attempt
 
-    def ended(self, event: HistoryEvent) -> None:
+    def record_end(self, event: HistoryEvent) -> None:
         """Record the end of an attempt and release its resources."""
         self._used[event.worker_id] = self._used[event.worker_id] - event.resources
         self._running.pop(event.task_id, None)
         self._last_end[event.task_id] = event
         self._end_times[event.task_id, event.attempt] = event.time
 
-    def end_reported(self, event: HistoryEvent) -> None:
+    def record_end_report(self, event: HistoryEvent) -> None:
         """Record that the platform has learned of the end of an attempt."""
         end = self._end_times[event.task_id, event.attempt]
-        prompt = event.time - end <= _PROMPT_SECONDS
+        prompt = event.time - end <= _MAX_REPORT_DELAY_SECONDS
         if event.state is RunState.FINISHED and prompt:
             self._known_finished.add(event.task_id)
 
@@ -81,8 +81,8 @@
             return
         if event.task_id in self._known_finished:
             yield f"{label} starts after the task has finished"
-        if event.progress > last.progress + _ROUNDING:
+        if event.progress > last.progress + _PROGRESS_TOLERANCE:
             yield f"{label} resumes from {event.progress}, but only {last.progress} was done"
         evicted = last.reason == STOPPED_ON_REQUEST
-        if evicted and event.progress < last.progress - _ROUNDING:
+        if evicted and event.progress < last.progress - _PROGRESS_TOLERANCE:
             yield f"{label} resumes from {event.progress} and loses a checkpoint at {last.progress}"
--- a/fireflyfork_standins/_program.py
+++ b/fireflyfork_standins/_program.py
@@ -9,7 +9,7 @@
 from fireflyfork import Address
 from fireflyfork.adapters import HttpHandler, HttpServer, listen
 
-STOP_SECONDS = 0.5
+STOP_GRACE_SECONDS = 0.5
 
 
 async def serve_until_stopped(handler: HttpHandler, address: Address) -> None:
@@ -33,5 +33,5 @@
             break
     for server in servers:
         server.stop()
-    await trio.sleep(STOP_SECONDS)
+    await trio.sleep(STOP_GRACE_SECONDS)
     scope.cancel()
--- a/fireflyfork_standins/_simulated_workers.py
+++ b/fireflyfork_standins/_simulated_workers.py
@@ -20,7 +20,7 @@
 )
 
 STOPPED_ON_REQUEST = "stopped on request"
-_ALMOST_NOTHING = 1e-9
+_PROGRESS_EPSILON = 1e-9
 _CHECKPOINT_SHARE = 0.05
 """Share of a task between two checkpoints. A run that ends without a stop request keeps its
 progress up to the last checkpoint."""
@@ -71,18 +71,18 @@
     order: StartOrder
     state: RunState
     progress: float
-    progressed: float
+    progress_time: float
     """Time for which ``progress`` was computed, in seconds."""
     lease_end: float
     region: str
     millicores: int
     reason: str = ""
     stop_ordered: bool = False
-    known: RunReport | None = None
+    latest_report: RunReport | None = None
     """The latest report that has reached the platform; None before the first."""
-    known_at: float = 0.0
+    latest_report_time: float = 0.0
     """Time at which the worker sent ``latest_report``."""
-    version: int = 0
+    report_version: int = 0
     """Version of ``latest_report``; reports of all attempts share one counter."""
     next_report: float = 0.0
 
@@ -102,7 +102,7 @@
         self._report_interval = report_interval
         self._report_lag = report_lag
         self._runs: dict[tuple[TaskId, AttemptNumber], _Run] = {}
-        self._under_way: deque[tuple[float, _Run, RunReport]] = deque()
+        self._reports_in_transit: deque[tuple[float, _Run, RunReport]] = deque()
         """Reports that haven't reached the platform yet, each with the time at which it was sent;
         oldest first."""
         self._reported: dict[tuple[TaskId, AttemptNumber], _Run] = {}
@@ -135,7 +135,7 @@
         if refusal or worker is None:
             fence = self._fences.get(order.task_id, AttemptNumber(0))
             self._fences[order.task_id] = max(fence, order.attempt)
-            return _refused(order, refusal)
+            return _refusal_report(order, refusal)
         run = _Run(
             order,
             RunState.RUNNING,
@@ -152,7 +152,7 @@
         used = self._used.get(order.worker_id, Resources())
         self._used[order.worker_id] = used + order.resources
         self._record(EventKind.STARTED, run, now)
-        self._changed(run, now)
+        self._send_report(run, now)
         if order.worker_id in self.faults.fail_all:
             self._end(run, RunState.FAILED, now, "the worker fails everything")
         return self._answer(run, now)
@@ -194,7 +194,9 @@
 
     def report(self, region: str, cursor: int) -> PlatformReport:
         """Return the published reports of ``region`` with a version above ``cursor``."""
-        fresh = takewhile(lambda run: run.version > cursor, reversed(self._reported.values()))
+        fresh = takewhile(
+            lambda run: run.report_version > cursor, reversed(self._reported.values())
+        )
         reports = [self._aged(run) for run in fresh if run.region == region]
         return PlatformReport(max(cursor, self._version), tuple(reversed(reports)))
 
@@ -207,24 +209,27 @@
         for run in tuple(self._running.values()):
             self._advance_run(run, now)
         waiting: list[tuple[float, _Run, RunReport]] = []
-        while self._under_way and self._under_way[0][0] + self._report_lag <= self._now:
-            sent, run, report = self._under_way.popleft()
+        while (
+            self._reports_in_transit
+            and self._reports_in_transit[0][0] + self._report_lag <= self._now
+        ):
+            sent, run, report = self._reports_in_transit.popleft()
             if self._is_unreachable(run):
                 waiting.append((sent, run, report))
-            elif sent >= run.known_at:
+            elif sent >= run.latest_report_time:
                 self._publish(run, report, sent)
-        self._under_way.extendleft(reversed(waiting))
+        self._reports_in_transit.extendleft(reversed(waiting))
 
     def _advance_run(self, run: _Run, now: float) -> None:
         self._progress(run, min(now, run.lease_end))
         if run.progress >= 1.0:
-            self._end(run, RunState.FINISHED, run.progressed, "")
+            self._end(run, RunState.FINISHED, run.progress_time, "")
         elif now >= run.lease_end:
             run.progress = _last_checkpoint(run)
             self._end(run, RunState.STOPPED, run.lease_end, "the lease lapsed")
         elif now >= run.next_report:
             run.next_report = now + self._report_interval
-            self._changed(run, now)
+            self._send_report(run, now)
 
     def _renewed(self, call: RenewCall, now: float) -> Iterator[RunReport]:
         for task_id, attempt in call.runs:
@@ -254,11 +259,11 @@
     def _progress(self, run: _Run, now: float) -> None:
         share = run.millicores / max(1, run.order.resources.millicores)
         speed = min(1.0, share) / (run.order.run_seconds * self.faults.slow_down)
-        seconds = min(max(0.0, now - run.progressed), (1.0 - run.progress) / speed)
+        seconds = min(max(0.0, now - run.progress_time), (1.0 - run.progress) / speed)
         run.progress = min(1.0, run.progress + seconds * speed)
-        if 1.0 - run.progress < _ALMOST_NOTHING:
+        if 1.0 - run.progress < _PROGRESS_EPSILON:
             run.progress = 1.0
-        run.progressed += seconds
+        run.progress_time += seconds
 
     def _end(self, run: _Run, state: RunState, now: float, reason: str) -> None:
         run.state = state
@@ -267,10 +272,10 @@
         self._used[worker_id] = self._used[worker_id] - run.order.resources
         del self._running[run.order.task_id, run.order.attempt]
         self._record(EventKind.ENDED, run, now)
-        self._changed(run, now)
+        self._send_report(run, now)
 
-    def _changed(self, run: _Run, now: float) -> None:
-        self._under_way.append((now, run, self._report(run)))
+    def _send_report(self, run: _Run, now: float) -> None:
+        self._reports_in_transit.append((now, run, self._report(run)))
 
     def _answer(self, run: _Run, now: float) -> RunReport:
         """Return the latest report of an attempt, fetched from its worker if that is reachable."""
@@ -280,19 +285,19 @@
 
     def _publish(self, run: _Run, report: RunReport, sent: float) -> None:
         key = (run.order.task_id, run.order.attempt)
-        over = run.known is not None and run.known.state is not RunState.RUNNING
-        run.known = report
-        run.known_at = sent
+        over = run.latest_report is not None and run.latest_report.state is not RunState.RUNNING
+        run.latest_report = report
+        run.latest_report_time = sent
         self._version += 1
-        run.version = self._version
+        run.report_version = self._version
         self._reported.pop(key, None)
         self._reported[key] = run
         if report.state is not RunState.RUNNING and not over:
             self._record(EventKind.END_REPORTED, run, self._now)
 
     def _aged(self, run: _Run) -> RunReport:
-        known = run.known or replace(self._report(run), state=RunState.RUNNING, reason="")
-        return replace(known, age_seconds=max(0.0, self._now - run.known_at))
+        known = run.latest_report or replace(self._report(run), state=RunState.RUNNING, reason="")
+        return replace(known, age_seconds=max(0.0, self._now - run.latest_report_time))
 
     def _record(self, kind: EventKind, run: _Run, now: float) -> None:
         order = run.order
@@ -333,7 +338,7 @@
     return max(run.order.progress, steps * _CHECKPOINT_SHARE)
 
 
-def _refused(order: StartOrder, reason: str) -> RunReport:
+def _refusal_report(order: StartOrder, reason: str) -> RunReport:
     return RunReport(
         order.task_id,
         order.attempt,
--- a/fireflyfork_standins/platform.py
+++ b/fireflyfork_standins/platform.py
@@ -82,7 +82,7 @@
         self._workers = workers
         self._report_interval_seconds = report_interval_seconds
 
-    async def let_time_pass(self) -> None:
+    async def run_clock(self) -> None:
         """Advance the workers to the current time four times per report interval, until cancelled."""
         while True:
             self._workers.advance(trio.current_time())
@@ -154,7 +154,7 @@
     )
     handler = PlatformHandler(workers, settings.report_interval_seconds)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(handler.let_time_pass)
+        nursery.start_soon(handler.run_clock)
         await serve_until_stopped(handler, Address.parse(settings.listen))
         nursery.cancel_scope.cancel()
 
--- a/fireflyfork_standins/scheduling/__init__.py
+++ b/fireflyfork_standins/scheduling/__init__.py
@@ -1,5 +1,7 @@
 """A simulation of the users' platform: store, executors, callers and failures on a virtual clock."""
 
+from ._day import Profile, Report, run_day
+from ._deterministic_run import run_deterministically
 from ._executor_calls import StandInExecutorCalls
 from ._executors import ExecutorTrouble, StandInExecutor
 from ._history import History, Violation
@@ -7,13 +9,11 @@
 from ._nodes import UNIX_MS_AT_START, StandInNode
 from ._region_link import Purpose, Region, RegionLink
 from ._regions import RegionProfile, RouteChange
-from ._repeatable import run_repeatably
 from ._replicas import ReplicaNetwork, StandInReplicaPeers
 from ._store import StandInStore, StoreTrouble
 from ._troubles import ALL_TROUBLES, INCARNATION_TROUBLES, TROUBLES, UPKEEP_TROUBLES
 from ._wire_callers import WireCallers
 from ._wire_platform import WireLayout, WirePlatform
-from ._world import Profile, Report, run_world
 
 __all__ = [
     "ALL_TROUBLES",
@@ -43,6 +43,6 @@
     "WireLayout",
     "WirePlatform",
     "machine_of",
-    "run_repeatably",
-    "run_world",
+    "run_day",
+    "run_deterministically",
 ]
--- a/fireflyfork_standins/scheduling/__main__.py
+++ b/fireflyfork_standins/scheduling/__main__.py
@@ -8,8 +8,8 @@
 import defopt
 from loguru import logger
 
+from ._day import Profile, Report, run_day
 from ._troubles import TROUBLES, UPKEEP_TROUBLES
-from ._world import Profile, Report, run_world
 
 
 def play(
@@ -55,7 +55,7 @@
     )
     broken = 0
     for day in range(seed, seed + days):
-        report = run_world(day, profile)
+        report = run_day(day, profile)
         broken += len(report.violations)
         print("\n".join(_lines(day, report)))
     sys.exit(1 if broken else 0)
@@ -65,12 +65,12 @@
     states = ", ".join(f"{n} {state.value}" for state, n in report.states.items())
     ends = ", ".join(f"{n} {reason.value}" for reason, n in report.ends.items())
     yield f"seed {seed}: {report.accepted} jobs accepted ({states})"
-    yield f"  {report.refused} refusals, {report.unsure} answers that settled nothing"
+    yield f"  {report.refused} refusals, {report.unanswered} answers that settled nothing"
     yield f"  {report.starts} runs ({ends}), {report.store_calls} calls to the store"
     for trouble in report.troubles:
         yield f"  trouble at {trouble}"
-    for one in report.violations:
-        yield f"  BROKEN at {one.at:.2f}: {one.promise}: {one.what}"
+    for violation in report.violations:
+        yield f"  BROKEN at {violation.at:.2f}: {violation.promise}: {violation.description}"
 
 
 if __name__ == "__main__":
--- a/fireflyfork_standins/scheduling/_configuration_sources.py
+++ b/fireflyfork_standins/scheduling/_configuration_sources.py
@@ -20,8 +20,8 @@
 
 from ._replicas import ReplicaNetwork, StandInReplicaPeers
 
-Changed = Callable[[QueueTable], None]
-Awake = Callable[[], Awaitable[None]]
+TableListener = Callable[[QueueTable], None]
+WaitAwake = Callable[[], Awaitable[None]]
 
 
 class ConfigurationSource(ABC):
@@ -37,12 +37,12 @@
         """Follow the configuration until cancelled."""
 
     @abstractmethod
-    async def wait_known(self) -> None:
+    async def wait_configured(self) -> None:
         """Wait until the first configuration was received."""
 
 
-MakeSource = Callable[
-    [CoordinationStore, Clock, Changed, Announcements, Awake], ConfigurationSource
+SourceFactory = Callable[
+    [CoordinationStore, Clock, TableListener, Announcements, WaitAwake], ConfigurationSource
 ]
 """Creates the source for one process of an instance. The arguments are its store client, its clock, a
 listener for newer versions, the announcements of the instances, and a function that waits while the
@@ -64,14 +64,14 @@
     async def run(self) -> None:
         """See ConfigurationSource."""
 
-    async def wait_known(self) -> None:
+    async def wait_configured(self) -> None:
         """See ConfigurationSource."""
 
 
-class _GatedAnswers(ReplicaSource):
+class _FreezableReplicaSource(ReplicaSource):
     """Answers replica questions, but waits while the instance is frozen."""
 
-    def __init__(self, inner: ReplicaSource, awake: Awake) -> None:
+    def __init__(self, inner: ReplicaSource, awake: WaitAwake) -> None:
         self._inner = inner
         self._awake = awake
 
@@ -90,11 +90,11 @@
         node: NodeName,
         store: CoordinationStore,
         clock: Clock,
-        changed: Changed,
+        on_change: TableListener,
         bound_seconds: float,
         announcements: Announcements,
         network: ReplicaNetwork,
-        awake: Awake,
+        wait_awake: WaitAwake,
     ) -> None:
         """Prepare to follow the configuration.
 
@@ -103,14 +103,14 @@
         """
         self._node = node
         self._network = network
-        self._awake = awake
+        self._awake = wait_awake
         self._keeper = QueueKeeper(
             store,
-            changed,
+            on_change,
             bound_seconds,
             clock.now,
             AnnouncedUpstreams(announcements),
-            StandInReplicaPeers(node, network, awake),
+            StandInReplicaPeers(node, network, wait_awake),
         )
 
     @property
@@ -120,7 +120,7 @@
 
     async def run(self) -> None:
         """See ConfigurationSource."""
-        answers = _GatedAnswers(self._keeper.replica_source, self._awake)
+        answers = _FreezableReplicaSource(self._keeper.replica_source, self._awake)
         self._network.sources[self._node] = answers
         try:
             await self._keeper.run()
@@ -128,6 +128,6 @@
             if self._network.sources.get(self._node) is answers:
                 del self._network.sources[self._node]
 
-    async def wait_known(self) -> None:
+    async def wait_configured(self) -> None:
         """See ConfigurationSource."""
         await self._keeper.configured.wait()
--- a/fireflyfork_standins/scheduling/_world.py
+++ b/fireflyfork_standins/scheduling/_day.py
@@ -28,13 +28,13 @@
 from fireflyfork.platform import PlatformBounds, is_completed_status, wave_status_key
 from fireflyfork.programs._scheduling_keys import JOB_PREFIX
 
-from ._executors import LONGEST_LEASE_SECONDS, StandInExecutor
+from ._deterministic_run import run_deterministically
+from ._executors import MAX_LEASE_SECONDS, StandInExecutor
 from ._history import History, Violation
 from ._machines import StandInMachines, machine_of
 from ._nodes import UNIX_MS_AT_START, StandInNode
 from ._region_link import Purpose
 from ._regions import RegionMap, RegionProfile, instance_name
-from ._repeatable import run_repeatably
 from ._store import LINK_MBPS, StandInStore
 from ._troubles import Troubles
 
@@ -71,7 +71,7 @@
     """Time for which the state of a job must be readable after its end."""
     listing_counts: bool = False
     """Whether an end counts as known to the scheduler as soon as an executor has listed it."""
-    longest_lease_seconds: float = LONGEST_LEASE_SECONDS
+    max_lease_seconds: float = MAX_LEASE_SECONDS
     """Maximum lease that executors accept at once. They cut longer ones to it."""
     regions: RegionProfile | None = None
     """Settings of two regions with one link between them, or None for one region with a configuration
@@ -87,7 +87,7 @@
     violations: list[Violation]
     accepted: int = 0
     refused: int = 0
-    unsure: int = 0
+    unanswered: int = 0
     starts: int = 0
     store_calls: int = 0
     longest_without_owner: float = 0.0
@@ -96,23 +96,23 @@
     longest_hand_over: float = 0.0
     """Maximum time from the planned stop of an owner until another owner is active, in seconds."""
     waves_over: int = 0
-    keys_left: int = 0
+    remaining_jobs: int = 0
     """Number of jobs that the store still holds at the end."""
     states: dict[JobState, int] = field(default_factory=dict)
     ends: dict[EndReason, int] = field(default_factory=dict)
     troubles: list[str] = field(default_factory=list)
-    crossed: dict[Purpose, int] = field(default_factory=dict)
+    link_bytes: dict[Purpose, int] = field(default_factory=dict)
     """Number of bytes on the link between the regions by kind of traffic, both directions together."""
     configuration_bytes: int = 0
     """Number of bytes that all versions of the configuration take if each crosses the link once."""
 
 
-def run_world(seed: int, profile: Profile) -> Report:
+def run_day(seed: int, profile: Profile) -> Report:
     """Simulate a day on a virtual clock. The same seed gives the same day."""
-    return run_repeatably(seed, lambda: _World(seed, profile).run())
+    return run_deterministically(seed, lambda: _Day(seed, profile).run())
 
 
-class _World:
+class _Day:
     def __init__(self, seed: int, profile: Profile) -> None:
         self._profile = profile
         self._random = Random(seed)
@@ -127,7 +127,7 @@
                 self._store,
                 self._history,
                 self._random,
-                longest_lease_seconds=profile.longest_lease_seconds,
+                max_lease_seconds=profile.max_lease_seconds,
                 failure_domain=self._map.executor_domain(number),
             )
             for number in range(profile.executors)
@@ -137,7 +137,7 @@
         self._history.listing_counts = profile.listing_counts
         queue = QueueTerms(QueueName("q"), "h", "/q/", SERVICE, 0, 3, 2.0, 1000, 3000)
         table = queue_table(ConfigurationVersion(1), (queue,), frozenset({SERVICE}))
-        longest = profile.longest_lease_seconds
+        longest = profile.max_lease_seconds
         bounds = PlatformBounds(longest, 0.2, 6.0, profile.retention_seconds, 2.5)
         self._operator = self._map.operator(self._store, SERVICE)
         self._nodes = [
@@ -181,10 +181,12 @@
                 nursery.start_soon(executor.run)
             await trio.sleep(0.1)
             for node in self._nodes:
-                nursery.start_soon(node.live, nursery)
+                nursery.start_soon(node.run_process, nursery)
             # Without regions all instances have a configuration from the start, and a wait would change
             # the days of existing seeds.
-            while self._operator is not None and not all(node.serves for node in self._nodes):
+            while self._operator is not None and not all(
+                node.is_configured for node in self._nodes
+            ):
                 await trio.sleep(OWNER_CHECK_SECONDS)
             nursery.start_soon(self._watch_owner)
             await trio.sleep(1.0)
@@ -197,27 +199,29 @@
                 if self._operator is not None:
                     day.start_soon(self._operator.run)
                 if self._profile.planned_troubles:
-                    day.start_soon(self._troubles.happen, self._profile.planned_troubles, nursery)
+                    day.start_soon(
+                        self._troubles.run_planned, self._profile.planned_troubles, nursery
+                    )
             await self._settle()
             nursery.cancel_scope.cancel()
         self._report.starts = self._history.starts
         self._report.longest_hand_over = self._troubles.longest_hand_over
-        self._report.keys_left = len(self._store.under(JOB_PREFIX))
+        self._report.remaining_jobs = len(self._store.items_under(JOB_PREFIX))
         self._report.store_calls = self._store.calls
         self._report.ends = dict(self._history.ends)
         if self._map.link is not None and self._operator is not None:
-            self._report.crossed = self._map.link.crossed
+            self._report.link_bytes = self._map.link.crossed
             self._report.configuration_bytes = self._operator.carried_bytes
         return self._report
 
     async def _watch_owner(self) -> None:
-        while not any(node.decides for node in self._nodes):
+        while not any(node.is_active_owner for node in self._nodes):
             await trio.sleep(OWNER_CHECK_SECONDS)
         without = 0.0
         while True:
             await trio.sleep(OWNER_CHECK_SECONDS)
-            decided = any(node.decides for node in self._nodes)
-            without = 0.0 if decided else without + OWNER_CHECK_SECONDS
+            has_owner = any(node.is_active_owner for node in self._nodes)
+            without = 0.0 if has_owner else without + OWNER_CHECK_SECONDS
             self._report.longest_without_owner = max(self._report.longest_without_owner, without)
 
     async def _callers(self, nursery: trio.Nursery) -> None:
@@ -234,7 +238,7 @@
         only_refused = True
         for _ in range(5):
             node = self._random.choice(self._nodes)
-            if not node.serves:
+            if not node.is_configured:
                 await trio.sleep(0.3)
                 continue
             try:
@@ -244,7 +248,7 @@
                 await trio.sleep(0.5)
                 continue
             except StoreUnavailableError:
-                self._report.unsure += 1
+                self._report.unanswered += 1
                 only_refused = False
                 await trio.sleep(0.2)
                 continue
@@ -263,20 +267,20 @@
         self._history.cancelling.add(name)
         for _ in range(60):
             node = self._random.choice(self._nodes)
-            if node.serves:
+            if node.is_configured:
                 try:
                     if await node.requests.cancel(name):
                         self._history.cancelled[name] = trio.current_time()
                         return
                 except StoreUnavailableError:
-                    self._report.unsure += 1
+                    self._report.unanswered += 1
             await trio.sleep(0.5)
 
     def _draw_job(self, name: JobId) -> JobSpec:
         random = self._random
-        lasts = random.random() < 0.15
+        is_long_running = random.random() < 0.15
         steps = []
-        for number in range(1 if lasts else random.randint(1, 3)):
+        for number in range(1 if is_long_running else random.randint(1, 3)):
             steps.append(
                 StepSpec(
                     count=random.randint(1, 5),
@@ -285,11 +289,12 @@
                     accelerators=0,
                     estimate_ms=random.randint(200, 1800),
                     after=(number - 1,) if number else (),
-                    checkpointing=random.random() < 0.3 and not lasts,
+                    checkpointing=random.random() < 0.3 and not is_long_running,
                     per_executor_limit=2 if random.random() < 0.2 else 0,
-                    long_running=lasts,
-                    speculative=self._draws(self._profile.speculative_share) and not lasts,
-                    uses_leftover_cpu=random.random() < 0.3 and not lasts,
+                    long_running=is_long_running,
+                    speculative=self._draws(self._profile.speculative_share)
+                    and not is_long_running,
+                    uses_leftover_cpu=random.random() < 0.3 and not is_long_running,
                 )
             )
         now_ms = UNIX_MS_AT_START + int(trio.current_time() * 1000)
@@ -309,7 +314,7 @@
     async def _follow_wave(self, wave: UpkeepWave) -> None:
         """Wait for the wave's status in the store to report its end, and check that it is true."""
         key = wave_status_key(wave.number)
-        while not any(is_completed_status(item.value) for item in self._store.under(key)):
+        while not any(is_completed_status(item.value) for item in self._store.items_under(key)):
             await trio.sleep(0.05)
         self._report.waves_over += 1
         if not self._machines.begun(wave):
@@ -322,18 +327,18 @@
             await trio.sleep(30.0)
             return
         end = trio.current_time() + SETTLE_SECONDS
-        left = set(self._history.acknowledged)
-        while left and trio.current_time() < end:
+        unfinished = set(self._history.acknowledged)
+        while unfinished and trio.current_time() < end:
             await trio.sleep(1.0)
-            left = {job for job in left if not await self._is_final(job)}
+            unfinished = {job for job in unfinished if not await self._is_final(job)}
         while self._report.waves_over < self._profile.waves and trio.current_time() < end:
             await trio.sleep(1.0)
         if self._report.waves_over < self._profile.waves:
             self._broken("upkeep", f"{self._report.waves_over} waves of upkeep are over")
-        for job in sorted(left):
+        for job in sorted(unfinished):
             self._broken("finished", f"{job} has not ended")
         for job in sorted(self._history.acknowledged):
-            await self._judge(job)
+            await self._check_final_state(job)
         for job in sorted(self._refused_only):
             if any(run for run in self._history.done_tasks(job)):
                 self._broken("not run", f"{job} was refused and ran")
@@ -341,18 +346,18 @@
     async def _state(self, job: JobId) -> JobState | None:
         while True:
             node = self._random.choice(self._nodes)
-            if node.serves:
+            if node.is_configured:
                 try:
                     return await node.requests.state(job)
                 except StoreUnavailableError:
-                    self._report.unsure += 1
+                    self._report.unanswered += 1
             await trio.sleep(0.2)
 
     async def _is_final(self, job: JobId) -> bool:
         state = await self._state(job)
         return state is not None and state.is_final
 
-    async def _judge(self, job: JobId) -> None:
+    async def _check_final_state(self, job: JobId) -> None:
         state = await self._state(job)
         if state is None:
             self._broken("kept", f"{job} is not known any more")
@@ -367,4 +372,4 @@
             self._broken("cancelled", f"{job} was not cancelled by its caller")
 
     def _broken(self, promise: str, what: str) -> None:
-        self._history.broken(promise, what)
+        self._history.record_violation(promise, what)
--- a/fireflyfork_standins/scheduling/_repeatable.py
+++ b/fireflyfork_standins/scheduling/_deterministic_run.py
@@ -11,7 +11,7 @@
 _Result = TypeVar("_Result")
 
 
-def run_repeatably(seed: int, play: Callable[[], Awaitable[_Result]]) -> _Result:
+def run_deterministically(seed: int, play: Callable[[], Awaitable[_Result]]) -> _Result:
     """Run ``play`` on a virtual clock. The same seed gives the same order of events."""
     # Trio shuffles the runnable tasks, so a seed alone doesn't make a run repeatable. This private
     # switch of trio sorts them before the shuffle.
--- a/fireflyfork_standins/scheduling/_executor_calls.py
+++ b/fireflyfork_standins/scheduling/_executor_calls.py
@@ -22,7 +22,7 @@
 
 LATENCY_SECONDS = 0.002
 TIMEOUT_SECONDS = 0.6
-LATE_SECONDS = (1.0, 6.0)
+LATE_DELAY_SECONDS = (1.0, 6.0)
 
 _Order = Callable[[StandInExecutor], CallOutcome]
 
@@ -49,13 +49,13 @@
         self, place: ExecutorEndpoint, token: FencingToken, order: StartRequest
     ) -> OrderAnswer:
         """See ExecutorCalls."""
-        return await self._order(place, lambda one: one.start(token, order))
+        return await self._order(place, lambda executor: executor.start(token, order))
 
     async def stop(
         self, place: ExecutorEndpoint, token: FencingToken, task: TaskName, attempt: AttemptNumber
     ) -> OrderAnswer:
         """See ExecutorCalls."""
-        return await self._order(place, lambda one: one.stop(token, task, attempt))
+        return await self._order(place, lambda executor: executor.stop(token, task, attempt))
 
     async def pace(
         self,
@@ -66,7 +66,9 @@
         percent: int,
     ) -> OrderAnswer:
         """See ExecutorCalls."""
-        return await self._order(place, lambda one: one.pace(token, task, attempt, percent))
+        return await self._order(
+            place, lambda executor: executor.pace(token, task, attempt, percent)
+        )
 
     async def poll(
         self,
@@ -80,28 +82,30 @@
         if executor is None:
             await trio.sleep(TIMEOUT_SECONDS)
             return PollAnswer(CallOutcome.UNKNOWN)
-        missed = await self._arrive(executor, place)
-        if missed is not None:
-            return PollAnswer(missed, incarnation=_told(missed, executor))
+        wrong_incarnation = await self._arrive(executor, place)
+        if wrong_incarnation is not None:
+            return PollAnswer(
+                wrong_incarnation, incarnation=_reported_incarnation(wrong_incarnation, executor)
+            )
         renew = partial(executor.renew, token, request.forget_ends_to, request.lease_until_ms)
         late = self._draws(executor.trouble.late_share)
         if late:
-            self._nursery.start_soon(self._late, executor, renew)
+            self._nursery.start_soon(self._carry_out_late, executor, renew)
         if late or not executor.up:
             await trio.sleep(TIMEOUT_SECONDS)
             return PollAnswer(CallOutcome.UNKNOWN)
         refusal = renew()
         if refusal is not CallOutcome.ACCEPTED:
             return PollAnswer(refusal)
-        life = executor.born
+        incarnation = executor.incarnation
         until = trio.current_time() + request.wait_seconds
         while trio.current_time() < until and not executor.has_end_after(request.forget_ends_to):
             await trio.sleep(STEP_SECONDS)
-        gone = self._reachable(place) is None or executor.born != life
-        if gone or self._draws(executor.trouble.lost_share):
+        is_lost = self._reachable(place) is None or executor.incarnation != incarnation
+        if is_lost or self._draws(executor.trouble.lost_share):
             await trio.sleep(TIMEOUT_SECONDS)
             return PollAnswer(CallOutcome.UNKNOWN)
-        delay = executor.trouble.answers_after
+        delay = executor.trouble.answer_delay_seconds
         return await self._under_way(executor.listing(), delay, request.patience_seconds)
 
     @staticmethod
@@ -118,16 +122,18 @@
         if executor is None:
             await trio.sleep(TIMEOUT_SECONDS)
             return OrderAnswer(CallOutcome.UNKNOWN, None)
-        missed = await self._arrive(executor, place)
-        if missed is not None:
-            return OrderAnswer(missed, None, _told(missed, executor))
+        wrong_incarnation = await self._arrive(executor, place)
+        if wrong_incarnation is not None:
+            return OrderAnswer(
+                wrong_incarnation, None, _reported_incarnation(wrong_incarnation, executor)
+            )
         if self._draws(executor.trouble.late_share):
-            self._nursery.start_soon(self._late, executor, lambda: carry_out(executor))
+            self._nursery.start_soon(self._carry_out_late, executor, lambda: carry_out(executor))
         elif executor.up:
             outcome = carry_out(executor)
             await trio.sleep(LATENCY_SECONDS)
             if not self._draws(executor.trouble.lost_share):
-                return OrderAnswer(outcome, executor.clock_ms, executor.born)
+                return OrderAnswer(outcome, executor.clock_ms, executor.incarnation)
         await trio.sleep(TIMEOUT_SECONDS)
         return OrderAnswer(CallOutcome.UNKNOWN, None)
 
@@ -140,13 +146,13 @@
         returns the outcome that the caller sees.
         """
         await trio.sleep(LATENCY_SECONDS)
-        if executor.trouble.reborn_at_call and executor.up:
-            executor.trouble.reborn_at_call = False
+        if executor.trouble.restarts_at_next_call and executor.up:
+            executor.trouble.restarts_at_next_call = False
             executor.crash()
-            executor.begin_again()
+            executor.restart()
         connected = self._connected.get(place.executor)
-        self._connected[place.executor] = executor.born
-        if place.incarnation in (ANY_INCARNATION, executor.born) or not executor.up:
+        self._connected[place.executor] = executor.incarnation
+        if place.incarnation in (ANY_INCARNATION, executor.incarnation) or not executor.up:
             return None
         if connected == place.incarnation:
             # The call was sent over a connection to a process that has ended.
@@ -154,11 +160,13 @@
             return CallOutcome.UNKNOWN
         return CallOutcome.OTHER_INCARNATION
 
-    async def _late(self, executor: StandInExecutor, carry_out: Callable[[], object]) -> None:
-        life = executor.born
-        await trio.sleep(self._random.uniform(*LATE_SECONDS))
+    async def _carry_out_late(
+        self, executor: StandInExecutor, carry_out: Callable[[], object]
+    ) -> None:
+        incarnation = executor.incarnation
+        await trio.sleep(self._random.uniform(*LATE_DELAY_SECONDS))
         # An order in transit is lost when the connections of the executor's process end.
-        if executor.up and executor.born == life:
+        if executor.up and executor.incarnation == incarnation:
             carry_out()
 
     def _reachable(self, place: ExecutorEndpoint) -> StandInExecutor | None:
@@ -170,6 +178,6 @@
         return share > 0 and self._random.random() < share
 
 
-def _told(missed: CallOutcome, executor: StandInExecutor) -> int | None:
+def _reported_incarnation(outcome: CallOutcome, executor: StandInExecutor) -> int | None:
     """Return the incarnation that an answer reports, or None if the connection broke."""
-    return executor.born if missed is CallOutcome.OTHER_INCARNATION else None
+    return executor.incarnation if outcome is CallOutcome.OTHER_INCARNATION else None
--- a/fireflyfork_standins/scheduling/_executors.py
+++ b/fireflyfork_standins/scheduling/_executors.py
@@ -34,14 +34,14 @@
 from ._history import STARTUP_SECONDS, History, RunId
 from ._store import StandInStore
 
-NOWHERE = Address("10.0.0.1", 80)
+PLACEHOLDER_ADDRESS = Address("10.0.0.1", 80)
 """The registered address of executors that are called without sockets."""
 _NO_TOKEN = FencingToken(0)
 STEP_SECONDS = 0.01
 STOP_SECONDS = 0.05
-LONGEST_LEASE_SECONDS = 6.0
+MAX_LEASE_SECONDS = 6.0
 """Default of the maximum lease that an executor accepts at once."""
-LONGEST_LIST_OF_ENDS = 500
+MAX_LISTED_ENDS = 500
 FAILURE_DOMAIN = FailureDomainName("suva")
 """Default failure domain of executors."""
 
@@ -56,12 +56,12 @@
     lost_share: float = 0.0
     """Share of orders that are carried out at once but get no answer."""
     fail_share: float = 0.0
-    stands_still: bool = False
+    stalled: bool = False
     speed: float = 1.0
     """Speed of all runs relative to the usual speed."""
-    answers_after: float = 0.0
+    answer_delay_seconds: float = 0.0
     """Delay of answers to polls in seconds, as over a saturated link."""
-    reborn_at_call: bool = False
+    restarts_at_next_call: bool = False
     """Restart the executor just before the next call reaches it. Reset by that call."""
 
 
@@ -84,14 +84,14 @@
 
 
 @dataclass(slots=True)
-class _Life:
+class _IncarnationState:
     """The state of one incarnation of an executor, which a restart loses."""
 
     began: float
     runs: dict[tuple[TaskName, int], _Run] = field(default_factory=dict)
     ends: list[EndedRow] = field(default_factory=list)
     ended_at: dict[int, float] = field(default_factory=dict)
-    barred: dict[TaskName, int] = field(default_factory=dict)
+    barred_attempts: dict[TaskName, int] = field(default_factory=dict)
     number: int = 0
     forgotten: int = 0
     token: FencingToken = _NO_TOKEN
@@ -110,8 +110,8 @@
         store: StandInStore,
         history: History,
         random: Random,
-        address: Address = NOWHERE,
-        longest_lease_seconds: float = LONGEST_LEASE_SECONDS,
+        address: Address = PLACEHOLDER_ADDRESS,
+        max_lease_seconds: float = MAX_LEASE_SECONDS,
         failure_domain: FailureDomainName = FAILURE_DOMAIN,
     ) -> None:
         """Create an executor that registers with ``address`` when ``run`` is called."""
@@ -125,30 +125,30 @@
         self._random = random
         self._address = address
         self._failure_domain = failure_domain
-        self._longest_lease_ms = int(longest_lease_seconds * 1000)
+        self._longest_lease_ms = int(max_lease_seconds * 1000)
         self._rate = random.uniform(0.98, 1.0)
         self._draining = False
-        self._begin_life()
+        self._reset_state()
 
     @property
     def running(self) -> tuple[TaskName, ...]:
         """The tasks that are running."""
-        return tuple(task for task, _ in self._life.runs)
+        return tuple(task for task, _ in self._state.runs)
 
     @property
-    def born(self) -> int:
+    def incarnation(self) -> int:
         """The number of this incarnation: its start time in milliseconds, plus 1."""
-        return int(self._life.began * 1000) + 1
+        return int(self._state.began * 1000) + 1
 
     @property
     def clock_ms(self) -> int:
         """The monotonic clock of this incarnation in milliseconds, which runs up to 2% slow."""
-        return int((trio.current_time() - self._life.began) * 1000 * self._rate)
+        return int((trio.current_time() - self._state.began) * 1000 * self._rate)
 
     @property
-    def lease_left_ms(self) -> int:
+    def remaining_lease_ms(self) -> int:
         """Time until the lease expires if it isn't renewed, in milliseconds."""
-        return self._life.deadline_ms - self.clock_ms
+        return self._state.deadline_ms - self.clock_ms
 
     async def run(self) -> None:
         """Register, then advance the runs until cancelled."""
@@ -156,19 +156,19 @@
         while True:
             await trio.sleep(STEP_SECONDS)
             if self.up:
-                self._work()
+                self._advance_runs()
 
     def crash(self) -> None:
         """End the process. All runs are lost, and nothing is reported."""
         self.up = False
-        for run in self._life.runs.values():
-            self._history.ended(self._id(run.task, run.attempt), EndReason.LAPSED)
-        self._life.runs.clear()
+        for run in self._state.runs.values():
+            self._history.record_end(self._id(run.task, run.attempt), EndReason.LAPSED)
+        self._state.runs.clear()
 
-    def begin_again(self) -> None:
+    def restart(self) -> None:
         """Start a new incarnation under the same id, without any state of the last one."""
         self.up = True
-        self._begin_life()
+        self._reset_state()
         self._register()
 
     def unregister(self) -> None:
@@ -190,26 +190,26 @@
         if refusal is not None:
             return refusal
         key = (order.task, order.attempt)
-        if key in self._life.runs:
+        if key in self._state.runs:
             return CallOutcome.ACCEPTED
-        if order.attempt <= self._life.barred.get(order.task, 0):
+        if order.attempt <= self._state.barred_attempts.get(order.task, 0):
             return CallOutcome.STALE_ATTEMPT
         if order.deadline_ms <= self.clock_ms:
             return CallOutcome.PAST_DEADLINE
         parsed = parse_task_name(order.task)
         spec = self._history.jobs.get(parsed[0]) if parsed is not None else None
         if parsed is None or spec is None:
-            self._history.began(self._id(order.task, order.attempt))
+            self._history.record_start(self._id(order.task, order.attempt))
             return CallOutcome.MALFORMED
         step = spec.steps[parsed[1].step]
-        self._history.began(self._id(order.task, order.attempt))
+        self._history.record_start(self._id(order.task, order.attempt))
         if not self._fits(step):
-            self._history.over_room(self.executor, order.task)
+            self._history.record_over_room(self.executor, order.task)
         work = step.estimate_ms / 1000 * self._random.uniform(0.5, 1.6)
         saved = float(order.checkpoint) if order.checkpoint else 0.0
         fails = self._random.random() < max(self.trouble.fail_share, 0.02)
-        self._life.runs[key] = _Run(order.task, order.attempt, step, work, fails, saved)
-        self._life.deadline_ms = max(self._life.deadline_ms, self._limited(order.deadline_ms))
+        self._state.runs[key] = _Run(order.task, order.attempt, step, work, fails, saved)
+        self._state.deadline_ms = max(self._state.deadline_ms, self._limited(order.deadline_ms))
         return CallOutcome.ACCEPTED
 
     def stop(self, token: FencingToken, task: TaskName, attempt: int) -> CallOutcome:
@@ -217,17 +217,17 @@
         refusal = self._refusal(token)
         if refusal is not None:
             return refusal
-        self._life.barred[task] = max(self._life.barred.get(task, 0), attempt)
-        run = self._life.runs.get((task, attempt))
+        self._state.barred_attempts[task] = max(self._state.barred_attempts.get(task, 0), attempt)
+        run = self._state.runs.get((task, attempt))
         if run is not None and run.stop_at is None:
-            self._history.stopped(self._id(task, attempt))
+            self._history.record_stop(self._id(task, attempt))
             run.stop_at = trio.current_time() + STOP_SECONDS
         return CallOutcome.ACCEPTED
 
     def pace(self, token: FencingToken, task: TaskName, attempt: int, percent: int) -> CallOutcome:
         """Set the pace of a run to ``percent`` of its full speed."""
         refusal = self._refusal(token)
-        run = self._life.runs.get((task, attempt))
+        run = self._state.runs.get((task, attempt))
         if refusal is None and run is not None:
             run.pace = percent / 100
         return refusal or CallOutcome.ACCEPTED
@@ -240,48 +240,50 @@
         refusal = self._refusal(token)
         if refusal is not None:
             return refusal
-        for row in self._life.ends:
-            if row.number <= forget_to and row.number > self._life.forgotten:
+        for row in self._state.ends:
+            if row.number <= forget_to and row.number > self._state.forgotten:
                 lapsed = self._has_lapsed_since(row)
-                self._history.noted(self._id(row.task, row.attempt), lapsed)
-        self._life.forgotten = max(self._life.forgotten, forget_to)
-        self._life.ends = [row for row in self._life.ends if row.number > self._life.forgotten]
+                self._history.record_forgotten_end(self._id(row.task, row.attempt), lapsed)
+        self._state.forgotten = max(self._state.forgotten, forget_to)
+        self._state.ends = [row for row in self._state.ends if row.number > self._state.forgotten]
         if until_ms is not None:
-            self._life.deadline_ms = max(self._life.deadline_ms, self._limited(until_ms))
+            self._state.deadline_ms = max(self._state.deadline_ms, self._limited(until_ms))
         return CallOutcome.ACCEPTED
 
     def listing(self) -> PollAnswer:
         """Return the answer to a poll: all running and the first ``MAX_LISTED_ENDS`` ended runs."""
-        for row in self._life.ends[:LONGEST_LIST_OF_ENDS]:
-            self._history.listed(self._id(row.task, row.attempt), self._has_lapsed_since(row))
+        for row in self._state.ends[:MAX_LISTED_ENDS]:
+            self._history.record_listed_end(
+                self._id(row.task, row.attempt), self._has_lapsed_since(row)
+            )
         running = tuple(
             RunningRow(run.task, AttemptNumber(run.attempt), self._saved(run), run.percent, 5.0)
-            for run in self._life.runs.values()
+            for run in self._state.runs.values()
         )
-        ended = tuple(self._life.ends[:LONGEST_LIST_OF_ENDS])
+        ended = tuple(self._state.ends[:MAX_LISTED_ENDS])
         return PollAnswer(
             CallOutcome.ACCEPTED,
             self.clock_ms,
-            self.born,
+            self.incarnation,
             running,
             ended,
-            ends_may_be_cut=len(ended) == LONGEST_LIST_OF_ENDS,
+            ends_may_be_cut=len(ended) == MAX_LISTED_ENDS,
         )
 
     def has_end_after(self, number: int) -> bool:
         """Return whether the list of ends has one with a number above ``number``."""
-        return any(row.number > number for row in self._life.ends)
+        return any(row.number > number for row in self._state.ends)
 
     def _has_lapsed_since(self, row: EndedRow) -> bool:
         """Return whether the lease has expired since the run ended."""
-        lapsed_at = self._life.lapsed_at
-        return lapsed_at is not None and self._life.ended_at[row.number] < lapsed_at
+        lapsed_at = self._state.lapsed_at
+        return lapsed_at is not None and self._state.ended_at[row.number] < lapsed_at
 
     def _id(self, task: TaskName, attempt: int) -> RunId:
-        return RunId(task, attempt, self.executor, self.born)
+        return RunId(task, attempt, self.executor, self.incarnation)
 
-    def _begin_life(self) -> None:
-        self._life = _Life(trio.current_time())
+    def _reset_state(self) -> None:
+        self._state = _IncarnationState(trio.current_time())
 
     def _register(self) -> None:
         entry = {
@@ -291,46 +293,48 @@
             "state": "draining" if self._draining else "ready",
             "room": {"cpu": self._room.cpu_millis, "mem_mb": self._room.memory_mb},
             "labels": ["a"],
-            "born": self.born,
+            "born": self.incarnation,
         }
         self._store.put(f"{REGISTRATION_PREFIX}{self.executor}", msgspec.json.encode(entry))
 
-    def _work(self) -> None:
+    def _advance_runs(self) -> None:
         now = trio.current_time()
-        if self.clock_ms > self._life.deadline_ms:
+        if self.clock_ms > self._state.deadline_ms:
             # A lease expires even if nothing is running.
-            self._life.lapsed_at = now
-            for run in tuple(self._life.runs.values()):
+            self._state.lapsed_at = now
+            for run in tuple(self._state.runs.values()):
                 self._end(run, EndReason.LAPSED)
-        for run in tuple(self._life.runs.values()):
+        for run in tuple(self._state.runs.values()):
             if run.stop_at is not None and run.stop_at <= now:
                 self._end(run, EndReason.STOPPED)
                 continue
-            if not self.trouble.stands_still:
+            if not self.trouble.stalled:
                 run.done_seconds += STEP_SECONDS * run.pace * self.trouble.speed
             if run.done_seconds >= run.work_seconds and not run.step.long_running:
                 self._end(run, EndReason.FAILED if run.fails else EndReason.DONE)
 
     def _end(self, run: _Run, reason: EndReason) -> None:
-        del self._life.runs[run.task, run.attempt]
-        self._life.number += 1
-        self._life.ended_at[self._life.number] = trio.current_time()
-        self._life.barred[run.task] = max(self._life.barred.get(run.task, 0), run.attempt)
+        del self._state.runs[run.task, run.attempt]
+        self._state.number += 1
+        self._state.ended_at[self._state.number] = trio.current_time()
+        self._state.barred_attempts[run.task] = max(
+            self._state.barred_attempts.get(run.task, 0), run.attempt
+        )
         attempt = AttemptNumber(run.attempt)
-        self._life.ends.append(
-            EndedRow(self._life.number, run.task, attempt, reason, self._saved(run))
+        self._state.ends.append(
+            EndedRow(self._state.number, run.task, attempt, reason, self._saved(run))
         )
-        self._history.ended(self._id(run.task, run.attempt), reason)
+        self._history.record_end(self._id(run.task, run.attempt), reason)
 
     def _refusal(self, token: FencingToken) -> CallOutcome | None:
-        if token < self._life.token:
+        if token < self._state.token:
             return CallOutcome.FENCED
-        self._life.token = token
+        self._state.token = token
         return None
 
     def _fits(self, step: StepSpec) -> bool:
-        cpu = sum(run.step.reserved_cpu_millis for run in self._life.runs.values())
-        memory = sum(run.step.memory_mb for run in self._life.runs.values())
+        cpu = sum(run.step.reserved_cpu_millis for run in self._state.runs.values())
+        memory = sum(run.step.memory_mb for run in self._state.runs.values())
         return (
             cpu + step.reserved_cpu_millis <= self._room.cpu_millis
             and memory + step.memory_mb <= self._room.memory_mb
--- a/fireflyfork_standins/scheduling/_history.py
+++ b/fireflyfork_standins/scheduling/_history.py
@@ -12,7 +12,7 @@
 
 STARTUP_SECONDS = 0.35
 """Time from the start of a long-running task until it is available."""
-CANCEL_SECONDS = 3.0
+CANCEL_GRACE_SECONDS = 3.0
 """Time after the acknowledgement of a job's cancellation during which its tasks may still start."""
 
 
@@ -22,7 +22,7 @@
 
     at: float
     promise: str
-    what: str
+    description: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
     task: TaskName
     attempt: int
     executor: ExecutorId
-    life: int
+    incarnation: int
 
 
 @dataclass(slots=True)
@@ -43,8 +43,8 @@
     ended: float | None = None
     reason: EndReason | None = None
     stopped_at: float | None = None
-    noted_at: float | None = None
-    lapsed_before_noted: bool = False
+    end_known_at: float | None = None
+    lapsed_before_end_known: bool = False
 
 
 @dataclass(slots=True)
@@ -67,7 +67,7 @@
     ends: dict[EndReason, int] = field(default_factory=lambda: defaultdict(int))
     _runs: dict[TaskName, list[_Run]] = field(default_factory=lambda: defaultdict(list))
 
-    def began(self, run: RunId) -> None:
+    def record_start(self, run: RunId) -> None:
         """Record the start of a run, and check the promises about starts."""
         now = trio.current_time()
         task = run.task
@@ -75,18 +75,18 @@
         parsed = parse_task_name(task)
         spec = self.jobs.get(parsed[0]) if parsed is not None else None
         if parsed is None or spec is None:
-            self.broken("asked for", f"{task} belongs to no job")
+            self.record_violation("asked for", f"{task} belongs to no job")
             return
         key = parsed[1]
         step = spec.steps[key.step]
-        self._check_others(task, step)
+        self._check_concurrent_runs(task, step)
         self._check_order(spec, key)
         cancelled = self.cancelled.get(spec.job)
-        if cancelled is not None and now > cancelled + CANCEL_SECONDS:
-            self.broken("cancelled", f"{task} begins {now - cancelled:.1f} s after that")
+        if cancelled is not None and now > cancelled + CANCEL_GRACE_SECONDS:
+            self.record_violation("cancelled", f"{task} begins {now - cancelled:.1f} s after that")
         self._runs[task].append(_Run(run, now))
 
-    def ended(self, run: RunId, reason: EndReason) -> None:
+    def record_end(self, run: RunId, reason: EndReason) -> None:
         """Record that a run ended or was lost in a crash of its executor."""
         self.ends[reason] += 1
         for known in self._runs[run.task]:
@@ -94,26 +94,26 @@
                 known.ended = trio.current_time()
                 known.reason = reason
 
-    def stopped(self, run: RunId) -> None:
+    def record_stop(self, run: RunId) -> None:
         """Record that the scheduler ordered a run to stop, and check the budget of its step."""
         for known in self._runs[run.task]:
             if known.run == run and known.stopped_at is None:
-                if self.checks_budgets and self._at_work(run.task):
+                if self.checks_budgets and self._is_available(run.task):
                     self._check_budget(run.task)
                 known.stopped_at = trio.current_time()
 
-    def noted(self, run: RunId, lapsed: bool) -> None:
+    def record_forgotten_end(self, run: RunId, lapsed: bool) -> None:
         """Record that the scheduler allowed an executor to forget the end of a run.
 
         ``lapsed`` tells whether the executor's lease expired between the end and this moment.
         """
         for known in self._runs[run.task]:
             if known.run == run:
-                known.noted_at = trio.current_time()
-                known.lapsed_before_noted = lapsed
+                known.end_known_at = trio.current_time()
+                known.lapsed_before_end_known = lapsed
                 self._check_restarts(known)
 
-    def listed(self, run: RunId, lapsed: bool) -> None:
+    def record_listed_end(self, run: RunId, lapsed: bool) -> None:
         """Record that an executor listed the end of a run in an answer.
 
         ``lapsed`` tells whether the executor's lease expired between the end and this moment.
@@ -121,14 +121,14 @@
         if not self.listing_counts:
             return
         for known in self._runs[run.task]:
-            if known.run == run and known.noted_at is None:
-                known.noted_at = trio.current_time()
-                known.lapsed_before_noted = lapsed
+            if known.run == run and known.end_known_at is None:
+                known.end_known_at = trio.current_time()
+                known.lapsed_before_end_known = lapsed
                 self._check_restarts(known)
 
-    def over_room(self, executor: ExecutorId, task: TaskName) -> None:
+    def record_over_room(self, executor: ExecutorId, task: TaskName) -> None:
         """Record that a start exceeded the room of an executor."""
-        self.broken("room", f"{task} does not fit on {executor}")
+        self.record_violation("room", f"{task} does not fit on {executor}")
 
     def done_tasks(self, job: JobId) -> set[TaskKey]:
         """Return the tasks of a job that have completed on any executor."""
@@ -140,7 +140,7 @@
             and any(run.reason is EndReason.DONE for run in runs)
         }
 
-    def _at_work(self, task: TaskName) -> bool:
+    def _is_available(self, task: TaskName) -> bool:
         now = trio.current_time()
         return any(
             run.ended is None and run.stopped_at is None and now - run.began > STARTUP_SECONDS
@@ -156,38 +156,44 @@
         names = (
             TaskKey(key.occurrence, key.step, index).name(spec.job) for index in range(step.count)
         )
-        away = sum(not self._at_work(name) for name in names if name != task)
-        if step.long_running and away >= max(1, step.unavailable_budget):
-            self.broken("budget", f"{task} is stopped while {away} others are away")
+        unavailable = sum(not self._is_available(name) for name in names if name != task)
+        if step.long_running and unavailable >= max(1, step.unavailable_budget):
+            self.record_violation(
+                "budget", f"{task} is stopped while {unavailable} others are away"
+            )
 
-    def _check_others(self, task: TaskName, step: StepSpec) -> None:
+    def _check_concurrent_runs(self, task: TaskName, step: StepSpec) -> None:
         if step.speculative:
             return
         for run in self._runs[task]:
             if run.ended is None:
-                self.broken("one at a time", f"{task} runs on {run.run.executor} already")
+                self.record_violation("one at a time", f"{task} runs on {run.run.executor} already")
                 continue
-            noted = run.noted_at is not None and not run.lapsed_before_noted
+            noted = run.end_known_at is not None and not run.lapsed_before_end_known
             if noted and run.reason is EndReason.DONE:
-                self.broken("once", f"{task} has ended well on {run.run.executor}")
+                self.record_violation("once", f"{task} has ended well on {run.run.executor}")
 
     def _check_restarts(self, run: _Run) -> None:
-        if run.reason is not EndReason.DONE or run.lapsed_before_noted or run.ended is None:
+        if run.reason is not EndReason.DONE or run.lapsed_before_end_known or run.ended is None:
             return
         parsed = parse_task_name(run.run.task)
         if parsed is None or self.jobs[parsed[0]].steps[parsed[1].step].speculative:
             return
         for other in self._runs[run.run.task]:
             if other is not run and run.ended < other.began:
-                self.broken("once", f"{run.run.task} was started again on {other.run.executor}")
+                self.record_violation(
+                    "once", f"{run.run.task} was started again on {other.run.executor}"
+                )
 
     def _check_order(self, spec: JobSpec, key: TaskKey) -> None:
         for earlier in spec.steps[key.step].after:
             for index in range(spec.steps[earlier].count):
                 name = TaskKey(key.occurrence, earlier, index).name(spec.job)
                 if not any(run.reason is EndReason.DONE for run in self._runs[name]):
-                    self.broken("order", f"{key.name(spec.job)} begins before {name} is done")
+                    self.record_violation(
+                        "order", f"{key.name(spec.job)} begins before {name} is done"
+                    )
 
-    def broken(self, promise: str, what: str) -> None:
+    def record_violation(self, promise: str, what: str) -> None:
         """Record a violation of ``promise`` at the current time."""
         self.violations.append(Violation(trio.current_time(), promise, what))
--- a/fireflyfork_standins/scheduling/_link_calls.py
+++ b/fireflyfork_standins/scheduling/_link_calls.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Question(Generic[_Answer]):
+class LinkRequest(Generic[_Answer]):
     """A request to the other region."""
 
     size: int
@@ -34,7 +34,7 @@
 class _Exchange(Generic[_Answer]):
     """One request and its answer on one connection."""
 
-    question: Question[_Answer]
+    question: LinkRequest[_Answer]
     arrives_at: float
     received: Callable[[], None]
     answer: _Answer | None = None
@@ -51,10 +51,10 @@
     def __init__(
         self,
         link: RegionLink,
-        home: Region,
+        caller_region: Region,
         timeout: float,
         pause: float | None = None,
-        greet: Callable[[LinkCalls], Awaitable[None]] | None = None,
+        handshake: Callable[[LinkCalls], Awaitable[None]] | None = None,
         unacknowledged: float = UNACKNOWLEDGED_SECONDS,
         connects_patiently: bool = False,
     ) -> None:
@@ -67,10 +67,10 @@
         also use the extra seconds of a call. All times are in seconds.
         """
         self._link = link
-        self._home = home
+        self._caller_region = caller_region
         self._timeout = timeout
         self._pause = timeout if pause is None else pause
-        self._greet = greet
+        self._handshake = handshake
         self._unacknowledged = unacknowledged
         self._connects_patiently = connects_patiently
         self._idle = 0
@@ -82,9 +82,9 @@
 
     async def call(
         self,
-        question: Question[_Answer],
+        question: LinkRequest[_Answer],
         extra_seconds: float = 0.0,
-        is_greeting: bool = False,
+        is_handshake: bool = False,
         fresh: bool = False,
     ) -> _Answer:
         """Send a request and return its answer, see ``HttpClient``.
@@ -99,7 +99,7 @@
         try:
             with trio.CancelScope(deadline=limit) as scope:
                 patience = extra_seconds if self._connects_patiently else 0.0
-                await self._connect(is_greeting, fresh, self._timeout + patience)
+                await self._connect(is_handshake, fresh, self._timeout + patience)
                 connected = True
                 answer = await self.exchange(question, lambda: self._put_off(scope))
             if scope.cancelled_caught:
@@ -116,7 +116,7 @@
         return answer
 
     async def exchange(
-        self, question: Question[_Answer], received: Callable[[], None] = lambda: None
+        self, question: LinkRequest[_Answer], received: Callable[[], None] = lambda: None
     ) -> _Answer:
         """Send a request over an open connection and return its answer.
 
@@ -124,9 +124,9 @@
         request isn't acknowledged in time.
         """
         sent_at = trio.current_time()
-        arrives_at = self._link.send(self._home.other, question.size, question.purpose)
+        arrives_at = self._link.send(self._caller_region.other, question.size, question.purpose)
         exchange = _Exchange(question, arrives_at, received)
-        self._link.go_on(lambda: self._serve(exchange))
+        self._link.run_in_background(lambda: self._serve(exchange))
         try:
             if arrives_at + DELAY_SECONDS - sent_at > self._unacknowledged:
                 await trio.sleep_until(sent_at + self._unacknowledged)
@@ -134,21 +134,21 @@
             await exchange.done.wait()
         finally:
             if not exchange.done.is_set():
-                self._link.go_on(lambda: self._reset(exchange))
+                self._link.run_in_background(lambda: self._reset(exchange))
         assert exchange.answer is not None
         return exchange.answer
 
-    async def _connect(self, is_greeting: bool, fresh: bool, seconds: float) -> None:
+    async def _connect(self, is_handshake: bool, fresh: bool, seconds: float) -> None:
         if self._idle and not fresh:
             self._idle -= 1
             return
         with trio.move_on_after(seconds) as scope:
-            await self._link.carry(self._home.other, PACKET_BYTES, Purpose.OTHER)
-            await self._link.carry(self._home, PACKET_BYTES, Purpose.OTHER)
+            await self._link.carry(self._caller_region.other, PACKET_BYTES, Purpose.OTHER)
+            await self._link.carry(self._caller_region, PACKET_BYTES, Purpose.OTHER)
         if scope.cancelled_caught:
             raise ConnectError("can't connect in time")
-        if self._greet is not None and not is_greeting:
-            await self._greet(self)
+        if self._handshake is not None and not is_handshake:
+            await self._handshake(self)
 
     async def _serve(self, exchange: _Exchange[_Answer]) -> None:
         """Serve the request in the other region and send the answer back."""
@@ -159,14 +159,14 @@
             if answer is None:
                 return
             size, purpose = question.answer_size(answer), question.answer_purpose(answer)
-            await self._link.stream(self._home, size, purpose, exchange.received)
+            await self._link.stream(self._caller_region, size, purpose, exchange.received)
             exchange.answer = answer
             exchange.done.set()
 
     async def _reset(self, exchange: _Exchange[_Answer]) -> None:
         """Close the connection; the server continues until the reset packet arrives."""
         exchange.received = lambda: None
-        await self._link.carry(self._home.other, PACKET_BYTES, Purpose.OTHER)
+        await self._link.carry(self._caller_region.other, PACKET_BYTES, Purpose.OTHER)
         exchange.served.cancel()
 
     def _put_off(self, scope: trio.CancelScope) -> None:
--- a/fireflyfork_standins/scheduling/_linked_executors.py
+++ b/fireflyfork_standins/scheduling/_linked_executors.py
@@ -22,7 +22,7 @@
 )
 from fireflyfork.platform._executor_client import CALL_TIMEOUT_SECONDS
 
-from ._link_calls import LinkCalls, Question
+from ._link_calls import LinkCalls, LinkRequest
 from ._region_link import Purpose, Region, RegionLink
 
 POLL_BYTES = 300
@@ -44,7 +44,7 @@
         self,
         inner: ExecutorCalls,
         link: RegionLink,
-        home: Region,
+        caller_region: Region,
         regions: Mapping[ExecutorId, Region],
     ) -> None:
         """Prepare calls from an instance in ``caller_region``.
@@ -53,7 +53,7 @@
         """
         self._inner = inner
         self._link = link
-        self._home = home
+        self._caller_region = caller_region
         self._regions = regions
         self._kept: dict[ExecutorId, tuple[ExecutorEndpoint, FencingToken, LinkCalls]] = {}
 
@@ -94,12 +94,12 @@
         """See ExecutorCalls."""
         if not self._crosses(place):
             return await self._inner.poll(place, token, request, fresh)
-        harmless = not request.forget_ends_to and request.lease_until_ms is None
+        is_read_only = not request.forget_ends_to and request.lease_until_ms is None
         extra = request.wait_seconds + request.patience_seconds - CALL_TIMEOUT_SECONDS
         calls = self._calls_to(place, token)
         try:
-            return await calls.call(self._poll(place, token, request), extra, harmless, fresh)
-        except _NotGreetedError as error:
+            return await calls.call(self._poll(place, token, request), extra, is_read_only, fresh)
+        except _HandshakeError as error:
             return error.answer
         except HttpError:
             return PollAnswer(CallOutcome.UNKNOWN)
@@ -117,7 +117,7 @@
             answer = await ask()
             return None if answer.outcome is CallOutcome.UNKNOWN else answer
 
-        question = Question(
+        question = LinkRequest(
             ORDER_BYTES,
             Purpose.ORDERS,
             served,
@@ -126,19 +126,19 @@
         )
         try:
             return await self._calls_to(place, token).call(question)
-        except _NotGreetedError as error:
+        except _HandshakeError as error:
             return OrderAnswer(error.answer.outcome, None, error.answer.incarnation)
         except HttpError:
             return OrderAnswer(CallOutcome.UNKNOWN, None)
 
     def _poll(
         self, place: ExecutorEndpoint, token: FencingToken, request: PollRequest
-    ) -> Question[PollAnswer]:
+    ) -> LinkRequest[PollAnswer]:
         async def served() -> PollAnswer | None:
             answer = await self._inner.poll(place, token, request)
             return None if answer.outcome is CallOutcome.UNKNOWN else answer
 
-        return Question(
+        return LinkRequest(
             POLL_BYTES,
             Purpose.POLLS,
             served,
@@ -146,25 +146,27 @@
             lambda _: Purpose.POLLS,
         )
 
-    async def _greet(self, place: ExecutorEndpoint, token: FencingToken, calls: LinkCalls) -> None:
+    async def _check_incarnation(
+        self, place: ExecutorEndpoint, token: FencingToken, calls: LinkCalls
+    ) -> None:
         """Check on a new connection that it leads to the expected incarnation."""
         if place.incarnation == ANY_INCARNATION:
             return
         request = PollRequest(0, None, 0.0, CALL_TIMEOUT_SECONDS)
         answer = await calls.exchange(self._poll(place, token, request))
         if answer.outcome is not CallOutcome.ACCEPTED:
-            raise _NotGreetedError(answer)
+            raise _HandshakeError(answer)
 
     def _calls_to(self, place: ExecutorEndpoint, token: FencingToken) -> LinkCalls:
         known = self._kept.get(place.executor)
         if known is not None and known[:2] == (place, token):
             return known[2]
-        greet = partial(self._greet, place, token)
+        greet = partial(self._check_incarnation, place, token)
         calls = LinkCalls(
             self._link,
-            self._home,
+            self._caller_region,
             CALL_TIMEOUT_SECONDS,
-            greet=greet,
+            handshake=greet,
             unacknowledged=MAX_CALL_SECONDS,
             connects_patiently=True,
         )
@@ -172,10 +174,10 @@
         return calls
 
     def _crosses(self, place: ExecutorEndpoint) -> bool:
-        return self._regions[place.executor] is not self._home
+        return self._regions[place.executor] is not self._caller_region
 
 
-class _NotGreetedError(HttpError):
+class _HandshakeError(HttpError):
     """A new connection leads to another incarnation, or the executor refuses the caller."""
 
     def __init__(self, answer: PollAnswer) -> None:
--- a/fireflyfork_standins/scheduling/_linked_store.py
+++ b/fireflyfork_standins/scheduling/_linked_store.py
@@ -25,7 +25,7 @@
     READ_TIMEOUT_SECONDS,
 )
 
-from ._link_calls import LinkCalls, Question
+from ._link_calls import LinkCalls, LinkRequest
 from ._region_link import Purpose, Region, RegionLink
 
 CALL_BYTES = 250
@@ -37,14 +37,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Answered(Generic[_Found]):
+class _StoreAnswer(Generic[_Found]):
     """An answer of the store: a value or an error."""
 
-    found: _Found | None = None
+    result: _Found | None = None
     error: StoreError | None = None
 
 
-def carried_bytes(value: bytes) -> int:
+def item_bytes(value: bytes) -> int:
     """Return the size of an item with this value on the wire, where values are base64."""
     return -(-len(value) // 3) * 4 + ITEM_BYTES
 
@@ -55,16 +55,18 @@
     Timeouts and retries are the same as in the client of the platform's store.
     """
 
-    def __init__(self, inner: CoordinationStore, link: RegionLink, home: Region) -> None:
+    def __init__(self, inner: CoordinationStore, link: RegionLink, caller_region: Region) -> None:
         """Prepare calls from ``caller_region``; ``inner`` is a client without a link."""
         self._inner = inner
         self._link = link
-        self._home = home
-        self.begin_life()
+        self._caller_region = caller_region
+        self.reset()
 
-    def begin_life(self) -> None:
+    def reset(self) -> None:
         """Reset to the state of a new process, without connections or counted failures."""
-        self._calls = LinkCalls(self._link, self._home, CALL_TIMEOUT_SECONDS, READ_TIMEOUT_SECONDS)
+        self._calls = LinkCalls(
+            self._link, self._caller_region, CALL_TIMEOUT_SECONDS, READ_TIMEOUT_SECONDS
+        )
         self._failures = 0
 
     @property
@@ -107,7 +109,7 @@
         """See CoordinationStore."""
         return await self._ask(
             lambda: self._inner.commit(expected, puts, removals),
-            sent=sum(carried_bytes(put.value) for put in puts),
+            sent=sum(item_bytes(put.value) for put in puts),
         )
 
     async def grant_lease(self, seconds: float) -> LeaseId:
@@ -129,24 +131,24 @@
         sent: int = 0,
         extra_seconds: float = 0.0,
     ) -> _Found:
-        async def served() -> _Answered[_Found] | None:
+        async def served() -> _StoreAnswer[_Found] | None:
             try:
-                return _Answered(await serve())
+                return _StoreAnswer(await serve())
             except StoreRefusedError as error:
-                return _Answered(error=error)
+                return _StoreAnswer(error=error)
             except StoreUnavailableError:
                 return None
             except StoreError as error:
-                return _Answered(error=error)
+                return _StoreAnswer(error=error)
 
-        def held(answer: _Answered[_Found]) -> list[StoredItem]:
-            return list(items(answer.found)) if answer.error is None else []  # type: ignore[arg-type]
+        def held(answer: _StoreAnswer[_Found]) -> list[StoredItem]:
+            return list(items(answer.result)) if answer.error is None else []  # type: ignore[arg-type]
 
-        question = Question(
+        question = LinkRequest(
             CALL_BYTES + sent,
             Purpose.OTHER,
             served,
-            lambda answer: CALL_BYTES + sum(carried_bytes(one.value) for one in held(answer)),
+            lambda answer: CALL_BYTES + sum(item_bytes(item.value) for item in held(answer)),
             lambda answer: _purpose(held(answer)),
         )
         try:
@@ -163,7 +165,7 @@
         self._failures = 0
         if answer.error is not None:
             raise answer.error
-        return answer.found  # type: ignore[return-value]
+        return answer.result  # type: ignore[return-value]
 
 
 def _purpose(items: Iterable[StoredItem]) -> Purpose:
--- a/fireflyfork_standins/scheduling/_machines.py
+++ b/fireflyfork_standins/scheduling/_machines.py
@@ -18,7 +18,7 @@
 LATENCY_SECONDS = 0.01
 TIMEOUT_SECONDS = 2.0
 UPKEEP_SECONDS = 2.0
-LATE_SECONDS = (1.0, 6.0)
+LATE_DELAY_SECONDS = (1.0, 6.0)
 
 
 @dataclass(slots=True)
@@ -61,7 +61,9 @@
         self.trouble = MachinesTrouble()
         self.waves: list[UpkeepWave] = []
         self._service = service
-        self._machines = {machine_of(name): _Machine(one) for name, one in executors.items()}
+        self._machines = {
+            machine_of(name): _Machine(executor) for name, executor in executors.items()
+        }
         self._history = history
         self._random = random
 
@@ -96,7 +98,7 @@
         Records a violation if too many machines of the wave are down or the machine still runs tasks.
         """
         machine = self._machines.get(name)
-        known = next((one for one in self.waves if one.number == wave), None)
+        known = next((other for other in self.waves if other.number == wave), None)
         if machine is None:
             return UpkeepOutcome.UNKNOWN_MACHINE
         if token < machine.token:
@@ -109,35 +111,35 @@
         if machine.state is not MachineState.UP or not machine.executor.up:
             return UpkeepOutcome.BUSY
         down = sum(
-            self._machines[one].state is MachineState.UPKEEP
-            and self._machines[one].down_for == wave
-            for one in known.machines
+            self._machines[other].state is MachineState.UPKEEP
+            and self._machines[other].down_for == wave
+            for other in known.machines
         )
         if down >= known.max_at_once:
-            self._history.broken("upkeep limit", f"{name} goes down beside {down} others")
+            self._history.record_violation("upkeep limit", f"{name} goes down beside {down} others")
         if machine.executor.running:
             work = ", ".join(machine.executor.running)
-            self._history.broken("upkeep", f"{name} goes down with {work}")
+            self._history.record_violation("upkeep", f"{name} goes down with {work}")
         machine.waves.add(wave)
         machine.down_for = wave
         machine.state = MachineState.UPKEEP
         machine.executor.crash()
         machine.executor.unregister()
-        nursery.start_soon(self._come_back, machine)
+        nursery.start_soon(self._end_upkeep, machine)
         return UpkeepOutcome.ACCEPTED
 
-    async def _come_back(self, machine: _Machine) -> None:
+    async def _end_upkeep(self, machine: _Machine) -> None:
         await trio.sleep(UPKEEP_SECONDS)
         machine.state = MachineState.UP
-        machine.executor.begin_again()
+        machine.executor.restart()
 
     def draws(self, share: float) -> bool:
         """Draw whether a failure with this probability happens to an order."""
         return share > 0 and self._random.random() < share
 
-    async def later(self, carry_out: Callable[[], object]) -> None:
+    async def carry_out_late(self, carry_out: Callable[[], object]) -> None:
         """Carry out an order after a delay drawn from ``LATE_DELAY_SECONDS``."""
-        await trio.sleep(self._random.uniform(*LATE_SECONDS))
+        await trio.sleep(self._random.uniform(*LATE_DELAY_SECONDS))
         carry_out()
 
 
@@ -160,7 +162,7 @@
             return self._machines.order(machine, wave, token, self._nursery)
 
         if self._machines.draws(trouble.late_share):
-            self._nursery.start_soon(self._machines.later, carry_out)
+            self._nursery.start_soon(self._machines.carry_out_late, carry_out)
             await trio.sleep(TIMEOUT_SECONDS)
             return UpkeepOutcome.UNKNOWN
         outcome = carry_out()
--- a/fireflyfork_standins/scheduling/_nodes.py
+++ b/fireflyfork_standins/scheduling/_nodes.py
@@ -74,7 +74,7 @@
         return UNIX_MS_AT_START + int(trio.current_time() * 1000)
 
 
-class _GatedStore(CoordinationStore):
+class _FreezableStore(CoordinationStore):
     """A store client that delays calls and answers while its instance is frozen."""
 
     def __init__(self, inner: CoordinationStore, node: StandInNode) -> None:
@@ -86,21 +86,21 @@
         return self._inner.is_responsive
 
     async def read(self, key: str) -> StoredItem | None:
-        await self._node.awake()
+        await self._node.wait_awake()
         item = await self._inner.read(key)
-        await self._node.awake()
+        await self._node.wait_awake()
         return item
 
     async def list(self, prefix: str) -> StoreListing:
-        await self._node.awake()
+        await self._node.wait_awake()
         listing = await self._inner.list(prefix)
-        await self._node.awake()
+        await self._node.wait_awake()
         return listing
 
     async def changes(self, prefix: str, after: Revision, wait_seconds: float) -> StoreChanges:
-        await self._node.awake()
+        await self._node.wait_awake()
         changes = await self._inner.changes(prefix, after, wait_seconds)
-        await self._node.awake()
+        await self._node.wait_awake()
         return changes
 
     async def commit(
@@ -109,29 +109,29 @@
         puts: tuple[Put, ...] = (),
         removals: tuple[str, ...] = (),
     ) -> Revision:
-        await self._node.awake()
+        await self._node.wait_awake()
         revision = await self._inner.commit(expected, puts, removals)
-        await self._node.awake()
+        await self._node.wait_awake()
         return revision
 
     async def grant_lease(self, seconds: float) -> LeaseId:
-        await self._node.awake()
+        await self._node.wait_awake()
         lease = await self._inner.grant_lease(seconds)
-        await self._node.awake()
+        await self._node.wait_awake()
         return lease
 
     async def keep_lease(self, lease: LeaseId) -> None:
-        await self._node.awake()
+        await self._node.wait_awake()
         await self._inner.keep_lease(lease)
-        await self._node.awake()
+        await self._node.wait_awake()
 
     async def end_lease(self, lease: LeaseId) -> None:
-        await self._node.awake()
+        await self._node.wait_awake()
         await self._inner.end_lease(lease)
-        await self._node.awake()
+        await self._node.wait_awake()
 
 
-class _GatedCalls(ExecutorCalls):
+class _FreezableExecutorCalls(ExecutorCalls):
     """Calls to executors, delayed while the calling instance is frozen."""
 
     def __init__(self, inner: ExecutorCalls, node: StandInNode) -> None:
@@ -141,17 +141,17 @@
     async def start(
         self, place: ExecutorEndpoint, token: FencingToken, order: StartRequest
     ) -> OrderAnswer:
-        await self._node.awake()
+        await self._node.wait_awake()
         answer = await self._inner.start(place, token, order)
-        await self._node.awake()
+        await self._node.wait_awake()
         return answer
 
     async def stop(
         self, place: ExecutorEndpoint, token: FencingToken, task: TaskName, attempt: AttemptNumber
     ) -> OrderAnswer:
-        await self._node.awake()
+        await self._node.wait_awake()
         answer = await self._inner.stop(place, token, task, attempt)
-        await self._node.awake()
+        await self._node.wait_awake()
         return answer
 
     async def pace(
@@ -162,9 +162,9 @@
         attempt: AttemptNumber,
         percent: int,
     ) -> OrderAnswer:
-        await self._node.awake()
+        await self._node.wait_awake()
         answer = await self._inner.pace(place, token, task, attempt, percent)
-        await self._node.awake()
+        await self._node.wait_awake()
         return answer
 
     async def poll(
@@ -174,16 +174,16 @@
         request: PollRequest,
         fresh: bool = False,
     ) -> PollAnswer:
-        await self._node.awake()
+        await self._node.wait_awake()
         answer = await self._inner.poll(place, token, request, fresh)
-        await self._node.awake()
+        await self._node.wait_awake()
         return answer
 
     def forget(self, executor: ExecutorId) -> None:
         self._inner.forget(executor)
 
 
-class _GatedMachines(MachineCalls):
+class _FreezableMachineCalls(MachineCalls):
     """Calls about machines, delayed while the calling instance is frozen."""
 
     def __init__(self, inner: MachineCalls, node: StandInNode) -> None:
@@ -191,17 +191,17 @@
         self._node = node
 
     async def list(self) -> tuple[MachineListing, ...] | None:
-        await self._node.awake()
+        await self._node.wait_awake()
         listing = await self._inner.list()
-        await self._node.awake()
+        await self._node.wait_awake()
         return listing
 
     async def begin_upkeep(
         self, machine: MachineId, wave: int, holder: NodeName, token: FencingToken
     ) -> UpkeepOutcome:
-        await self._node.awake()
+        await self._node.wait_awake()
         outcome = await self._inner.begin_upkeep(machine, wave, holder, token)
-        await self._node.awake()
+        await self._node.wait_awake()
         return outcome
 
 
@@ -230,16 +230,16 @@
         self._link_mbps = link_mbps
         self._service = service
         self._site = site
-        near = store.client(name, link_mbps)
-        self._reached_store = near if site is None else site.store(near)
-        self._store = _GatedStore(self._reached_store, self)
+        local_store = store.client(name, link_mbps)
+        self._reached_store = local_store if site is None else site.store(local_store)
+        self._store = _FreezableStore(self._reached_store, self)
         self._executors = executors
         self._random = random
         self._bounds = bounds
         self._fixed = FixedConfiguration(queues)
         self._source: ConfigurationSource = self._fixed
         self._machines = machines
-        self._life: trio.CancelScope | None = None
+        self._process_scope: trio.CancelScope | None = None
         self._candidate: ServiceCandidate | None = None
         self._awake = trio.Event()
         self._awake.set()
@@ -248,35 +248,35 @@
     @property
     def up(self) -> bool:
         """Whether the process of the instance is running."""
-        return self._life is not None
+        return self._process_scope is not None
 
     @property
-    def serves(self) -> bool:
+    def is_configured(self) -> bool:
         """Whether the process is running and has received a configuration."""
         return self.up and self._source.table is not None
 
     @property
-    def owns(self) -> bool:
+    def is_owner(self) -> bool:
         """Whether the instance considers itself the owner of the service."""
         return self._candidate is not None and self._candidate.owner is not None
 
     @property
-    def decides(self) -> bool:
+    def is_active_owner(self) -> bool:
         """Whether the instance owns the service and has finished its recovery from the store."""
         owner = self._candidate.owner if self._candidate is not None else None
         return owner is not None and owner.ready
 
-    async def awake(self) -> None:
+    async def wait_awake(self) -> None:
         """Wait until the instance isn't frozen."""
         await self._awake.wait()
 
-    async def live(self, nursery: trio.Nursery) -> None:
+    async def run_process(self, nursery: trio.Nursery) -> None:
         """Run one process of the instance until it is killed or stopped.
 
         Late orders to executors and machines continue in ``nursery`` afterwards.
         """
         if isinstance(self._reached_store, LinkedStoreClient):
-            self._reached_store.begin_life()
+            self._reached_store.reset()
         announcements = Announcements(
             self.name,
             PROCESSORS,
@@ -287,8 +287,10 @@
             replica=self._site.replica if self._site is not None else None,
         )
         self._source = source = self._make_source(announcements)
-        beside = StandInExecutorCalls(self.name, self._executors, nursery, self._random)
-        calls = _GatedCalls(beside if self._site is None else self._site.calls(beside), self)
+        local_calls = StandInExecutorCalls(self.name, self._executors, nursery, self._random)
+        calls = _FreezableExecutorCalls(
+            local_calls if self._site is None else self._site.calls(local_calls), self
+        )
         self._candidate = ServiceCandidate(
             self._service,
             self.name,
@@ -296,7 +298,7 @@
                 self._store,
                 calls,
                 NoAdvisor(),
-                _GatedMachines(self._machines.client(nursery), self),
+                _FreezableMachineCalls(self._machines.client(nursery), self),
                 LoopTime(),
                 lambda: calls,
             ),
@@ -308,22 +310,22 @@
             lambda: tuple(self._machines.waves),
             announcements,
         )
-        with trio.CancelScope() as self._life:
-            async with trio.open_nursery() as own:
-                own.start_soon(announcements.run)
+        with trio.CancelScope() as self._process_scope:
+            async with trio.open_nursery() as process_nursery:
+                process_nursery.start_soon(announcements.run)
                 if self._site is not None:
-                    own.start_soon(source.run)
-                    await source.wait_known()
+                    process_nursery.start_soon(source.run)
+                    await source.wait_configured()
                 await self._candidate.run()
-                own.cancel_scope.cancel()
-        self._life = None
+                process_nursery.cancel_scope.cancel()
+        self._process_scope = None
         self._candidate = None
 
     def kill(self) -> None:
         """End the process at once."""
         self.thaw()
-        if self._life is not None:
-            self._life.cancel()
+        if self._process_scope is not None:
+            self._process_scope.cancel()
 
     async def stop(self) -> None:
         """Stop the process gracefully."""
@@ -343,7 +345,7 @@
         if self._site is None:
             return self._fixed
         return self._site.make_source(
-            self._store, VirtualClock(), self._configured, announcements, self.awake
+            self._store, VirtualClock(), self._configured, announcements, self.wait_awake
         )
 
     @staticmethod
--- a/fireflyfork_standins/scheduling/_region_link.py
+++ b/fireflyfork_standins/scheduling/_region_link.py
@@ -62,7 +62,7 @@
             finally:
                 self._nursery = None
 
-    def go_on(self, task: Callable[[], Awaitable[None]]) -> None:
+    def run_in_background(self, task: Callable[[], Awaitable[None]]) -> None:
         """Run a task of the remote end, which continues if the caller ends."""
         if self._nursery is not None:
             self._nursery.start_soon(task)
@@ -85,12 +85,12 @@
 
         ``received`` is called for each segment that arrives.
         """
-        under_way: deque[float] = deque()
-        left = size
-        while left or under_way:
-            while left and len(under_way) * SEGMENT_BYTES < WINDOW_BYTES:
-                part = min(left, SEGMENT_BYTES)
-                left -= part
-                under_way.append(self.send(towards, part, purpose))
-            await trio.sleep_until(under_way.popleft())
+        in_flight: deque[float] = deque()
+        remaining = size
+        while remaining or in_flight:
+            while remaining and len(in_flight) * SEGMENT_BYTES < WINDOW_BYTES:
+                part = min(remaining, SEGMENT_BYTES)
+                remaining -= part
+                in_flight.append(self.send(towards, part, purpose))
+            await trio.sleep_until(in_flight.popleft())
             received()
--- a/fireflyfork_standins/scheduling/_regions.py
+++ b/fireflyfork_standins/scheduling/_regions.py
@@ -16,14 +16,14 @@
 from fireflyfork.programs._clocks import Clock
 
 from ._configuration_sources import (
-    Awake,
-    Changed,
     ConfigurationSource,
-    MakeSource,
     ReplicatedConfiguration,
+    SourceFactory,
+    TableListener,
+    WaitAwake,
 )
 from ._linked_executors import LinkedExecutorCalls
-from ._linked_store import LinkedStoreClient, carried_bytes
+from ._linked_store import LinkedStoreClient, item_bytes
 from ._region_link import Purpose, Region, RegionLink
 from ._replicas import ReplicaNetwork
 from ._store import StandInStore
@@ -76,19 +76,19 @@
     failure_domain: FailureDomainName
     link: RegionLink
     executor_regions: Mapping[ExecutorId, Region]
-    make_source: MakeSource
+    make_source: SourceFactory
     replica: Address
     """The address that an instance announces for its replica of the configuration."""
 
-    def store(self, near: CoordinationStore) -> CoordinationStore:
+    def store(self, local_store: CoordinationStore) -> CoordinationStore:
         """Return a store client for this region; ``local_store`` is one without a link."""
         if self.region is Region.NEAR:
-            return near
-        return LinkedStoreClient(near, self.link, self.region)
+            return local_store
+        return LinkedStoreClient(local_store, self.link, self.region)
 
-    def calls(self, beside: ExecutorCalls) -> ExecutorCalls:
+    def calls(self, local_calls: ExecutorCalls) -> ExecutorCalls:
         """Return the executor calls of this region; ``local_calls`` are calls without a link."""
-        return LinkedExecutorCalls(beside, self.link, self.region, self.executor_regions)
+        return LinkedExecutorCalls(local_calls, self.link, self.region, self.executor_regions)
 
 
 class RegionMap:
@@ -124,9 +124,9 @@
         def make_source(
             store: CoordinationStore,
             clock: Clock,
-            changed: Changed,
+            changed: TableListener,
             announcements: Announcements,
-            awake: Awake,
+            awake: WaitAwake,
         ) -> ConfigurationSource:
             return ReplicatedConfiguration(
                 instance_name(number),
@@ -217,7 +217,7 @@
     def _write(self) -> None:
         self._version += 1
         value = encode_configuration(self._version, self._service, self._added)
-        self.carried_bytes += carried_bytes(value)
+        self.carried_bytes += item_bytes(value)
         self._store.put(CONFIGURATION_KEY, value)
 
 
--- a/fireflyfork_standins/scheduling/_replicas.py
+++ b/fireflyfork_standins/scheduling/_replicas.py
@@ -23,7 +23,7 @@
 from fireflyfork.adapters._replica_client import SILENT_SECONDS
 from fireflyfork.adapters._replica_messages import Ask, ItemEncoder
 
-Carry = Callable[[NodeName, NodeName, int], Awaitable[None]]
+Transfer = Callable[[NodeName, NodeName, int], Awaitable[None]]
 """Transfers a number of bytes from the first instance to the second."""
 
 
@@ -38,7 +38,7 @@
     sources: dict[NodeName, ReplicaSource] = field(default_factory=dict)
     frozen: set[NodeName] = field(default_factory=set)
     """Instances that accept connections but answer nothing."""
-    carry: Carry = _at_once
+    carry: Transfer = _at_once
 
 
 class StandInReplicaPeers(ReplicaPeers):
@@ -48,12 +48,12 @@
         self,
         node: NodeName,
         network: ReplicaNetwork,
-        awake: Callable[[], Awaitable[None]] = trio.lowlevel.checkpoint,
+        wait_awake: Callable[[], Awaitable[None]] = trio.lowlevel.checkpoint,
     ) -> None:
         """Connect from ``node``; ``wait_awake`` waits while ``node`` is frozen."""
         self._node = node
         self._network = network
-        self._awake = awake
+        self._awake = wait_awake
 
     @asynccontextmanager
     async def connect(self, place: ReplicaEndpoint) -> AsyncIterator[ReplicaPeer]:
--- a/fireflyfork_standins/scheduling/_store.py
+++ b/fireflyfork_standins/scheduling/_store.py
@@ -29,7 +29,7 @@
 
 LATENCY_SECONDS = 0.004
 TIMEOUT_SECONDS = 0.9
-LATE_SECONDS = (0.5, 4.0)
+LATE_DELAY_SECONDS = (0.5, 4.0)
 """Range of the delay with which a change takes effect that was lost and applied late."""
 PAGE_ITEMS = 100
 LINK_MBPS = 1000.0
@@ -114,7 +114,7 @@
         """Return the item of a key, or None."""
         return self._items.get(key)
 
-    def under(self, prefix: str) -> tuple[StoredItem, ...]:
+    def items_under(self, prefix: str) -> tuple[StoredItem, ...]:
         """Return all items whose keys start with ``prefix``, sorted by key."""
         return tuple(self._items[key] for key in sorted(self._items) if key.startswith(prefix))
 
@@ -200,23 +200,23 @@
             known.until = 0.0
             self._end_leases()
 
-    async def changed(self) -> None:
+    async def wait_changed(self) -> None:
         """Wait for the next change."""
         await self._changed.wait()
 
-    def later(
-        self, expected: dict[str, Revision], puts: tuple[Put, ...], gone: tuple[str, ...]
+    def schedule_late(
+        self, expected: dict[str, Revision], puts: tuple[Put, ...], removals: tuple[str, ...]
     ) -> None:
         """Apply a transaction some seconds later, if its conditions still hold then."""
         if self._nursery is not None:
-            self._nursery.start_soon(self._apply_late, expected, puts, gone)
+            self._nursery.start_soon(self._apply_late, expected, puts, removals)
 
     async def _apply_late(
-        self, expected: dict[str, Revision], puts: tuple[Put, ...], gone: tuple[str, ...]
+        self, expected: dict[str, Revision], puts: tuple[Put, ...], removals: tuple[str, ...]
     ) -> None:
-        await trio.sleep(self._random.uniform(*LATE_SECONDS))
+        await trio.sleep(self._random.uniform(*LATE_DELAY_SECONDS))
         with suppress(TransactionConflictError, LeaseEndedError):
-            self.apply(expected, puts, gone)
+            self.apply(expected, puts, removals)
 
     def draws(self, share: float) -> bool:
         """Draw whether a failure with this probability happens."""
@@ -249,8 +249,8 @@
     def is_responsive(self) -> bool:
         """See CoordinationStore."""
         trouble = self._store.trouble
-        away = self._node in trouble.refused or self._node in trouble.silent
-        return not (trouble.down or away)
+        is_unreachable = self._node in trouble.refused or self._node in trouble.silent
+        return not (trouble.down or is_unreachable)
 
     async def read(self, key: str) -> StoredItem | None:
         """See CoordinationStore."""
@@ -264,7 +264,9 @@
         items: list[StoredItem] = []
         while True:
             after = items[-1].key if items else ""
-            page = [item for item in self._store.under(prefix) if item.key > after][:PAGE_ITEMS]
+            page = [item for item in self._store.items_under(prefix) if item.key > after][
+                :PAGE_ITEMS
+            ]
             items.extend(page)
             await self._transfer(len(item.value) for item in page)
             if len(page) < PAGE_ITEMS:
@@ -279,11 +281,11 @@
             raise StoreUnavailableError("no answer")
         with trio.move_on_after(wait_seconds):
             while not self._store.changes_after(prefix, after):
-                await self._store.changed()
+                await self._store.wait_changed()
         self._fail_if_unreachable()
-        found, as_of = self._store.changes_after(prefix, after), self._store.revision
-        await self._transfer(len(change.item.value) for change in found if change.item)
-        return StoreChanges(found, as_of)
+        changes, as_of = self._store.changes_after(prefix, after), self._store.revision
+        await self._transfer(len(change.item.value) for change in changes if change.item)
+        return StoreChanges(changes, as_of)
 
     async def commit(
         self,
@@ -296,7 +298,7 @@
         trouble = self._store.trouble
         if self._store.draws(trouble.lost_share):
             if self._store.draws(trouble.late_share):
-                self._store.later(expected, puts, removals)
+                self._store.schedule_late(expected, puts, removals)
             else:
                 # The caller gets no answer, so it doesn't learn whether the transaction failed.
                 with suppress(TransactionConflictError, LeaseEndedError):
--- a/fireflyfork_standins/scheduling/_troubles.py
+++ b/fireflyfork_standins/scheduling/_troubles.py
@@ -93,7 +93,9 @@
             self.log.append(f"{trio.current_time():.2f} {kind}")
             nursery.start_soon(getattr(self, f"_{kind}"), nursery)
 
-    async def happen(self, planned: tuple[tuple[float, str], ...], nursery: trio.Nursery) -> None:
+    async def run_planned(
+        self, planned: tuple[tuple[float, str], ...], nursery: trio.Nursery
+    ) -> None:
         """Inject each planned kind at its time, given in seconds from now."""
         begun = trio.current_time()
         for at, kind in planned:
@@ -103,7 +105,7 @@
 
     def _some_node(self) -> StandInNode:
         """Draw an instance. The owner is preferred because trouble there has the most effects."""
-        owners = [node for node in self._nodes if node.owns]
+        owners = [node for node in self._nodes if node.is_owner]
         if owners and self._random.random() < 0.7:
             return owners[0]
         return self._random.choice(self._nodes)
@@ -127,7 +129,7 @@
         node.kill()
         await trio.sleep(after)
         if not node.up:
-            nursery.start_soon(node.live, nursery)
+            nursery.start_soon(node.run_process, nursery)
 
     async def _freeze(self, _: trio.Nursery) -> None:
         node = self._some_node()
@@ -142,24 +144,24 @@
         if not node.up:
             await trio.sleep(RESTART_SECONDS)
             if not node.up:
-                nursery.start_soon(node.live, nursery)
+                nursery.start_soon(node.run_process, nursery)
 
     async def _graceful_stop(self, nursery: trio.Nursery) -> None:
         """As the platform does it: the process has seconds to end what it has begun."""
         node = self._some_node()
-        if node.decides:
+        if node.is_active_owner:
             nursery.start_soon(self._time_hand_over, node)
         await node.stop()
         await trio.sleep(GRACE_SECONDS)
         node.kill()
         await trio.sleep(RESTART_SECONDS)
         if not node.up:
-            nursery.start_soon(node.live, nursery)
+            nursery.start_soon(node.run_process, nursery)
 
     async def _time_hand_over(self, stopped: StandInNode) -> None:
         others = [node for node in self._nodes if node is not stopped]
         begun = trio.current_time()
-        while not any(node.decides for node in others):
+        while not any(node.is_active_owner for node in others):
             await trio.sleep(0.01)
             if not any(node.up for node in others):
                 # All instances are being restarted, so none can take over.
@@ -197,14 +199,14 @@
         await trio.sleep(4.5)
         executor.unregister()
         await trio.sleep(self._for_seconds())
-        executor.begin_again()
+        executor.restart()
 
     async def _executor_reborn(self, _: trio.Nursery) -> None:
         executor = self._some_executor()
         if executor.up:
             executor.crash()
             await trio.sleep(self._random.uniform(0.05, 1.0))
-            executor.begin_again()
+            executor.restart()
 
     async def _executor_flaps(self, _: trio.Nursery) -> None:
         """Crash and restart one executor repeatedly."""
@@ -214,17 +216,17 @@
                 executor.crash()
             await trio.sleep(self._random.uniform(*FLAP_SECONDS))
             if not executor.up:
-                executor.begin_again()
+                executor.restart()
             await trio.sleep(self._random.uniform(*FLAP_SECONDS))
 
     async def _executor_reborn_cut(self, _: trio.Nursery) -> None:
         """Restart an executor while a call is in transit, then cut it off from all instances."""
         executor = self._some_executor()
-        executor.trouble.reborn_at_call = True
+        executor.trouble.restarts_at_next_call = True
         with trio.move_on_after(CALL_WAIT_SECONDS):
-            while executor.trouble.reborn_at_call:
+            while executor.trouble.restarts_at_next_call:
                 await trio.sleep(0.005)
-        executor.trouble.reborn_at_call = False
+        executor.trouble.restarts_at_next_call = False
         await trio.sleep(self._random.uniform(0.0, 0.1))
         cut = {node.name for node in self._nodes}
         executor.trouble.unreachable_from |= cut
@@ -235,10 +237,10 @@
         """Delay the answers of some executors by seconds, as over a saturated link."""
         for executor in self._executors.values():
             if self._random.random() < LATE_ANSWERS_SHARE:
-                executor.trouble.answers_after = self._random.uniform(*LATE_ANSWER_SECONDS)
+                executor.trouble.answer_delay_seconds = self._random.uniform(*LATE_ANSWER_SECONDS)
         await trio.sleep(self._random.uniform(5.0, 8.0))
         for executor in self._executors.values():
-            executor.trouble.answers_after = 0.0
+            executor.trouble.answer_delay_seconds = 0.0
 
     async def _executor_cut(self, _: trio.Nursery) -> None:
         executor = self._some_executor()
@@ -264,9 +266,9 @@
 
     async def _executor_stalls(self, _: trio.Nursery) -> None:
         executor = self._some_executor()
-        executor.trouble.stands_still = True
+        executor.trouble.stalled = True
         await trio.sleep(self._for_seconds())
-        executor.trouble.stands_still = False
+        executor.trouble.stalled = False
 
     async def _upkeep_lost(self, _: trio.Nursery) -> None:
         trouble = self._machines.trouble
--- a/fireflyfork_standins/scheduling/_wire_callers.py
+++ b/fireflyfork_standins/scheduling/_wire_callers.py
@@ -17,16 +17,16 @@
 from ._history import History
 from ._wire_platform import QUEUE_HOST, QUEUE_PREFIX, SERVICE
 
-CALL_SECONDS = 3.0
+CALL_TIMEOUT_SECONDS = 3.0
 RETRY_SECONDS = 0.1
-ASK_SECONDS = 0.05
+STATE_POLL_SECONDS = 0.05
 _HOST: Header = (b"host", QUEUE_HOST.encode("ascii"))
 
 
 class WireCallers:
     """All callers of one simulation."""
 
-    def __init__(self, fronts: tuple[Address, ...], history: History, random: Random) -> None:
+    def __init__(self, instances: tuple[Address, ...], history: History, random: Random) -> None:
         """Call the scheduler at ``instances``. Each job is added to ``history`` before submission."""
         self.tries: Counter[str] = Counter()
         """Number of submission attempts by HTTP status or error."""
@@ -35,7 +35,7 @@
         self.seconds = HdrHistogram(1, 600_000, 3)
         """Time from the first submission attempt of a job until its caller reads a final state, in
         milliseconds."""
-        self._fronts = fronts
+        self._fronts = instances
         self._history = history
         self._random = random
 
@@ -59,14 +59,16 @@
                 await trio.sleep(RETRY_SECONDS)
             self._history.cancelled[name] = trio.current_time()
         while (state := await self._state(name)) not in ("completed", "failed", "cancelled"):
-            await trio.sleep(ASK_SECONDS)
+            await trio.sleep(STATE_POLL_SECONDS)
         self.states[state] += 1
         self.seconds.record_value(int((trio.current_time() - begun) * 1000))
         done = len(self._history.done_tasks(name))
         if state == "completed" and done != spec.task_count:
-            self._history.broken("completed", f"{name}: {done} of {spec.task_count} tasks")
+            self._history.record_violation(
+                "completed", f"{name}: {done} of {spec.task_count} tasks"
+            )
         if state == "cancelled" and not cancels:
-            self._history.broken("cancelled", f"{name} was not cancelled by its caller")
+            self._history.record_violation("cancelled", f"{name} was not cancelled by its caller")
 
     async def _call(self, method: str, name: JobId, body: bytes = b"") -> int:
         status, _ = await self._answered(method, name, body)
@@ -77,13 +79,13 @@
     async def _state(self, name: JobId) -> str:
         status, body = await self._answered("GET", name, b"")
         if status == 410:
-            self._history.broken("kept", f"{name} is not known any more")
+            self._history.record_violation("kept", f"{name} is not known any more")
             return "failed"
         return str(msgspec.json.decode(body)["state"]) if status == 200 else ""
 
     async def _answered(self, method: str, name: JobId, body: bytes) -> tuple[int, bytes]:
         """Send a request to a random instance. Return status and body, status 0 without an answer."""
-        client = HttpClient(self._random.choice(self._fronts), CALL_SECONDS)
+        client = HttpClient(self._random.choice(self._fronts), CALL_TIMEOUT_SECONDS)
         try:
             head, answer = await client.call(method, f"{QUEUE_PREFIX}{name}", (_HOST,), body)
         except HttpError:
--- a/fireflyfork_standins/scheduling/_wire_executor.py
+++ b/fireflyfork_standins/scheduling/_wire_executor.py
@@ -16,7 +16,7 @@
 )
 
 LONGEST_BODY_BYTES = 1 << 20
-PATIENCE_SECONDS = 10.0
+MAX_ANSWER_DELAY_SECONDS = 10.0
 """Limit for the delay of answers to polls. It is long, as clients over sockets have their own
 timeouts."""
 
@@ -27,7 +27,7 @@
     CallOutcome.NO_ROOM: (409, "room"),
     CallOutcome.MALFORMED: (400, ""),
 }
-_END_WORDS = {
+_END_REASONS = {
     EndReason.DONE: "done",
     EndReason.FAILED: "failed",
     EndReason.STOPPED: "stopped",
@@ -51,7 +51,7 @@
     wait_ms: int = 0
 
 
-class ExecutorWire(HttpHandler):
+class ExecutorHttpHandler(HttpHandler):
     """Serves the calls to one executor over HTTP."""
 
     def __init__(self, calls: ExecutorCalls, place: ExecutorEndpoint) -> None:
@@ -82,7 +82,7 @@
                 await _answer(exchange, answer)
             case "/hold":
                 request = PollRequest(
-                    call.last_seen, call.deadline_ms, call.wait_ms / 1000, PATIENCE_SECONDS
+                    call.last_seen, call.deadline_ms, call.wait_ms / 1000, MAX_ANSWER_DELAY_SECONDS
                 )
                 poll = await self._calls.poll(self._place, token, request)
                 await _answer_poll(exchange, poll)
@@ -107,7 +107,7 @@
         for row in poll.running
     ]
     ended = [
-        [row.number, row.task, row.attempt, _END_WORDS[row.reason], row.checkpoint]
+        [row.number, row.task, row.attempt, _END_REASONS[row.reason], row.checkpoint]
         for row in poll.ended
     ]
     body = {"clock_ms": poll.clock_ms, "born": poll.incarnation, "running": running, "ended": ended}
--- a/fireflyfork_standins/scheduling/_wire_platform.py
+++ b/fireflyfork_standins/scheduling/_wire_platform.py
@@ -18,13 +18,13 @@
 from ._executors import StandInExecutor
 from ._history import History
 from ._store import StandInStore
-from ._wire_executor import ExecutorWire
-from ._wire_store import StoreWire
+from ._wire_executor import ExecutorHttpHandler
+from ._wire_store import StoreHttpHandler
 
 HOST = "127.0.0.1"
 SERVICE = ServiceName("desk")
 QUEUE_HOST, QUEUE_PREFIX = "desk.example", "/holds/"
-EVERYBODY = NodeName("everybody")
+ANY_INSTANCE = NodeName("everybody")
 """Placeholder for the calling instance, as calls over loopback don't identify it."""
 
 
@@ -108,12 +108,12 @@
 
     async def run(self, nursery: trio.Nursery) -> None:
         """Serve in ``nursery``. Returns when all sockets listen."""
-        await self._serve(nursery, StoreWire(self.store, EVERYBODY), self._layout.store)
+        await self._serve(nursery, StoreHttpHandler(self.store, ANY_INSTANCE), self._layout.store)
         nursery.start_soon(self.store.run)
-        calls = StandInExecutorCalls(EVERYBODY, self._executors, nursery, self._random)
+        calls = StandInExecutorCalls(ANY_INSTANCE, self._executors, nursery, self._random)
         for number, (name, executor) in enumerate(self._executors.items()):
             place = ExecutorEndpoint(name, self._layout.executor(number), ANY_INCARNATION)
-            await self._serve(nursery, ExecutorWire(calls, place), place.address)
+            await self._serve(nursery, ExecutorHttpHandler(calls, place), place.address)
             nursery.start_soon(executor.run)
         self.store.put(CONFIGURATION_KEY, _configuration())
 
--- a/fireflyfork_standins/scheduling/_wire_store.py
+++ b/fireflyfork_standins/scheduling/_wire_store.py
@@ -44,7 +44,7 @@
     ttl_ms: int
 
 
-class StoreWire(HttpHandler):
+class StoreHttpHandler(HttpHandler):
     """Serves all calls to the store over HTTP."""
 
     def __init__(self, store: StandInStore, node: NodeName) -> None:
@@ -62,8 +62,8 @@
             await exchange.answer_json(404, {})
         except TransactionConflictError as error:
             items = [
-                {"key": key, "value": _base64(one.value), "revision": one.revision}
-                for key, one in error.current_versions.items()
+                {"key": key, "value": _base64(version.value), "revision": version.revision}
+                for key, version in error.current_versions.items()
             ]
             await exchange.answer_json(412, {"items": items})
         except StoreRefusedError:
@@ -105,7 +105,7 @@
         # The simulated client lists all pages at once, but callers over HTTP request single pages.
         # This read only applies the failures and the latency of a call.
         await self._client.read(prefix)
-        left = [item for item in self._store.under(prefix) if item.key > after]
+        left = [item for item in self._store.items_under(prefix) if item.key > after]
         page = left[:PAGE_ITEMS]
         return {
             "items": [_item_row(item) for item in page],
@@ -115,8 +115,11 @@
 
     async def _changes(self, query: dict[str, str]) -> dict[str, object]:
         after, seconds = Revision(int(query["after"])), int(query["wait_ms"]) / 1000
-        found = await self._client.changes(query["path_prefix"], after, seconds)
-        return {"events": [_change_row(one) for one in found.changes], "as_of": found.as_of}
+        changes = await self._client.changes(query["path_prefix"], after, seconds)
+        return {
+            "events": [_change_row(change) for change in changes.changes],
+            "as_of": changes.as_of,
+        }
 
     async def _commit(self, transaction: _Transaction) -> Revision:
         return await self._client.commit(
--- a/fireflyfork_standins/scheduling/processes.py
+++ b/fireflyfork_standins/scheduling/processes.py
@@ -40,8 +40,8 @@
 
 async def _play(layout: WireLayout, random: Random, jobs: int, per_second: float) -> int:
     platform = WirePlatform(layout, random)
-    fronts = tuple(layout.caller(number) for number in range(layout.instances))
-    callers = WireCallers(fronts, platform.history, random)
+    instances = tuple(layout.caller(number) for number in range(layout.instances))
+    callers = WireCallers(instances, platform.history, random)
     async with trio.open_nursery() as nursery:
         await platform.run(nursery)
         with trio.fail_after(READY_SECONDS):
@@ -74,11 +74,14 @@
     history = platform.history
     tries = ", ".join(f"{n} x {status}" for status, n in sorted(callers.tries.items()))
     states = ", ".join(f"{n} {state}" for state, n in sorted(callers.states.items()))
-    half, most = (callers.seconds.get_value_at_percentile(q) for q in (50, 99))
+    p50, p99 = (callers.seconds.get_value_at_percentile(q) for q in (50, 99))
     yield f"scheduler as processes: tries {tries}; {history.starts} starts; jobs {states}"
-    yield f"from handing in to the end: p50 {half} ms, p99 {most} ms; {platform.store.calls} store calls"
+    yield f"from handing in to the end: p50 {p50} ms, p99 {p99} ms; {platform.store.calls} store calls"
     yield f"{len(history.violations)} broken promises"
-    yield from (f"  {one.at:.2f} {one.promise}: {one.what}" for one in history.violations)
+    yield from (
+        f"  {violation.at:.2f} {violation.promise}: {violation.description}"
+        for violation in history.violations
+    )
 
 
 if __name__ == "__main__":
--- a/fireflyfork_standins/tests/builders_split.py
+++ b/fireflyfork_standins/tests/builders_split.py
@@ -31,7 +31,7 @@
     """
 
     async def main() -> History:
-        world = _World(seed)
+        world = _SplitPlatform(seed)
         async with trio.open_nursery() as nursery:
             await world.run(nursery)
             world.hand_in(spec)
@@ -46,7 +46,7 @@
     return trio.run(main, clock=MockClock(autojump_threshold=0))
 
 
-class _World:
+class _SplitPlatform:
     """Two instances and two executors, of which one each are on either side of the partition.
 
     The store is on the side of ``NEAR``. The partition cuts off the owner, ``FAR``, from it.
@@ -74,7 +74,7 @@
         for executor in self._executors.values():
             nursery.start_soon(executor.run)
         for node in self._nodes:
-            nursery.start_soon(node.live, nursery)
+            nursery.start_soon(node.run_process, nursery)
             await trio.sleep(SETTLE_SECONDS)
 
     def hand_in(self, spec: JobSpec) -> None:
--- a/fireflyfork_standins/tests/builders_takeovers.py
+++ b/fireflyfork_standins/tests/builders_takeovers.py
@@ -39,7 +39,7 @@
 QUEUE = QueueTerms(QueueName("q"), "h", "/q/", SERVICE, 0, 3, 2.0, 1000, 3000)
 BOUNDS = PlatformBounds(6.0, 0.2, 6.0, 120.0, 2.5)
 LINK_MBPS = 1000.0
-LOOK_SECONDS = 0.0005
+CHECK_INTERVAL_SECONDS = 0.0005
 """Interval between two checks of a condition. It is far below the latency of any call, so a test can
 act between two calls."""
 PATIENCE_SECONDS = 30.0
@@ -49,7 +49,7 @@
 lease."""
 
 
-class Stage:
+class SmallPlatform:
     """A store, instances, and executors that the test adds."""
 
     def __init__(self, seed: int, instances: int = 2) -> None:
@@ -79,26 +79,26 @@
     @property
     def broken(self) -> list[tuple[str, str]]:
         """Promise and description of each violation so far."""
-        return [(one.promise, one.what) for one in self.history.violations]
+        return [(one.promise, one.description) for one in self.history.violations]
 
     @property
-    def decided(self) -> bool:
+    def has_active_owner(self) -> bool:
         """Whether there is an owner that has finished its recovery."""
-        return any(node.decides for node in self.nodes)
+        return any(node.is_active_owner for node in self.nodes)
 
     async def begin(self, nursery: trio.Nursery) -> None:
         """Start the store and the instances in ``nursery``, and wait for an active owner."""
         self._nursery = nursery
         nursery.start_soon(self.store.run)
         for node in self.nodes:
-            nursery.start_soon(node.live, nursery)
-        await self.until(lambda: self.decided)
+            nursery.start_soon(node.run_process, nursery)
+        await self.until(lambda: self.has_active_owner)
 
     async def until(self, condition: Callable[[], bool]) -> None:
         """Wait until ``condition`` holds, and fail after ``PATIENCE_SECONDS``."""
         with trio.fail_after(PATIENCE_SECONDS):
             while not condition():
-                await trio.sleep(LOOK_SECONDS)
+                await trio.sleep(CHECK_INTERVAL_SECONDS)
 
     async def hand_in(self, job: JobId, estimate_ms: int = SHORT_MS) -> None:
         """Submit a job with one task and wait for its acceptance."""
@@ -142,7 +142,7 @@
     @property
     def owner(self) -> StandInNode:
         """The only active owner of the service."""
-        (owner,) = (node for node in self.nodes if node.decides)
+        (owner,) = (node for node in self.nodes if node.is_active_owner)
         return owner
 
     def silence_work(self, node: NodeName) -> None:
@@ -153,7 +153,7 @@
         """End the partition between an executor and all instances."""
         executor.trouble.unreachable_from.clear()
 
-    def turn_up(self, executor: StandInExecutor) -> None:
+    def reconnect(self, executor: StandInExecutor) -> None:
         """Reconnect an executor after ``vanish`` and restore its registration."""
         self.connect(executor)
         executor.register()
--- a/fireflyfork_standins/tests/test_full_links.py
+++ b/fireflyfork_standins/tests/test_full_links.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from fireflyfork_standins.scheduling import Profile, run_world
+from fireflyfork_standins.scheduling import Profile, run_day
 
 PROFILE = Profile(troubles=("answers_late",), trouble_gap_seconds=6.0, listing_counts=True)
 
@@ -18,4 +18,4 @@
         """
         for seed in range(700, 706):
             with self.subTest(seed):
-                self.assertEqual(run_world(seed, PROFILE).violations, [])
+                self.assertEqual(run_day(seed, PROFILE).violations, [])
--- a/fireflyfork_standins/tests/test_incarnations.py
+++ b/fireflyfork_standins/tests/test_incarnations.py
@@ -3,13 +3,13 @@
 
 import unittest
 
-from fireflyfork_standins.scheduling import INCARNATION_TROUBLES, Profile, run_world
+from fireflyfork_standins.scheduling import INCARNATION_TROUBLES, Profile, run_day
 
 PROFILE = Profile(
     jobs_per_second=4.0,
     troubles=INCARNATION_TROUBLES,
     trouble_gap_seconds=2.0,
-    longest_lease_seconds=10.0,
+    max_lease_seconds=10.0,
 )
 SEEDS_OF_SECOND_RUNS = (1005, 1009, 1031, 1034, 1035, 1037, 1051, 1053)
 """Seeds of days on which a completed task was started again."""
@@ -32,4 +32,4 @@
         """
         for seed in SEEDS_OF_SECOND_RUNS:
             with self.subTest(seed):
-                self.assertEqual(run_world(seed, PROFILE).violations, [])
+                self.assertEqual(run_day(seed, PROFILE).violations, [])
--- a/fireflyfork_standins/tests/test_region_link.py
+++ b/fireflyfork_standins/tests/test_region_link.py
@@ -9,7 +9,7 @@
     RegionProfile,
     Report,
     RouteChange,
-    run_world,
+    run_day,
 )
 
 ROUTES = 1640
@@ -26,7 +26,7 @@
 
 def _play(seed: int, regions: RegionProfile, trouble: str = "") -> Report:
     planned = ((LATE, trouble),) if trouble else ()
-    return run_world(seed, replace(DAY, regions=regions, planned_troubles=planned))
+    return run_day(seed, replace(DAY, regions=regions, planned_troubles=planned))
 
 
 class RegionLinkTest(unittest.TestCase):
@@ -78,7 +78,7 @@
         """
         report = _play(800, replace(REGIONS, changes=SERIES[:1]))
         most = report.configuration_bytes * REGIONS.far_domains * MARGIN
-        self.assertLessEqual(report.crossed[Purpose.CONFIGURATION], most)
+        self.assertLessEqual(report.link_bytes[Purpose.CONFIGURATION], most)
 
     def test_a_seed_plays_the_same_day_again(self) -> None:
         """Guards against transfers over the link whose duration differs between runs of one seed."""
--- a/fireflyfork_standins/tests/test_scheduling_days.py
+++ b/fireflyfork_standins/tests/test_scheduling_days.py
@@ -12,7 +12,7 @@
     UPKEEP_TROUBLES,
     Profile,
     Report,
-    run_world,
+    run_day,
 )
 
 FAILED_BEFORE = (
@@ -41,7 +41,7 @@
 
 
 def _play(seed: int, troubles: tuple[str, ...] = ()) -> Report:
-    return run_world(seed, Profile(troubles=troubles))
+    return run_day(seed, Profile(troubles=troubles))
 
 
 class DaysTest(unittest.TestCase):
@@ -50,7 +50,7 @@
     def test_a_calm_day(self) -> None:
         report = _play(1)
         self.assertEqual(report.violations, [])
-        self.assertEqual((report.refused, report.unsure), (0, 0))
+        self.assertEqual((report.refused, report.unanswered), (0, 0))
         self.assertGreater(report.starts, 100)
 
     def test_each_kind_of_trouble(self) -> None:
@@ -73,11 +73,11 @@
         """If ended jobs aren't removed, the store fills up, and each new owner reads all jobs that were
         ever submitted before it places its first task.
         """
-        kept = run_world(3, Profile())
-        self.assertEqual(kept.keys_left, kept.accepted)
-        removed = run_world(3, Profile(retention_seconds=-180.0, troubles=("kill",)))
+        kept = run_day(3, Profile())
+        self.assertEqual(kept.remaining_jobs, kept.accepted)
+        removed = run_day(3, Profile(retention_seconds=-180.0, troubles=("kill",)))
         self.assertGreater(removed.accepted, 10)
-        self.assertEqual(removed.keys_left, 0)
+        self.assertEqual(removed.remaining_jobs, 0)
 
     def test_a_store_that_forgets_its_history_is_not_asked_in_a_loop(self) -> None:
         """The store drops its history. Candidates that keep requesting the changes since the owner's
@@ -107,7 +107,7 @@
         """
         for seed in (1, 2):
             with self.subTest(seed):
-                report = run_world(seed, UPKEEP_PROFILE)
+                report = run_day(seed, UPKEEP_PROFILE)
                 self.assertEqual((report.violations, report.waves_over), ([], 2))
 
     def test_days_that_broke_a_promise_once(self) -> None:
@@ -118,7 +118,7 @@
         profile = replace(UPKEEP_PROFILE, troubles=UPKEEP_TROUBLES)
         for seed in (100, 137):
             with self.subTest(seed):
-                report = run_world(seed, profile)
+                report = run_day(seed, profile)
                 self.assertEqual((report.violations, report.waves_over), ([], 2))
 
 
@@ -132,13 +132,13 @@
         """
         for seed in range(400, 406):
             with self.subTest(seed):
-                report = run_world(seed, THIN_DAY)
+                report = run_day(seed, THIN_DAY)
                 self.assertEqual(report.violations, [])
                 self.assertLess(report.longest_without_owner, LONGEST_WITHOUT_OWNER)
 
     def test_where_no_instance_is_able_a_slow_one_still_gets_there(self) -> None:
         """All instances are slow, so each owner that aborts its recovery is followed by another one."""
-        report = run_world(410, replace(THIN_PROFILE, thin_instances=3))
+        report = run_day(410, replace(THIN_PROFILE, thin_instances=3))
         self.assertEqual(report.violations, [])
 
 
@@ -159,7 +159,7 @@
         )
         for seed in (500, 501):
             with self.subTest(seed):
-                report = run_world(seed, busy)
+                report = run_day(seed, busy)
                 self.assertEqual(report.violations, [])
                 self.assertGreater(report.longest_hand_over, 0.0)
                 self.assertLess(report.longest_hand_over, LONGEST_HAND_OVER)
@@ -175,7 +175,7 @@
         profile = Profile(speculative_share=0.3, troubles=ALL_TROUBLES, trouble_gap_seconds=1.5)
         for seed in (300, 301):
             with self.subTest(seed):
-                self.assertEqual(run_world(seed, profile).violations, [])
+                self.assertEqual(run_day(seed, profile).violations, [])
 
 
 class ChecksTest(unittest.TestCase):
@@ -243,7 +243,7 @@
             patch("fireflyfork.programs._service_lease.bid_delay", delay),
             patch("fireflyfork.programs._succession.has_stronger", lambda *_, **__: False),
         ):
-            times = [run_world(seed, THIN_DAY).longest_without_owner for seed in range(400, 406)]
+            times = [run_day(seed, THIN_DAY).longest_without_owner for seed in range(400, 406)]
         self.assertGreater(max(times), LONGEST_WITHOUT_OWNER)
 
     def test_stopping_all_of_a_service_at_once_breaks_its_budget(self) -> None:
@@ -251,7 +251,7 @@
             found = (
                 one.promise
                 for seed in (8, *range(1, 7))
-                for one in run_world(seed, UPKEEP_PROFILE).violations
+                for one in run_day(seed, UPKEEP_PROFILE).violations
             )
             self.assertIn("budget", found)
 
@@ -261,6 +261,6 @@
             found = (
                 one.promise
                 for seed in (11, *range(1, 7))
-                for one in run_world(seed, profile).violations
+                for one in run_day(seed, profile).violations
             )
             self.assertIn("upkeep limit", found)
--- a/fireflyfork_standins/tests/test_takeovers.py
+++ b/fireflyfork_standins/tests/test_takeovers.py
@@ -7,8 +7,8 @@
 
 from fireflyfork._ids import JobId
 
-from ..scheduling import StandInExecutor, run_repeatably
-from .builders_takeovers import LONG_MS, Stage
+from ..scheduling import StandInExecutor, run_deterministically
+from .builders_takeovers import LONG_MS, SmallPlatform
 
 JOB = JobId("00000000000000aa")
 SEED = 1
@@ -23,12 +23,12 @@
 """Time of a partition after which an executor's lease has expired and its owner has dropped it."""
 ORPHANED_SECONDS = 2.6
 """Time without the store after which an owner renews no lease."""
-HEARD_SECONDS = 0.7
+ONE_POLL_SECONDS = 0.7
 """Time for exactly one list of an unreachable executor to arrive, as the owner polls it once a
 second."""
-ASKED_SECONDS = 4.0
+LAST_WATCH_SECONDS = 4.0
 """Time after which the last watch that is answered has ended."""
-UNHEARD_SECONDS = 9.5
+RECOVERY_SECONDS = 9.5
 """Time that is longer than a new owner waits for an unreachable executor."""
 SOON_SECONDS = 1.0
 """Time that is ample for a task to start, or for an end to be stored and forgotten."""
@@ -36,9 +36,9 @@
 """Time that is shorter than the timeout of a call without an answer."""
 
 
-def play(body: Callable[[Stage], Awaitable[None]]) -> Stage:
+def play(body: Callable[[SmallPlatform], Awaitable[None]]) -> SmallPlatform:
     """Run ``body`` on a platform with an active owner and without executors. Return the platform."""
-    stage = Stage(SEED)
+    stage = SmallPlatform(SEED)
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
@@ -46,12 +46,12 @@
             await body(stage)
             nursery.cancel_scope.cancel()
 
-    run_repeatably(SEED, main)
+    run_deterministically(SEED, main)
     return stage
 
 
 async def change_owner_while_away(
-    stage: Stage, executor: StandInExecutor, seconds: float = AWAY_SECONDS
+    stage: SmallPlatform, executor: StandInExecutor, seconds: float = AWAY_SECONDS
 ) -> None:
     """Depose the owner while ``executor`` is unreachable for ``seconds`` and another one is added.
 
@@ -61,7 +61,7 @@
     stage.vanish(executor)
     stage.add_executor("i-1")
     await trio.sleep(seconds)
-    stage.turn_up(executor)
+    stage.reconnect(executor)
     await stage.until_completed(JOB)
 
 
@@ -75,7 +75,7 @@
         another one, and its effects would happen twice.
         """
 
-        async def body(stage: Stage) -> None:
+        async def body(stage: SmallPlatform) -> None:
             await stage.hand_in(JOB)
             executor = stage.add_executor("i-0")
             await stage.until(lambda: stage.history.starts == 1)
@@ -91,7 +91,7 @@
         would receive the first end too late.
         """
 
-        async def body(stage: Stage) -> None:
+        async def body(stage: SmallPlatform) -> None:
             await stage.hand_in(JOB)
             executor = stage.add_executor("i-0")
             await stage.until(lambda: stage.history.starts == 1)
@@ -100,7 +100,7 @@
             await stage.until(lambda: bool(stage.history.ends))
             stage.add_executor("i-1")
             await trio.sleep(SOON_SECONDS)
-            stage.turn_up(executor)
+            stage.reconnect(executor)
             await stage.until_completed(JOB)
             await trio.sleep(SOON_SECONDS)
 
@@ -114,14 +114,14 @@
         again.
         """
 
-        async def body(stage: Stage) -> None:
+        async def body(stage: SmallPlatform) -> None:
             await stage.hand_in(JOB, LONG_MS)
             executor = stage.add_executor("i-0")
             await stage.until(lambda: stage.history.starts == 1)
             await trio.sleep(0.2)
             stage.vanish(executor)
             await trio.sleep(FORGOTTEN_SECONDS)
-            stage.turn_up(executor)
+            stage.reconnect(executor)
             await stage.until(lambda: stage.history.starts == 2)
             await change_owner_while_away(stage, executor, BARELY_AWAY_SECONDS)
 
@@ -135,7 +135,7 @@
         run a task for which no successor waits.
         """
 
-        async def body(stage: Stage) -> None:
+        async def body(stage: SmallPlatform) -> None:
             await stage.hand_in(JOB)
             stage.store.trouble.lost_share = stage.store.trouble.late_share = 1.0
             executor = stage.add_executor("i-0")
@@ -158,7 +158,7 @@
         starts the task elsewhere, so the task would run on two executors.
         """
 
-        async def body(stage: Stage) -> None:
+        async def body(stage: SmallPlatform) -> None:
             both = [stage.add_executor("i-0"), stage.add_executor("i-1")]
             await trio.sleep(SOON_SECONDS)
             await stage.hand_in(JOB, LONG_MS)
@@ -168,9 +168,9 @@
             last = stage.owner.name
             stage.silence_work(last)
             stage.cut(executor, *(node.name for node in stage.nodes if node.name != last))
-            await trio.sleep(ASKED_SECONDS)
+            await trio.sleep(LAST_WATCH_SECONDS)
             stage.depose()
-            await trio.sleep(UNHEARD_SECONDS)
+            await trio.sleep(RECOVERY_SECONDS)
 
         self.assertEqual(play(body).broken, [])
 
@@ -182,21 +182,21 @@
         it still runs.
         """
 
-        async def body(stage: Stage) -> None:
+        async def body(stage: SmallPlatform) -> None:
             both = [stage.add_executor("i-0"), stage.add_executor("i-1")]
             await trio.sleep(SOON_SECONDS)
             await stage.hand_in(JOB, LONG_MS)
             await stage.until(lambda: stage.history.starts == 1)
             (executor,) = (one for one in both if one.running)
-            await stage.until(lambda: executor.lease_left_ms > START_VALID_MS)
+            await stage.until(lambda: executor.remaining_lease_ms > START_VALID_MS)
             stage.depose()
             stage.cut(executor)
-            await stage.until(lambda: not stage.decided)
-            await stage.until(lambda: stage.decided)
+            await stage.until(lambda: not stage.has_active_owner)
+            await stage.until(lambda: stage.has_active_owner)
             stage.store.trouble.down = True
             await trio.sleep(ORPHANED_SECONDS)
             stage.connect(executor)
-            await trio.sleep(HEARD_SECONDS)
+            await trio.sleep(ONE_POLL_SECONDS)
             stage.cut(executor)
             await trio.sleep(AWAY_SECONDS)
             stage.store.trouble.down = False
--- a/fireflyfork_standins/tests/test_wire_incarnations.py
+++ b/fireflyfork_standins/tests/test_wire_incarnations.py
@@ -28,8 +28,8 @@
     StandInExecutorCalls,
     StandInStore,
 )
-from fireflyfork_standins.scheduling._wire_executor import ExecutorWire
-from fireflyfork_standins.scheduling._wire_platform import EVERYBODY
+from fireflyfork_standins.scheduling._wire_executor import ExecutorHttpHandler
+from fireflyfork_standins.scheduling._wire_platform import ANY_INSTANCE
 
 NAME = ExecutorId("i-0")
 SERVICE = ServiceName("desk")
@@ -46,7 +46,7 @@
         return Address("127.0.0.1", probe.getsockname()[1])
 
 
-class _Life:
+class _ExecutorProcess:
     """One process of the executor, whose connections end with it."""
 
     def __init__(self, address: Address) -> None:
@@ -64,16 +64,16 @@
     @property
     def place(self) -> ExecutorEndpoint:
         """The address and the incarnation of the executor."""
-        return ExecutorEndpoint(NAME, self._address, self.executor.born)
+        return ExecutorEndpoint(NAME, self._address, self.executor.incarnation)
 
     @asynccontextmanager
-    async def lives(self) -> AsyncIterator[None]:
+    async def run_server(self) -> AsyncIterator[None]:
         """Serve calls while the block runs."""
         async with trio.open_nursery() as nursery:
             everything = {NAME: self.executor}
-            calls = StandInExecutorCalls(EVERYBODY, everything, nursery, self._random)
+            calls = StandInExecutorCalls(ANY_INSTANCE, everything, nursery, self._random)
             anyone = ExecutorEndpoint(NAME, self._address, ANY_INCARNATION)
-            server = HttpServer(ExecutorWire(calls, anyone))
+            server = HttpServer(ExecutorHttpHandler(calls, anyone))
             listeners = await listen(self._address.host, self._address.port)
             nursery.start_soon(server.run, listeners)
             yield
@@ -97,16 +97,16 @@
 
     async def _order_for_an_earlier_life(self) -> None:
         address = _free_address()
-        first, second = _Life(address), _Life(address)
+        first, second = _ExecutorProcess(address), _ExecutorProcess(address)
         client = PlatformExecutors(LoopTime())
-        async with first.lives():
+        async with first.run_server():
             self.assertEqual(
                 (await client.poll(first.place, TOKEN, PollRequest(0, None, 0.0, 1.0))).incarnation,
-                first.executor.born,
+                first.executor.incarnation,
             )
         await trio.sleep(0.01)
-        second.executor.begin_again()
-        async with second.lives():
+        second.executor.restart()
+        async with second.run_server():
             over_the_old_connection = await _start(client, first.place)
             over_a_new_one = await _start(client, first.place)
             renewed = await client.poll(
@@ -117,18 +117,18 @@
             (CallOutcome.UNKNOWN, CallOutcome.OTHER_INCARNATION),
         )
         self.assertIs(over_a_new_one.outcome, CallOutcome.OTHER_INCARNATION)
-        self.assertEqual(over_a_new_one.incarnation, second.executor.born)
+        self.assertEqual(over_a_new_one.incarnation, second.executor.incarnation)
         self.assertIs(renewed.outcome, CallOutcome.OTHER_INCARNATION)
-        self.assertEqual(renewed.incarnation, second.executor.born)
+        self.assertEqual(renewed.incarnation, second.executor.incarnation)
         self.assertEqual(second.executor.running, ())
 
     def test_an_order_for_the_present_life_is_carried_out(self) -> None:
         trio.run(self._order_for_the_present_life)
 
     async def _order_for_the_present_life(self) -> None:
-        life = _Life(_free_address())
-        async with life.lives():
+        life = _ExecutorProcess(_free_address())
+        async with life.run_server():
             answer = await _start(PlatformExecutors(LoopTime()), life.place)
         self.assertIs(answer.outcome, CallOutcome.ACCEPTED)
-        self.assertEqual(answer.incarnation, life.executor.born)
+        self.assertEqual(answer.incarnation, life.executor.incarnation)
         self.assertEqual(life.executor.running, (TASK,))
