--- a/fireflyfork/decisions/jobs/_arrangement.py
+++ b/fireflyfork/decisions/jobs/_arrangement.py
@@ -39,7 +39,7 @@
 """No new plan is made while this many tasks have resources reserved at their destination: users of
 a service notice when several tasks are unavailable at once. The limit doesn't bound the number of
 tasks on their way. A plan is carried out whole, however many moves it has, and a reservation lasts
-only until its task is sent, or for `RESERVATION_SECONDS`."""
+only until its task is sent, or for ``RESERVATION_SECONDS``."""
 MIN_SECONDS_BETWEEN_MOVES = 12.0
 """Minimum time between two moves of the same task, whatever is learned in between."""
 RESERVATION_SECONDS = 1.5
@@ -73,7 +73,7 @@
     moved_runs: set[Run] = field(default_factory=set)
 
     def fits(self, run: Run, destination: ExecutorState, instead_of: Run | None = None) -> bool:
-        """Whether a run fits on an executor, after `instead_of` has left it."""
+        """Whether a run fits on an executor, after ``instead_of`` has left it."""
         spec, freed = run.task.spec, instead_of.task.spec if instead_of is not None else None
         cpu = destination.free_cpu_millis + self.cpu_millis.get(destination, 0)
         memory = destination.free_memory_mb + self.memory_mb.get(destination, 0)
@@ -198,7 +198,7 @@
     def __init__(
         self, model: InterferenceModel, demand: dict[str, float], spare_headroom: float
     ) -> None:
-        """Initialize with the demand by image, in any unit, and the headroom such work may take."""
+        """Initialize with the demand by image, in any unit, and the headroom that it may take."""
         total_demand = sum(demand.values()) or 1.0
         self._model = model
         self._shares = {image: cpu / total_demand for image, cpu in demand.items() if cpu > 0}
@@ -234,7 +234,7 @@
         return leftover * useful_share
 
     def _max_effects(self, served: frozenset[str]) -> list[float]:
-        """For each demanded image, return its effect on the served image it slows down most."""
+        """Return each demanded image's effect on the served image that it slows down most."""
         if not served:
             return [0.0] * len(self._shares)
         return [max(costs) for costs in zip(*map(self._effects_on, served), strict=True)]
@@ -254,7 +254,7 @@
     """
 
     def __init__(self, usable: Iterable[ExecutorState]) -> None:
-        """Index the executors of `usable` that run serving tasks, and keep their order."""
+        """Index the executors of ``usable`` that run serving tasks, and keep their order."""
         self._serving = [candidate for candidate in usable if candidate.serving_counts]
         self._by_image: dict[str, list[ExecutorState]] = {}
         for executor in self._serving:
@@ -309,7 +309,7 @@
 ) -> float:
     """Return the cost of moving all tasks of an image off an executor.
 
-    The cost is infinite if they can't be moved. The moves are added to `plan`.
+    The cost is infinite if they can't be moved. The moves are added to ``plan``.
     """
     runs = [run for run in executor.runs.values() if run.task.spec.image == image]
     if not all(_can_be_moved(run, now) for run in runs):
--- a/fireflyfork/decisions/jobs/_candidates.py
+++ b/fireflyfork/decisions/jobs/_candidates.py
@@ -36,10 +36,10 @@
         first: int = 0,
         batch_size: int = EXECUTORS_PER_BATCH,
     ) -> None:
-        """Initialize for `task` and others of its step, which accept a cost of at most `max_cost`.
+        """Initialize for the tasks of the step of ``task``, which accept a cost up to ``max_cost``.
 
-        Costs are computed for `batch_size` executors from index `first` on, and for another batch
-        whenever these don't suffice. Executors near the step's data come first.
+        Costs are computed for ``batch_size`` executors from index ``first`` on, and for another
+        batch whenever none of these can run a task. Executors near the step's data come first.
         """
         self._prices = prices
         self._max_cost = max_cost
@@ -49,7 +49,7 @@
         self._add_batch()
 
     def best(self) -> ExecutorState | None:
-        """Return the cheapest executor found that can run a task of the step, or None."""
+        """Return the cheapest executor that can run a task of the step, or None."""
         while True:
             cheapest = self._cheapest()
             if cheapest is not None and cheapest[0] < SUSPECT_COST:
@@ -87,7 +87,7 @@
 def _near_data_first(
     task: Task, executors: Sequence[ExecutorState], first: int
 ) -> Iterator[ExecutorState]:
-    """Yield the executors on the rack of the step's data, then the others from index `first` on."""
+    """Yield the executors on the rack of the step's data, then the rest from index ``first`` on."""
     rack = task.spec.data_rack
     if rack:
         yield from (executor for executor in executors if rack in executor.registration.labels)
--- a/fireflyfork/decisions/jobs/_change_log.py
+++ b/fireflyfork/decisions/jobs/_change_log.py
@@ -43,9 +43,9 @@
         return self._last
 
     def take(self, max_jobs: int) -> tuple[JobId, ...]:
-        """Return up to `max_jobs` of the jobs that have waited longest.
+        """Return up to ``max_jobs`` of the jobs that have waited longest.
 
-        They stay in flight until `stored` or `put_back` is called.
+        They stay in flight until ``stored`` or ``put_back`` is called.
         """
         jobs = tuple(job for job, _ in zip(self._unstored, range(max_jobs), strict=False))
         for job in jobs:
--- a/fireflyfork/decisions/jobs/_commands.py
+++ b/fireflyfork/decisions/jobs/_commands.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PaceRun:
-    """Set the pace of a run to `percent` of full speed."""
+    """Set the pace of a run to ``percent`` of full speed."""
 
     run: Run
     percent: int
--- a/fireflyfork/decisions/jobs/_cost_caches.py
+++ b/fireflyfork/decisions/jobs/_cost_caches.py
@@ -26,7 +26,7 @@
     """Costs of tasks that don't differ in anything that decides where they may run."""
 
     def __init__(self, task: Task, model: InterferenceModel) -> None:
-        """Initialize for `task` and others of its shape."""
+        """Initialize for ``task`` and others of its shape."""
         self._task = task
         self._model = model
         self._cache: dict[ExecutorState, tuple[Hashable, PlacementCost | None]] = {}
--- a/fireflyfork/decisions/jobs/_executors.py
+++ b/fireflyfork/decisions/jobs/_executors.py
@@ -40,9 +40,9 @@
     draining: bool
     room: ExecutorRoom
     labels: frozenset[str]
-    """Labels for the executor's kind and its rack."""
+    """Labels that steps can require: the kind of the executor and its rack."""
     rack: str
-    """The rack; executors of one rack are near each other."""
+    """The rack of the executor; executors in the same rack are near each other."""
     incarnation: int
     """Start time of the executor's process, in Unix milliseconds."""
 
@@ -57,21 +57,22 @@
     registered: bool = True
     """False after the registration was removed: the executor has left or cannot reach the store."""
     stored_address: Address | None = None
-    """The address at which a successor would look for it: the one in the list that is known to be
-    stored."""
+    """The executor's address in the last list of executors that is known to be stored, at which a
+    successor would poll it; None if the list does not contain the executor."""
     runs: dict[tuple[TaskName, AttemptNumber], Run] = field(default_factory=dict)
     used_cpu_millis: int = 0
     long_running_cpu_millis: int = 0
-    """The part of `used_cpu_millis` that belongs to long-running tasks."""
+    """The part of ``used_cpu_millis`` that belongs to long-running tasks."""
     serving_cpu_millis: int = 0
-    """The part of `used_cpu_millis` that belongs to serving tasks."""
+    """The part of ``used_cpu_millis`` that belongs to serving tasks."""
     best_effort_cpu_millis: int = 0
-    """CPU time that the tasks without a reservation here would use if they could."""
+    """CPU time that the tasks without a reservation on this executor would use if it were free."""
     used_memory_mb: int = 0
     used_accelerators: int = 0
     incoming_cpu_millis: int = 0
-    """CPU time reserved for tasks that are being moved here."""
+    """CPU time reserved for tasks that are being moved to this executor."""
     incoming_memory_mb: int = 0
+    """Memory reserved for tasks that are being moved to this executor."""
     polled_at: float | None = None
     """When the last answered poll was sent; None before the first answer."""
     failed_polls: int = 0
@@ -79,30 +80,31 @@
     answers_late: bool = False
     """Whether the last answer was late, so that orders would not be answered in time either."""
     last_answer_at: float = float("-inf")
-    """When the last answer arrived, late or not. An executor whose answers keep arriving is not
-    silent, and its lease is renewed."""
+    """When the last answer arrived, even if it was late. An executor whose answers keep arriving is
+    not silent, and its lease is renewed."""
     clock_ms: int = 0
     clock_at: float = field(init=False)
-    """When `clock_ms` was received. The executor's clock had reached at least that value then."""
+    """When ``clock_ms`` was received. The executor's clock had reached at least that value then."""
     lease_until_ms: int = 0
-    """The latest time on the executor's clock until which an order of this or an earlier owner may
-    have let its runs continue; unknown before its first answer."""
+    """End of the lease, on the executor's clock: the latest time until which an order of this or an
+    earlier owner may let runs on the executor continue. Unknown before the first answer."""
     processed_end: int = 0
     """Number of the last end that has been processed."""
     forgettable_end: int = 0
-    """Number of the last end that is stored together with all ends before it."""
+    """Highest number up to which all ends are stored, so that the executor may forget them."""
     released_end: int = 0
-    """The executor has been told that it may forget ends up to this number."""
+    """Highest number up to which the executor was allowed to forget ends."""
     unstored_ends: deque[tuple[int, int]] = field(default_factory=deque)
     """Pairs of the number of an end and the number of the change that must be stored before the
     executor may forget that end."""
     avoided_until: float = 0.0
+    """The executor gets no new runs before this time, because runs on it failed repeatedly."""
     leaving_since: float | None = None
     """When the executor was first seen to be draining; None while it is not."""
     cordoned: bool = False
-    """Whether its machine is next to go down for upkeep, so that the executor gets no new work."""
+    """Whether the machine is next to go down for upkeep, so that the executor gets no new work."""
     upkeep_due: bool = False
-    """Whether its machine still has to go down in a wave of upkeep."""
+    """Whether the executor's machine still has to go down in a wave of upkeep."""
     consecutive_failures: int = 0
     """Number of failures in a row; a task that ends successfully resets it."""
     last_failure_at: float = 0.0
@@ -110,22 +112,22 @@
     sampled_at: float = 0.0
     """When tail latencies were last sampled."""
     undisturbed_headroom: dict[str, float] = field(default_factory=dict)
-    """By serving image: the lowest headroom that its tasks here would have without any disturbance,
-    according to the last sample."""
+    """By serving image: the lowest headroom that tasks of the image on this executor would have
+    without any disturbance, according to the last sample."""
     recent_min_headroom: dict[str, float] = field(default_factory=dict)
-    """By serving image: the lowest undisturbed headroom of the recent past. Work that is placed now
-    will still be here when the load has changed."""
+    """By serving image: the lowest undisturbed headroom of the recent past. It is used for
+    placement, since work that is placed now still runs when the load has changed."""
     headroom_deficit: dict[str, float] | None = None
-    """By serving image: the headroom to keep minus the headroom of its tasks here; None if it must
-    be recomputed."""
+    """By serving image: the headroom to keep minus the headroom that the tasks of the image have on
+    this executor; None if it must be recomputed."""
     change_count: int = 0
-    """Counts the changes of the runs here or of their headroom."""
+    """Number of changes of the runs on this executor or of their headroom."""
     serving_counts: dict[str, int] = field(default_factory=dict)
-    """By image: the number of serving tasks here."""
+    """By image: the number of serving tasks on this executor."""
     samples: dict[TaskName, Sample] = field(default_factory=dict)
-    """The last sample of each serving task here."""
+    """The last sample of each serving task on this executor."""
     disturbing_cpu_millis: dict[str, int] = field(default_factory=dict)
-    """By image: CPU time that the non-serving tasks here would use at full pace."""
+    """By image: CPU time that the non-serving tasks on this executor would use at full pace."""
 
     def __post_init__(self) -> None:
         """Initialize the clock estimate: the executor's clock is at 0 or later."""
@@ -164,13 +166,13 @@
 
     @property
     def free_cpu_millis(self) -> int:
-        """CPU time that is neither used nor reserved for tasks being moved here."""
+        """CPU time that is neither used nor reserved for incoming tasks."""
         used = self.used_cpu_millis + self.incoming_cpu_millis
         return self.registration.room.cpu_millis - used
 
     @property
     def free_memory_mb(self) -> int:
-        """Memory that is neither used nor reserved for tasks being moved here."""
+        """Memory that is neither used nor reserved for incoming tasks."""
         return self.registration.room.memory_mb - self.used_memory_mb - self.incoming_memory_mb
 
     def fits(self, cpu_millis: int, memory_mb: int, accelerators: int) -> bool:
@@ -184,7 +186,7 @@
 
     @property
     def cost_state(self) -> Hashable:
-        """A value that changes whenever anything changes that affects the cost of a task here."""
+        """A value that changes whenever the cost of running a task on the executor may change."""
         return (
             self.change_count,
             self.consecutive_failures,
@@ -195,7 +197,7 @@
         )
 
     def mark_changed(self) -> None:
-        """Note that the runs here, or their headroom, have changed."""
+        """Record that the runs on the executor, or their headroom, have changed."""
         self.change_count += 1
         self.headroom_deficit = None
 
@@ -255,7 +257,7 @@
             self.clock_at = now
 
     def grant_lease(self, until_ms: int) -> None:
-        """Extend the lease to `until_ms` on the executor's clock; leases never shorten."""
+        """Extend the lease to ``until_ms`` on the executor's clock; leases never shorten."""
         self.lease_until_ms = max(self.lease_until_ms, until_ms)
 
     def lease_has_lapsed(self, now: float) -> bool:
@@ -263,7 +265,7 @@
         return self.min_clock_ms(now) > self.lease_until_ms + LEASE_MARGIN_MS
 
     def disturbing_shares(self) -> dict[str, float]:
-        """By image: the share of the room that non-serving tasks here would use at full pace."""
+        """Return, by image, the share of the room that non-serving tasks would use at full pace."""
         room = max(1, self.registration.room.cpu_millis)
         return {image: cpu / room for image, cpu in self.disturbing_cpu_millis.items()}
 
@@ -274,7 +276,7 @@
     def reset_for_incarnation(self, registration: ExecutorRegistration, now: float) -> None:
         """Reset the state for a new process of the executor.
 
-        It has no runs and numbers its ends from 1.
+        The new process has no runs and numbers its ends from 1.
         """
         self.registration = registration
         self.known_since = now
--- a/fireflyfork/decisions/jobs/_instance_standing.py
+++ b/fireflyfork/decisions/jobs/_instance_standing.py
@@ -28,8 +28,8 @@
 """Delay of a bid in seconds for each stronger instance. One bid takes about 10 ms near the store,
 and a failed bid costs two store calls."""
 MAX_BID_DELAY = 0.5
-"""Longest delay of a bid in seconds: the announced instances may be gone together with the
-owner."""
+"""Longest delay of a bid in seconds. It is bounded because the stronger instances may have failed
+together with the owner."""
 HAND_OVER_RATIO = 2.5
 """Ratio of strengths from which a service is handed over. A hand-over leaves the service without an
 owner for about 0.2 s, so the gain has to be large."""
@@ -40,8 +40,8 @@
 """Number of relays in each failure domain, the strongest instances. The loss of one affects a
 quarter of the calls there."""
 SUFFICIENT_STRENGTH = 0.4
-"""Strength from which an owner always keeps its service: at their peak, services with 24 to 33
-executors need a quarter of it."""
+"""An owner with at least this strength always keeps its service. Services with 24 to 33 executors
+need a quarter of this strength at their peak."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,20 +50,22 @@
 
     node: NodeName
     strength: float
-    """Capacity in processors available to an owner; see `strength`."""
+    """Capacity in processors available to an owner; see ``strength``."""
     failure_domain: FailureDomainName | None = None
     relay: Address | None = None
-    """Address at which it relays calls to executors for owners elsewhere; None if it doesn't."""
+    """Address at which the instance relays calls of other owners to executors; None if it relays
+    none."""
     replica: Address | None = None
-    """Address at which it serves a replica of the operator's keys; None if it doesn't."""
+    """Address at which the instance serves a replica of the operator's keys; None if it has
+    none."""
     near_store: bool = False
-    """Whether the store is in its region."""
+    """Whether the instance is in the same region as the store."""
 
 
 def strength(processors: float, link_mbps: float, near_store: bool) -> float:
     """Return the capacity of an instance as an owner, in processors.
 
-    `processors` is its share of CPU time in units of one processor of usual speed.
+    ``processors`` is its share of CPU time in units of one processor of usual speed.
     """
     capacity = min(processors, link_mbps / LINK_MBPS_PER_PROCESSOR)
     return capacity if near_store else capacity * FAR_STORE_FACTOR
@@ -80,7 +82,7 @@
 
 
 def has_stronger(own: InstanceStanding, others: Iterable[InstanceStanding], equals: bool) -> bool:
-    """Whether another instance is clearly stronger, or, with `equals`, at least as strong."""
+    """Whether another instance is clearly stronger, or, with ``equals``, at least as strong."""
     min_strength = own.strength * (1.0 if equals else STRONGER_RATIO)
     return any(standing.strength >= min_strength for standing in others)
 
--- a/fireflyfork/decisions/jobs/_interference.py
+++ b/fireflyfork/decisions/jobs/_interference.py
@@ -61,7 +61,7 @@
     """When the solution was computed, on the clock of the samples."""
 
     def add(self, row: dict[str, float], target: float, weight: float) -> None:
-        """Add one equation."""
+        """Add an equation: the sum of ``row`` values times the unknown effects is ``target``."""
         weight *= self.weight
         names = sorted(row)
         values = [row[name] for name in names]
@@ -73,7 +73,7 @@
             self.targets[name] = self.targets.get(name, 0.0) + weighted_value * target
 
     def matrix(self, names: list[str]) -> list[list[float]]:
-        """Return the matrix of the sums of products, in the order of `names`."""
+        """Return the matrix of the sums of products, in the order of ``names``."""
         positions = {name: position for position, name in enumerate(names)}
         rows = [[0.0] * len(names) for _ in names]
         for first_name, sums in self.products.items():
@@ -95,44 +95,47 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedFit:
-    """What has been learned about one serving image, stored for the next owner."""
+    """The least squares sums of one serving image, as stored for the next owner."""
 
     serving: str
     names: tuple[str, ...]
-    """The images next to it, and the constant term."""
+    """The images that ran next to the serving image, and the name of the constant term."""
     products: tuple[float, ...]
-    """The lower triangle of the sums of products, row by row in the order of `names`."""
+    """The lower triangle of the sums of products, row by row in the order of ``names``."""
     targets: tuple[float, ...]
-    """The right-hand sides, in the order of `names`."""
+    """The right-hand sides, in the order of ``names``."""
 
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """One poll's values for a serving task."""
+    """The values of a serving task in one poll."""
 
     at: float
     headroom: float
     uses: dict[str, float]
     """Shares of the room that were used next to the task, by image."""
     over_since: float | None = None
-    """Since when every sample of the task has been over its target; None if the last one was
-    not."""
+    """Start of the period in which the task's tail latency was over its target in every sample;
+    None if it was not over the target in this sample."""
 
 
 class InterferenceModel:
-    """The effects of disturbing images on serving images, by pair."""
+    """Learns for each pair of images how much headroom the disturbing image costs the serving one.
+
+    The effects are estimated by least squares from samples of serving tasks.
+    """
 
     def __init__(self) -> None:
         """Initialize without samples: every pair is assumed to be average."""
         self._fits: dict[str, _Fit] = {}
 
     def effect(self, serving: str, disturbing: str) -> float:
-        """Return the headroom that tasks of `serving` lose to a room full of `disturbing`."""
+        """Return the headroom that tasks of ``serving`` lose to a room full of ``disturbing``."""
         fit = self._fits.get(serving)
         return PRIOR_EFFECT if fit is None else fit.solution.get(disturbing, PRIOR_EFFECT)
 
     def lost_headroom(self, serving: str, uses: dict[str, float]) -> float:
-        """Return the headroom that tasks of `serving` lose to these shares by image."""
+        """Return the headroom that tasks of ``serving`` lose to these shares by image."""
         fit = self._fits.get(serving)
         if fit is None:
             return PRIOR_EFFECT * sum(uses.values())
@@ -157,11 +160,11 @@
             fit.solution = _solution(fit)
 
     def learned(self) -> tuple[LearnedFit, ...]:
-        """Return what has been learned, to be stored for the next owner."""
+        """Return the least squares sums of all serving images, to be stored for the next owner."""
         return tuple(_to_learned_fit(serving, fit) for serving, fit in self._fits.items())
 
     def adopt(self, learned: Iterable[LearnedFit]) -> None:
-        """Replace the model by what an earlier owner has learned.
+        """Replace the sums of the given serving images by the sums that an earlier owner stored.
 
         An owner that assumes every pair to be average places work next to the services that it
         slows down most until it has learned the effects again. Tail latencies would rise for some
--- a/fireflyfork/decisions/jobs/_job_table.py
+++ b/fireflyfork/decisions/jobs/_job_table.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _FinishedJob:
-    """What is kept of a job that is over and stored."""
+    """The data kept about a job after its final state was stored."""
 
     spec: JobSpec
     final_ms: int
@@ -190,7 +190,7 @@
         return finished
 
     def expired(self, before_ms: int, max_jobs: int) -> tuple[JobId, ...]:
-        """Return up to `max_jobs` jobs with a stored final state from before `before_ms`."""
+        """Return up to ``max_jobs`` jobs with a stored final state from before ``before_ms``."""
         expired_names = (name for name, job in self._finished.items() if job.final_ms < before_ms)
         return tuple(islice(expired_names, max_jobs))
 
@@ -198,7 +198,7 @@
         """Forget jobs that have been removed from the store.
 
         A listing that is still on its way may contain one of them; it would be taken for a new job
-        and run again. So their ids are kept until `forget_removed` has been called twice.
+        and run again. So their ids are kept until ``forget_removed`` has been called twice.
         """
         for name in jobs:
             self._finished.pop(name, None)
@@ -217,7 +217,7 @@
         return counts
 
     def _open_until(self, job: Job, occurrences: int) -> list[Task]:
-        """Open the occurrences before number `occurrences`. Returns the tasks that may start."""
+        """Open the occurrences before number ``occurrences``. Returns the tasks that may start."""
         ready: list[Task] = []
         while not job.state.is_final and job.opened_occurrences < occurrences:
             occurrence = job.opened_occurrences
--- a/fireflyfork/decisions/jobs/_load_shedding.py
+++ b/fireflyfork/decisions/jobs/_load_shedding.py
@@ -38,7 +38,7 @@
 
 
 def shed_level(lag: float, previous: Shed) -> Shed:
-    """Return the level for an event loop that is `lag` seconds late, given the level until now.
+    """Return the level for an event loop that is ``lag`` seconds late, given the level until now.
 
     Hysteresis keeps the level from changing with each lag, since skipping work ends the lag.
     """
--- a/fireflyfork/decisions/jobs/_notes.py
+++ b/fireflyfork/decisions/jobs/_notes.py
@@ -27,7 +27,7 @@
     strikes: int
     """The executor's number of failures in a row."""
     waited_for: WaitReason
-    """Why no executor could run the task at the previous attempt to place it; `NOTHING` if it was
+    """Why no executor could run the task at the previous attempt to place it; ``NOTHING`` if it was
     placed at once."""
     after: RunEndEvidence
     """The evidence that the task's previous run was over."""
--- a/fireflyfork/decisions/jobs/_pacing.py
+++ b/fireflyfork/decisions/jobs/_pacing.py
@@ -50,7 +50,7 @@
     now: float,
     learns: bool = True,
 ) -> Iterator[tuple[Run, int]]:
-    """Update an executor's headroom from a poll, and let the model learn from it if `learns`.
+    """Update an executor's headroom from a poll, and let the model learn from it if ``learns``.
 
     Yields the runs whose pace has to change, with the new pace in percent.
     """
--- a/fireflyfork/decisions/jobs/_placement.py
+++ b/fireflyfork/decisions/jobs/_placement.py
@@ -26,8 +26,8 @@
 twentieth of the processors on average, and a core for them is worth four times a core for a
 long-running task."""
 MAX_REFUSED_SHAPES = 24
-"""A placement round ends when this many different shapes of tasks have found no executor: more
-would find none either, and each costs a comparison of every executor."""
+"""A placement round ends when no executor could be found for this many different shapes of tasks.
+Further shapes would probably fail too, and each costs a comparison of every executor."""
 
 
 @dataclass(slots=True)
@@ -38,7 +38,7 @@
     total_millis: int
     """CPU capacity of all usable executors, in thousandths of a core."""
     reserved_millis: int
-    """CPU time that was reserved on them when the round began."""
+    """CPU time that was reserved on the usable executors when the round began."""
     long_running_millis: int
     """CPU time reserved by long-running tasks, including those started in this round."""
     wait_reasons: dict[tuple[object, ...], WaitReason] = field(default_factory=dict)
@@ -47,7 +47,7 @@
 
     @classmethod
     def for_executors(cls, usable: list[ExecutorState]) -> _PlacementRound:
-        """Return a round over these executors."""
+        """Return the initial state of a round that places tasks on the usable executors."""
         return cls(
             usable,
             sum(executor.registration.room.cpu_millis for executor in usable),
--- a/fireflyfork/decisions/jobs/_placement_costs.py
+++ b/fireflyfork/decisions/jobs/_placement_costs.py
@@ -47,9 +47,9 @@
 run one after the other, the first ones end in time."""
 LOW_RESERVED_SHARE = 0.6
 LOW_RESERVED_PATIENCE_SECONDS = 8.0
-"""While less than `LOW_RESERVED_SHARE` of all processors is reserved, tasks of jobs older than this
-many seconds accept increasing costs: executors have free capacity, and callers see a job that could
-run and doesn't."""
+"""While less than ``LOW_RESERVED_SHARE`` of all processors is reserved, tasks of jobs older than
+this many seconds accept increasing costs: executors have free capacity, and callers see a job that
+could run and doesn't."""
 HIGH_RESERVED_PATIENCE_SECONDS = 30.0
 """Seconds before tasks accept higher costs on full executors. Jobs of this age are too late to be
 of use, and the work that they would slow down is not. But every accepted job has to end, even if
@@ -63,7 +63,7 @@
 ) -> ExecutorState | None:
     """Return the cheapest executor that can run the task, or None if there is none.
 
-    A task without a reservation accepts no executor with a cost above `max_cost`.
+    A task without a reservation accepts no executor with a cost above ``max_cost``.
     """
     cheapest: ExecutorState | None = None
     min_cost = float("inf")
@@ -79,7 +79,7 @@
 
     total: float
     best_effort: float
-    """The part that is compared with the highest accepted cost of a task without a reservation."""
+    """The part of the cost that is compared with ``max_cost``; 0 for a task with a reservation."""
 
 
 def task_cost(
@@ -114,8 +114,8 @@
 def max_accepted_cost(age_seconds: float, reserved_share: float) -> float:
     """Return the highest cost that a task without a reservation accepts.
 
-    `age_seconds` is the time since its job was accepted, by the clocks of two instances.
-    `reserved_share` is the share of all processors that is reserved.
+    ``age_seconds`` is the time since its job was accepted, by the clocks of two instances.
+    ``reserved_share`` is the share of all processors that is reserved.
     """
     patience = (
         LOW_RESERVED_PATIENCE_SECONDS
--- a/fireflyfork/decisions/jobs/_progress.py
+++ b/fireflyfork/decisions/jobs/_progress.py
@@ -45,7 +45,7 @@
     done: tuple[tuple[int, int, int], ...] = ()
     """Occurrence, step and index of each task that has ended successfully."""
     done_occurrences: int = 0
-    """All occurrences before this one have ended successfully; their tasks are not in `done`."""
+    """All occurrences before this one have ended successfully; their tasks are not in ``done``."""
     tasks: tuple[StoredTask, ...] = field(default=())
 
     @property
--- a/fireflyfork/decisions/jobs/_queues.py
+++ b/fireflyfork/decisions/jobs/_queues.py
@@ -42,7 +42,7 @@
     """The queues by host, the longest path prefix first."""
 
     def find(self, host: str, path: str) -> QueueTerms | None:
-        """Return the queue with the longest prefix of `path`, or None."""
+        """Return the queue with the longest prefix of ``path``, or None."""
         candidates = self.by_host.get(host.lower(), ())
         return next((queue for queue in candidates if path.startswith(queue.path_prefix)), None)
 
--- a/fireflyfork/decisions/jobs/_report_handling.py
+++ b/fireflyfork/decisions/jobs/_report_handling.py
@@ -31,7 +31,7 @@
     def __init__(self, state: ServiceState, longest_lease_ms: int) -> None:
         """Initialize with the service state to change.
 
-        No owner grants an executor a lease of more than `longest_lease_ms`.
+        No owner grants an executor a lease of more than ``longest_lease_ms``.
         """
         self._state = state
         self._longest_lease_ms = longest_lease_ms
@@ -206,9 +206,10 @@
         if row.attempt in task.failed_attempts:
             return
         if not task.failed_on:
-            # A task that also fails on a second executor is itself at fault. Counting it against
-            # each executor that it reaches would make all of them unusable while many jobs arrive
-            # that can't succeed.
+            # Only the first executor on which a task fails is charged with the failure. A task that
+            # fails on a second executor too is itself at fault. If its failures were counted for
+            # each executor, all executors would be avoided while many jobs arrive that can't
+            # succeed.
             self._state.record_failure(executor, now)
         task.failed_attempts.append(row.attempt)
         task.failed_on.add(executor.executor)
@@ -230,7 +231,7 @@
             if row is not None:
                 self._update_run(run, row, now)
             elif not answer.ends_may_be_cut:
-                # Its end, possibly a successful one, may be beyond the end of a truncated list.
+                # A truncated list proves nothing: the missing part may contain the run's end.
                 self._handle_missing(run, sent_at, now)
         for row in listed.values():
             self._adopt_run(executor, row, now)
@@ -251,7 +252,8 @@
     def _handle_missing(self, run: Run, sent_at: float, now: float) -> None:
         """Handle a run that is missing from the list.
 
-        It has ended and was forgotten, never began, or began after the list was made.
+        Either its end was already forgotten by the executor, or it never began, or it began after
+        the list was made.
         """
         if run.stop_acknowledged_at is not None and run.stop_acknowledged_at <= sent_at:
             self._state.remove_run(run, now, RunEndEvidence.NOT_LISTED)
@@ -262,9 +264,9 @@
             self._state.stop(run, now)
 
     def _adopt_run(self, executor: ExecutorState, row: RunningRow, now: float) -> None:
-        """Add a run that was not known here.
+        """Add a listed run that this owner does not know.
 
-        It is a run of an earlier owner, or an order that was given up and carried out late.
+        An earlier owner started it, or its start was given up but carried out late.
         """
         task = self._open_task(row.task)
         if task is None:
@@ -272,8 +274,8 @@
             return
         is_newest = all(row.attempt > previous_run.attempt for previous_run in task.runs)
         run = Run(task, row.attempt, executor, RunPhase.RUNNING, now, confirmed_at=now)
-        # An earlier owner may have slowed it down; assumed to run at full pace, it would stay slow
-        # permanently.
+        # An earlier owner may have slowed the run down. If it were assumed to run at full pace, no
+        # pace order would be sent, and it would stay slow.
         run.pace_confirmed = False
         self._update_run(run, row, now)
         executor.add(run)
@@ -291,7 +293,7 @@
     def _stop_unknown_run(self, executor: ExecutorState, row: RunningRow, now: float) -> None:
         """Stop a run of a task that is over or unknown.
 
-        It keeps its resources until its end is listed.
+        The run keeps its resources until its end is listed.
         """
         known_step = self._state.jobs.step_of(row.task)
         service = executor.registration.service
--- a/fireflyfork/decisions/jobs/_reports.py
+++ b/fireflyfork/decisions/jobs/_reports.py
@@ -15,7 +15,8 @@
     FENCED = "fenced"
     """The executor has received a higher fencing token, from another owner."""
     STALE_ATTEMPT = "stale-attempt"
-    """A run with this or a higher attempt number was stopped or has ended there."""
+    """A run of the task with this or a higher attempt number was stopped or ended on the
+    executor."""
     PAST_DEADLINE = "past-deadline"
     NO_ROOM = "no-room"
     NO_TICKET = "no-ticket"
@@ -23,7 +24,8 @@
     UNHEALTHY = "unhealthy"
     """The order was not carried out, since the executor is in a bad state."""
     OTHER_INCARNATION = "other-incarnation"
-    """The process at that address is not the incarnation that the order is addressed to."""
+    """The process at the executor's address isn't the incarnation that the order is addressed
+    to."""
     UNKNOWN = "unknown"
     """No answer: the order may have been carried out, or may still be in a few seconds."""
 
@@ -37,9 +39,9 @@
     LAPSED = "lapsed"
     """The executor's lease expired."""
     GANG_BROKEN = "gang-broken"
-    """Another member of its gang ended."""
+    """Another task of the same gang ended."""
     GANG_INCOMPLETE = "gang-incomplete"
-    """The other members of its gang did not start in time."""
+    """The other tasks of the same gang did not start in time."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +52,8 @@
     attempt: AttemptNumber
     checkpoint: str
     progress_percent: int
-    """Completed share of its work in percent; for a long-running task, 100 once it serves."""
+    """Completed share of the task's work in percent; for a long-running task, 100 once it
+    serves."""
     figure: float
     """For a serving task, its tail latency in milliseconds; for other tasks, the CPU use in
     thousandths of a core. Approximate, over the last half second."""
@@ -91,7 +94,8 @@
     ends_may_be_cut: bool = False
     """Whether ends may be missing because the list has reached its maximum length."""
     why: str = ""
-    """For logs: why there is no answer, and over which route the executor was polled."""
+    """For logs: the reason for a missing answer, and the route over which the executor was
+    polled."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/fireflyfork/decisions/jobs/_runs.py
+++ b/fireflyfork/decisions/jobs/_runs.py
@@ -19,8 +19,8 @@
 
 
 LATE_FACTOR = 3.0
-"""A job that takes more than this many times what its objective allows is of no use any more; below
-that, a late job is of some use."""
+"""A job that takes longer than this multiple of the time that its objective allows is of no use any
+more. Below this multiple, a late job is still of some use."""
 _NONE_YET = AttemptNumber(0)
 
 
@@ -33,7 +33,7 @@
     """The start order was not answered: the run may exist, or may still begin."""
     RUNNING = "running"
     STOPPING = "stopping"
-    """It keeps its resources until its end is listed."""
+    """A stop was ordered. The run keeps its resources until its executor lists its end."""
 
 
 @dataclass(slots=True, eq=False)
@@ -45,43 +45,43 @@
     executor: ExecutorState
     phase: RunPhase
     ordered_at: float
-    """When its start was sent; for a run that was found on an executor, when it was found."""
+    """When the start order was sent, or, for an adopted run, when the executor first listed it."""
     start_deadline_ms: int = 0
-    """Time on the executor's clock after which its start is void."""
+    """Time on the executor's clock after which the executor refuses the start order."""
     confirmed_at: float | None = None
-    """When its presence on the executor was confirmed; None before."""
+    """When the executor confirmed that it runs; None before the confirmation."""
     stop_sent_at: float = 0.0
     stop_acknowledged_at: float | None = None
-    """When a stop was acknowledged, after which the attempt can't begin there any more; None
-    before."""
+    """When the executor acknowledged a stop order; None before. After that the attempt can't begin
+    on the executor any more."""
     checkpoint: str = ""
     listed_at: float = 0.0
-    """When its executor last listed it."""
+    """When the executor last listed the run."""
     progress_percent: int = 0
     progress_at: float = 0.0
-    """When the progress last changed."""
+    """When ``progress_percent`` last changed; 0 before the first listing."""
     pace_percent: int = 100
     lowest_pace: int = 100
-    """The slowest pace that it was ordered to work at, in percent."""
+    """The slowest pace that was ordered for the run, in percent."""
     pace_confirmed: bool = True
-    """False if the executor may run it at another pace: the run of an earlier owner, or a pace
-    order without an answer."""
+    """False if the pace on the executor may differ from ``pace_percent``, because an earlier owner
+    started the run or because a pace order was not answered."""
     ticket: str = ""
-    """The advisor's permission to run there, if the queue requires one."""
+    """The advisor's permission to run the task on the executor; empty if the queue needs none."""
     in_background: bool = False
-    """Whether it runs slowly in the background, to disturb no other task: its job is of no use any
-    more but still has to end."""
+    """Whether the run is slowed down so that it disturbs no other task. This is done if its job is
+    of no use any more but still has to end."""
     incarnation: int = field(init=False)
-    """The executor's incarnation when the run was decided or found. Orders wait in a queue, and
-    must not go to an incarnation that began in the meantime."""
+    """The executor's incarnation when the run was decided or adopted. Orders wait in a queue before
+    they are sent, and must not be sent to an incarnation that started after the decision."""
 
     def __post_init__(self) -> None:
-        """Set the incarnation to the one that is known at present."""
+        """Set ``incarnation`` to the present incarnation of the executor."""
         self.incarnation = self.executor.registration.incarnation
 
     @property
     def key(self) -> tuple[TaskName, AttemptNumber]:
-        """What identifies the run on its executor."""
+        """The task name and attempt number, which identify the run on its executor."""
         return self.task.name, self.attempt
 
     @property
@@ -105,16 +105,16 @@
     checkpoint: str = ""
     runs: list[Run] = field(default_factory=list)
     straggler_handled: bool = False
-    """Whether a slow run of it was copied or stopped. This is done only once per task, so that a
-    task which is itself slow is not moved from executor to executor."""
+    """Whether a slow run of the task was copied or stopped. This is done only once per task, so
+    that a task which is itself slow is not moved from executor to executor."""
     moved_at: float = float("-inf")
-    """When it was last stopped to be moved to a better executor."""
+    """When a run of the task was last stopped to move the task to a better executor."""
     wait_reason: WaitReason = WaitReason.NOTHING
-    """Why no executor could run it at the last attempt to place it."""
+    """Why no executor could run the task at the last attempt to place it."""
     waiting: bool = False
-    """Whether it is in the queue of waiting tasks."""
+    """Whether the task is in the queue of waiting tasks."""
     last_run_over: RunEndEvidence = RunEndEvidence.NO_RUN
-    """The evidence that its last run was over."""
+    """The evidence that the last run of the task is over."""
 
     @property
     def step_id(self) -> StepId:
@@ -141,7 +141,7 @@
 
     spec: JobSpec
     queue: QueueTerms
-    """The terms of its queue; the last known ones once the queue has been removed."""
+    """The terms of the job's queue; if the queue was removed, its last known terms."""
     state: JobState = JobState.QUEUED
     final_ms: int = 0
     tasks: dict[TaskKey, Task] = field(default_factory=dict)
@@ -151,12 +151,12 @@
     done: set[TaskKey] = field(default_factory=set)
     done_occurrences: int = 0
     recovered: bool = False
-    """Whether an earlier owner may have started tasks of it."""
+    """Whether an earlier owner may have started tasks of the job."""
     opened_occurrences: int = 0
     """The number of occurrences that have become due."""
 
     def allowed_ms(self) -> float:
-        """Return how long the job may take from its acceptance to be of full use."""
+        """Return the milliseconds that the objective allows from acceptance to completion."""
         return self.queue.stretch_factor * self.spec.chain_ms() + self.queue.target_latency_ms
 
     def is_beyond_use(self, now_ms: int) -> bool:
@@ -164,13 +164,13 @@
         return now_ms > self.spec.accepted_ms + LATE_FACTOR * self.allowed_ms()
 
     def remaining_ms(self) -> int:
-        """Return the longest chain of estimated work that remains."""
+        """Return the estimated time of the longest chain of unfinished steps, in milliseconds."""
         return self.spec.chain_ms(
             {step for (_, step), count in self.remaining_tasks.items() if count}
         )
 
     def remaining_work(self) -> float:
-        """Return the remaining estimated work, in milliseconds times thousandths of a core."""
+        """Return the estimated work of all unfinished tasks, in milliseconds times millicores."""
         return sum(
             count * self.spec.steps[step].estimate_ms * self.spec.steps[step].cpu_millis
             for (_, step), count in self.remaining_tasks.items()
--- a/fireflyfork/decisions/jobs/_scheduler.py
+++ b/fireflyfork/decisions/jobs/_scheduler.py
@@ -2,7 +2,7 @@
 
 State is changed in place: one owner handles several hundred starts a second on a fraction of a
 core, and copying tables for each start would cost more than the decision itself. Nothing here reads
-a clock or does I/O: times are arguments, and commands are returned by `take_commands`.
+a clock or does I/O: times are arguments, and commands are returned by ``take_commands``.
 """
 
 from __future__ import annotations
@@ -36,8 +36,8 @@
 """Starts end this long before a successor may start tasks: a start extends the lease of everything
 on its executor by one second of a slow clock, and killing those runs takes 0.2 s."""
 MAX_PROOF_AGE_SECONDS = 3.0
-"""Age of the last proof of ownership at which the store is asked for a new one. The watch proves
-every two seconds or sooner that the ownership has not changed."""
+"""Age of the last proof of ownership at which a new proof is requested from the store. The watch
+proves every two seconds or sooner that the ownership has not changed."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,10 +53,10 @@
 
 
 class Scheduler:
-    """Makes the decisions of the owner of one service."""
+    """Decides where the tasks of one service run, on behalf of the service's owner."""
 
     def __init__(self, terms: SchedulerTerms) -> None:
-        """Initialize without jobs or executors; `recover` restores what an earlier owner left."""
+        """Initialize without jobs or executors; ``recover`` restores what an earlier owner left."""
         self._terms = terms
         self._state = ServiceState()
         self._report_handler = ReportHandler(self._state, int(terms.max_lease * 1000))
@@ -108,9 +108,9 @@
         now: float,
         now_ms: int,
     ) -> None:
-        """Restore the state that an earlier owner left.
+        """Restore the state that an earlier owner stored.
 
-        `last_known` are the executors that the earlier owner had stored as known to it.
+        ``last_known`` are the executors that the earlier owner had stored as known to it.
         Registrations expire while the store is unavailable, and without this list the runs of such
         an executor would be started again elsewhere.
 
@@ -136,11 +136,11 @@
         self._state.known_executors_changed = True
 
     def learned(self) -> tuple[LearnedFit, ...]:
-        """Return what has been learned about which images disturb which, for a successor."""
+        """Return the learned effects between images, to be stored for a successor."""
         return self._state.interference.learned()
 
     def adopt(self, learned: Iterable[LearnedFit]) -> None:
-        """Begin with what an earlier owner has learned."""
+        """Use the effects between images that an earlier owner has learned."""
         self._state.interference.adopt(learned)
 
     def accept(self, spec: JobSpec, now_ms: int) -> None:
@@ -256,7 +256,7 @@
         now: float,
         now_ms: int,
     ) -> None:
-        """Handle the advisor's answer: tickets valid for `seconds`, or None without an answer."""
+        """Handle the advisor's answer: tickets valid for ``seconds``, or None without an answer."""
         if tickets is None:
             self._state.tickets.not_answered(question.step, now)
             return
@@ -296,7 +296,7 @@
             self._state.tickets.forget_job(finished_job)
 
     def recover_upkeep(self, marks: Iterable[tuple[MachineId, UpkeepMark]], now: float) -> None:
-        """Restore which machines an earlier owner has ordered down; called after `recover`."""
+        """Restore which machines an earlier owner has ordered down; called after ``recover``."""
         self._upkeep.recover(marks, now)
 
     def next_upkeep(self, views: Iterable[WaveView], now: float) -> list[tuple[int, MachineId]]:
--- a/fireflyfork/decisions/jobs/_service_state.py
+++ b/fireflyfork/decisions/jobs/_service_state.py
@@ -74,7 +74,7 @@
     def enqueue(self, task: Task, at_once: bool = True) -> None:
         """Queue a task that may start.
 
-        With `at_once` it can be placed immediately, otherwise at the next tick.
+        With ``at_once`` it can be placed immediately, otherwise at the next tick.
         """
         if task.spec.gang:
             task = gang_members(task)[0] if task.key in task.job.tasks else task
@@ -99,7 +99,7 @@
     def remove_run(self, run: Run, now: float, why: RunEndEvidence, at_once: bool = True) -> None:
         """Remove a run that has certainly ended or never began, and queue its task again.
 
-        With `at_once` the task can be placed immediately, otherwise at the next tick.
+        With ``at_once`` the task can be placed immediately, otherwise at the next tick.
         """
         run.executor.remove(run)
         task = run.task
@@ -140,7 +140,7 @@
             executor.avoided_until = now + min(pause, MAX_AVOID_SECONDS)
 
     def is_current(self, executor: ExecutorState) -> bool:
-        """Whether this is the current state of its executor.
+        """Whether the state object is the current one of its executor.
 
         An executor that was given up may register again under the same id while a poll of its
         previous incarnation is pending. The answer then concerns the new incarnation, which has its
@@ -187,7 +187,7 @@
             self.known_executors_changed = True
 
     def mark_reached(self, executor: ExecutorId, now: float) -> None:
-        """Note that an executor has listed all of its runs.
+        """Record that an executor which an earlier owner used has listed all of its runs.
 
         If it was the last unreached executor, the held tasks are queued.
         """
@@ -249,7 +249,7 @@
         self.notes.append(ExecutorGivenUp(executor.executor, incarnation, len(executor.runs), why))
 
     def release_held(self, now: float) -> None:
-        """Queue the tasks that waited for unreached executors, once all of those are settled."""
+        """Queue the held tasks if no executor is unreached any more."""
         if self.unreached:
             return
         held, self.held_tasks = self.held_tasks, []
--- a/fireflyfork/decisions/jobs/_specs.py
+++ b/fireflyfork/decisions/jobs/_specs.py
@@ -20,29 +20,32 @@
     estimate_ms: int
     """The caller's estimate of a task's run time, in milliseconds."""
     after: tuple[int, ...] = ()
-    """Earlier steps whose tasks must all have ended successfully first."""
+    """Numbers of the steps whose tasks must all have ended successfully before this step starts."""
     checkpointing: bool = False
     gang: bool = False
-    """Whether its tasks only work together."""
+    """Whether the tasks of the step can only work together: all of them run, or none."""
     same_rack: bool = False
     required_label: str = ""
     data_rack: str = ""
-    """The rack of its data; its tasks run slower anywhere else."""
+    """The rack that holds the step's data; on other racks the tasks run slower. Empty for no
+    data."""
     per_executor_limit: int = 0
-    """Maximum number of its tasks on one executor; 0 for no limit."""
+    """Maximum number of the step's tasks on one executor; 0 for no limit."""
     speculative: bool = False
-    """Whether copies of one task may run side by side."""
+    """Whether a second run of a slow task may be started while the first run continues."""
     long_running: bool = False
-    """Whether its tasks run until the job is cancelled; they are restarted however they end."""
+    """Whether the tasks run until the job is cancelled; they are restarted however they end."""
     image: str = ""
-    """The image that its tasks run; tasks of one image behave alike."""
+    """The image that the tasks run; tasks with the same image behave alike."""
     tail_target_ms: int = 0
-    """The tail latency that its tasks owe their own users, in milliseconds; 0 for tasks that serve
-    no users."""
+    """The target for the tail latency of serving tasks, in milliseconds; 0 for tasks that serve no
+    users."""
     uses_leftover_cpu: bool = False
-    """Whether its tasks reserve no CPU time and get what the others leave unused."""
+    """Whether the tasks reserve no CPU time and use only the CPU time that other tasks leave
+    idle."""
     unavailable_budget: int = 0
-    """Maximum number of its tasks that the scheduler may make unavailable at once."""
+    """Maximum number of the step's tasks that the scheduler may make unavailable at the same
+    time."""
 
     @property
     def reserved_cpu_millis(self) -> int:
@@ -58,15 +61,16 @@
     queue: QueueName
     service: ServiceName
     payload: str
-    """Payload sent with every start of its tasks; opaque to the scheduler."""
+    """Payload sent with every start of a task of the job; opaque to the scheduler."""
     steps: tuple[StepSpec, ...]
     accepted_ms: int
     """When the job arrived, in Unix milliseconds on the accepting instance's clock."""
     repetitions: int = 0
-    """Number of times that the steps run, each at its due time; 0 to run once and immediately."""
+    """Number of occurrences of the job, each at its own due time; 0 to run once and immediately."""
     first_due_ms: int = 0
-    """First due time in Unix milliseconds."""
+    """Due time of the first occurrence, in Unix milliseconds."""
     interval_ms: int = 0
+    """Time between the due times of two occurrences, in milliseconds."""
 
     @property
     def occurrence_count(self) -> int:
@@ -88,7 +92,10 @@
         return self.first_due_ms + occurrence * self.interval_ms if self.repetitions else 0
 
     def chain_ms(self, among: Container[int] | None = None) -> int:
-        """Return the longest chain of estimated work in milliseconds, over all steps or `among`."""
+        """Return the estimated run time of the longest chain of dependent steps, in milliseconds.
+
+        If ``among`` is given, only the run times of these steps are added up.
+        """
         ends: list[int] = []
         for number, step in enumerate(self.steps):
             begin = max((ends[earlier] for earlier in step.after), default=0)
@@ -111,7 +118,7 @@
 
 
 def step_name(job: JobId, occurrence: int, step: int) -> str:
-    """Return the step's name in questions to an advisor."""
+    """Return the name by which questions to an advisor identify the step of an occurrence."""
     return f"{job}.{occurrence}.{step}"
 
 
--- a/fireflyfork/decisions/jobs/_upkeep.py
+++ b/fireflyfork/decisions/jobs/_upkeep.py
@@ -21,15 +21,15 @@
 
 @dataclass(frozen=True, slots=True)
 class WaveView:
-    """One wave, as known from the list of machines and from the store."""
+    """The state of one wave, from the list of machines and the marks in the store."""
 
     wave: UpkeepWave
     machines: Mapping[MachineId, MachineListing]
-    """The machines that exist."""
+    """The machines that the platform lists."""
     marks: Mapping[MachineId, UpkeepMark]
 
     def has_begun(self, machine: MachineId) -> bool:
-        """Whether the machine's upkeep has begun, or it has left and needs none."""
+        """Whether a machine's upkeep has begun, or is not needed as the machine was removed."""
         return machine not in self.machines or self._phase(machine) is UpkeepPhase.BEGUN
 
     def is_ordered(self, machine: MachineId) -> bool:
--- a/fireflyfork/decisions/jobs/_waiting_tasks.py
+++ b/fireflyfork/decisions/jobs/_waiting_tasks.py
@@ -24,9 +24,9 @@
     key: Hashable
     tasks: deque[Task] = field(default_factory=deque)
     parked: bool = True
-    """Whether the step is only retried at the next tick."""
+    """Whether the step waits for the next tick or for another task before it is retried."""
     reason: WaitReason = WaitReason.NOTHING
-    """Why no executor could run its tasks at the last attempt to place them."""
+    """Why no executor could run the step's tasks at the last attempt to place them."""
 
 
 class WaitingTasks:
@@ -35,12 +35,13 @@
     def __init__(self, is_separate: Callable[[Task], bool]) -> None:
         """Initialize without tasks.
 
-        Tasks for which `is_separate` returns True are queued apart from the others of their step.
+        Tasks for which ``is_separate`` returns True are queued separately from their step.
         """
         self._is_separate = is_separate
         self._steps: dict[Hashable, WaitingStep] = {}
         self._order: list[tuple[Urgency, int, WaitingStep]] = []
         self._deferred: list[Task] = []
+        """Tasks that are added to their steps at the next tick."""
         self._numbers = count()
 
     def __len__(self) -> int:
@@ -68,7 +69,7 @@
     def pop(self) -> WaitingStep | None:
         """Return the most urgent step that isn't parked, or None.
 
-        The caller must pass the step to `park` or `drop`.
+        The caller must pass the step to ``park`` or ``drop``.
         """
         return heapq.heappop(self._order)[-1] if self._order else None
 
--- a/fireflyfork/decisions/jobs/_waves.py
+++ b/fireflyfork/decisions/jobs/_waves.py
@@ -10,12 +10,12 @@
 
 @dataclass(frozen=True, slots=True)
 class UpkeepWave:
-    """A number of machines that are to have their upkeep, a few at a time."""
+    """Machines that go down for upkeep at an operator's request, a few at a time."""
 
     number: int
     machines: tuple[MachineId, ...]
     max_at_once: int
-    """Maximum number of them that may be down for upkeep at the same time."""
+    """Maximum number of machines of the wave that may be down for upkeep at the same time."""
 
 
 class MachineState(Enum):
@@ -36,7 +36,7 @@
     service: ServiceName
     state: MachineState
     executor: ExecutorId | None
-    """The executor's present id, or None if there is none."""
+    """The id of the executor on the machine, or None if there is no executor."""
 
 
 class UpkeepPhase(Enum):
@@ -55,7 +55,7 @@
 
     phase: UpkeepPhase
     executor: ExecutorId | None
-    """The executor id that the order was to end."""
+    """The executor on the machine when the order was sent; the upkeep ends its process."""
 
 
 class UpkeepOutcome(Enum):
--- a/fireflyfork/decisions/jobs/tests/builders_jobs.py
+++ b/fireflyfork/decisions/jobs/tests/builders_jobs.py
@@ -88,7 +88,7 @@
 
 
 def learned(serving: str, effect: float) -> LearnedFit:
-    """Return what an earlier owner learned: the effect of `noisy` on this service."""
+    """Return what an earlier owner learned: the effect of ``noisy`` on this service."""
     weight = 1000.0
     products = (weight, 0.0, weight)
     return LearnedFit(serving, ("\x00", "noisy"), products, (2.4 * weight, -effect * weight))
@@ -98,7 +98,7 @@
     """A scheduler whose orders are answered by the test, on a clock that the test advances."""
 
     def __init__(self, *executors: str, polled: bool = True) -> None:
-        """Register the executors; with `polled` each answers a first poll."""
+        """Register the executors; with ``polled`` each answers a first poll."""
         self.now = START
         self.store_answers = True
         """Whether writes are confirmed, which happens immediately."""
@@ -181,7 +181,7 @@
         sent_at: float | None = None,
         ends_may_be_cut: bool = False,
     ) -> None:
-        """Answer a poll with these runs and the ends recorded by `end`."""
+        """Answer a poll with these runs and the ends recorded by ``end``."""
         self.store()
         answer = PollAnswer(
             CallOutcome.ACCEPTED,
--- a/fireflyfork/decisions/jobs/tests/test_arrangement_at_size.py
+++ b/fireflyfork/decisions/jobs/tests/test_arrangement_at_size.py
@@ -19,7 +19,7 @@
 
 
 def _fleet(size: int, mixed: range) -> OwnerUnderTest:
-    """Return executors with one service each, and a second one on those in `mixed`."""
+    """Return executors with one service each, and a second one on those in ``mixed``."""
     owner = OwnerUnderTest(*(f"i-{number}" for number in range(size)))
     owner.scheduler.adopt(
         tuple(learned(image, LIGHT if image == "desk" else HEAVY) for image in IMAGES)
--- a/fireflyfork/decisions/jobs/tests/test_change_log.py
+++ b/fireflyfork/decisions/jobs/tests/test_change_log.py
@@ -44,12 +44,12 @@
 
     @invariant()
     def says_nothing_is_stored_that_is_not(self) -> None:
-        """Every change up to `stored_to` is stored."""
+        """Every change up to ``stored_to`` is stored."""
         assert set(range(1, self.log.stored_to + 1)) <= self.stored
 
     @invariant()
     def knows_that_all_is_stored(self) -> None:
-        """If every change is stored, `stored_to` is the latest change."""
+        """If every change is stored, ``stored_to`` is the latest change."""
         if self.stored == set(self.changed) and self.flying is None:
             assert self.log.stored_to == self.log.last
 
--- a/fireflyfork/decisions/jobs/tests/test_stragglers.py
+++ b/fireflyfork/decisions/jobs/tests/test_stragglers.py
@@ -13,7 +13,7 @@
         self.owner = OwnerUnderTest("i-0", "i-1")
 
     def _start(self, number: int, **changes: object) -> Run:
-        """Start a job of one task while only `i-0` is usable."""
+        """Start a job of one task while only ``i-0`` is usable."""
         self.owner.executor("i-1").cordoned = True
         name = f"{number:016x}"
         self.owner.scheduler.accept(job(name, step(**changes)), START_MS)
