--- a/fireflyfork/_contracts.py
+++ b/fireflyfork/_contracts.py
@@ -96,6 +96,7 @@
 
     failure_domain: FailureDomainName
     count: int
+    """The number of workers."""
     workers_per_rack: int
     capacity: Resources
     """The capacity of one worker."""
@@ -103,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Weights:
-    """The relative weight of each measure when placement has to trade one for another."""
+    """The relative weights of the goals between which placement has to find a compromise."""
 
     tail_latency: float = 1.0
     evictions: float = 1.0
@@ -112,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """All settings that operators decide, as one versioned value."""
+    """All settings that operators can change, as one versioned value."""
 
     version: ConfigurationVersion
     """Starts at 1 and increases by 1 with each accepted change."""
--- a/fireflyfork/_errors.py
+++ b/fireflyfork/_errors.py
@@ -68,7 +68,7 @@
 
 
 class PeerError(FireflyforkError):
-    """A peer stream failed, or its peer is not a member that is allowed to connect."""
+    """The stream to a peer failed, or the peer is not a member that is allowed to connect."""
 
 
 class RequestError(FireflyforkError):
@@ -109,7 +109,7 @@
 
 
 class StoppingError(RequestError):
-    """The instance stops before it could answer the request."""
+    """The instance is stopping and can't answer the request."""
 
     def __init__(self, verdict: Verdict) -> None:
         """Choose the status: 503 if the request did not run, or 504 if it may have run."""
--- a/fireflyfork/_ids.py
+++ b/fireflyfork/_ids.py
@@ -15,11 +15,11 @@
 JobId = NewType("JobId", str)
 TaskId = NewType("TaskId", str)
 AttemptNumber = NewType("AttemptNumber", int)
-"""Counts the runs of one task from 1. A higher number fences lower ones."""
+"""Counts the runs of one task from 1. A run with a higher number fences runs with lower numbers."""
 PartitionId = NewType("PartitionId", str)
 """Identifies one partition of a region's targets, written ``region/number``."""
 Epoch = NewType("Epoch", int)
-"""Counts the changes of the fleet record from 1."""
+"""Version of the fleet record; starts at 1 and increases with each change."""
 ConfigurationVersion = NewType("ConfigurationVersion", int)
 ChangeId = NewType("ChangeId", str)
 """Unique to each attempted change of a stored value. When the store's answer is lost, the id shows
--- a/fireflyfork/_traces.py
+++ b/fireflyfork/_traces.py
@@ -12,12 +12,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TraceContext:
-    """The trace that a request belongs to, and the span that sent it."""
+    """Identifies the trace of a request and the span that sent the request."""
 
     trace_id: str
-    """32 hexadecimal digits."""
+    """The id of the trace: 32 hexadecimal digits."""
     span_id: str
-    """16 hexadecimal digits."""
+    """The id of the sending span: 16 hexadecimal digits."""
     sampled: bool = True
     """Whether the spans of the trace are recorded."""
 
--- a/fireflyfork/_waits.py
+++ b/fireflyfork/_waits.py
@@ -17,6 +17,6 @@
     """Executors have room, but the task would slow the services on them too much."""
     RESERVED = "room kept for short work"
     BEHIND = "behind more urgent work"
-    """The task was not tried, because too many tasks ahead of it could not be placed."""
+    """Placement was not attempted, since too many more urgent tasks could not be placed."""
     OTHER = "other limits"
     """Labels or limits per executor exclude the task, or no executor has enough resources."""
--- a/fireflyfork/decisions/_admission.py
+++ b/fireflyfork/decisions/_admission.py
@@ -38,12 +38,13 @@
     """Moving averages of the time that executors take for a request, in seconds."""
 
     mean: float
+    """Moving average of the service time."""
     deviation: float
     """Mean absolute deviation from the mean."""
 
     @property
     def expected(self) -> float:
-        """Service time to assume for one request: the mean plus a safety margin."""
+        """The service time to assume for a request: the mean plus a safety margin."""
         return self.mean + MARGIN_DEVIATIONS * self.deviation
 
     def with_sample(self, seconds: float) -> ServiceTime:
@@ -89,7 +90,7 @@
 
     kind: AdmissionKind
     refused: tuple[RefusedRequest, ...] = ()
-    """The new request, if refused, and queued requests that were displaced or are overdue."""
+    """The new request if it was refused, and queued requests that were displaced or are overdue."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,7 +102,7 @@
     service_time: ServiceTime
     waiting: tuple[WaitingRequest, ...] = ()
     last_answer_at: float = 0.0
-    """Time of the latest answer of an executor, or when the queue became non-empty, if later."""
+    """Time at which an executor last answered or the queue became non-empty, whichever is later."""
     nonempty_since: float = 0.0
     """Time at which the queue last became non-empty."""
 
--- a/fireflyfork/decisions/_configuration_register.py
+++ b/fireflyfork/decisions/_configuration_register.py
@@ -21,7 +21,8 @@
 """The store key of the configuration."""
 
 _MAX_HISTORY = 64
-"""Number of change ids stored with the value; at 2,000 changes a day, at least half an hour's."""
+"""Number of change ids stored with the value. At 2,000 changes a day, they cover at least the last
+half hour."""
 
 NO_VERSION = ConfigurationVersion(0)
 
--- a/fireflyfork/decisions/_connections.py
+++ b/fireflyfork/decisions/_connections.py
@@ -23,11 +23,11 @@
     """Limits on idle connections and quarantines. All times are in seconds."""
 
     trusted_seconds: float = 2.0
-    """Time since its verification for which a connection may carry a non-idempotent request."""
+    """Maximum time since the verification of a connection that carries a non-idempotent request."""
     max_idle_seconds: float = 20.0
-    """Time since its verification after which an idle connection is closed."""
+    """Time since the verification of an idle connection after which it is closed."""
     silence_seconds: float = 5.0
-    """Time without progress of a request after which its connection counts as silent."""
+    """Time without progress of a request after which the connection counts as silent."""
     min_quarantine_seconds: float = 0.25
     """First quarantine of a path whose new connections fail too; doubled with each failure."""
     max_quarantine_seconds: float = 8.0
@@ -57,7 +57,7 @@
 
 
 class ConnectionChoice(Enum):
-    """How a request obtains a connection."""
+    """Whether a request reuses an idle connection, opens a new one or is refused."""
 
     REUSE = "reuse"
     OPEN = "open"
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionDecision:
-    """The choice for one request, and the idle connections to close."""
+    """How a request obtains a connection, and the idle connections to close."""
 
     choice: ConnectionChoice
     connection_id: ConnectionId | None = None
@@ -83,10 +83,10 @@
 
     terms: ConnectionTerms
     idle: tuple[IdleConnection, ...] = ()
-    """Idle connections in order of their verification, latest last."""
+    """Idle connections in order of verification, with the most recently verified last."""
     state: PathState = PathState.WORKING
     suspected_up_to: ConnectionId = ConnectionId(0)
-    """Highest id of the connections that were open when one of them went silent."""
+    """Highest id of the connections that were open when a connection of the path went silent."""
     quarantined_until: float = 0.0
     failures: int = 0
     """Number of failures of new connections since the path last worked."""
--- a/fireflyfork/decisions/_fleet.py
+++ b/fireflyfork/decisions/_fleet.py
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One run of a process that may own partitions."""
+    """A process, from its start to its end, that may own partitions."""
 
     member_id: MemberId
     address: Address
@@ -57,7 +57,7 @@
 
     member: Member
     taker: MemberId | None
-    """The member that reassigns its partitions; None if no member remained when it was fenced.
+    """The member that reassigns the partitions; None if no member remained after the fence.
 
     The next member to join becomes the taker then.
     """
@@ -94,7 +94,7 @@
     owner: MemberId | None
     """The owner; None after the last member has left the fleet."""
     since: Epoch
-    """The epoch in which the owner acquired it."""
+    """The epoch in which the owner acquired the partition."""
     acquired: Acquisition = Acquisition.FIRST
     occupied: tuple[OccupiedSlots, ...] = ()
     """Slots that may still be occupied; set only after a planned move."""
--- a/fireflyfork/decisions/_idempotency.py
+++ b/fireflyfork/decisions/_idempotency.py
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyRecord:
-    """The record of one key at its home."""
+    """The state of one key, as recorded by the key's home."""
 
     state: KeyState
     fingerprint: int
@@ -85,7 +85,7 @@
 
 
 class KeyDecisionKind(Enum):
-    """What to do with a request that carries a key."""
+    """How a request that carries a key is handled."""
 
     RUN = "run"
     JOIN = "join"
@@ -231,7 +231,11 @@
         return self._with_generations(gen.without_answers() for gen in self.generations)
 
     def merged_with(self, earlier: KeyTable, now: float) -> KeyTable:
-        """Return the table merged with the keys of ``earlier``, started here before it came."""
+        """Return the table merged with ``earlier``.
+
+        ``earlier`` holds the keys that the new home recorded before this table arrived from the
+        previous home.
+        """
         table = self
         for generation in earlier.generations:
             for shard in generation.shards:
--- a/fireflyfork/decisions/_membership_state.py
+++ b/fireflyfork/decisions/_membership_state.py
@@ -56,7 +56,7 @@
     in_flight: bool = True
     """Whether the current call may still be answered."""
     was_unknown: bool = False
-    """Whether at least one call for this write ended without an answer."""
+    """Whether the outcome of an earlier call for this write is unknown."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,7 +79,8 @@
     record: FleetRecord = field(default_factory=FleetRecord)
     revision: Revision = _NO_REVISION
     right_proved_at: float = NEVER
-    """Time from which the latest proof of the right counts, normally when its question was sent."""
+    """Time from which the latest proof of the right to dispatch counts. This is normally the time
+    at which the question was sent."""
     open_questions: tuple[OpenQuestion, ...] = ()
     next_nonce: int = 1
     next_ask_at: float = NEVER
@@ -92,7 +93,8 @@
     ward_asked_at: Mapping[MemberId, float] = field(default_factory=dict)
     """Time of the last question from each ward."""
     fence_learned_at: Mapping[MemberId, float] = field(default_factory=dict)
-    """Time at which this member learned of each fence whose taker it is."""
+    """By fenced member: the time at which this member learned that it must take over the
+    partitions of the fenced member."""
     terminated: frozenset[MemberId] = frozenset()
     """Members whose instances are known to be terminated."""
     write: PendingWrite | None = None
--- a/fireflyfork/decisions/_partition_state.py
+++ b/fireflyfork/decisions/_partition_state.py
@@ -23,7 +23,7 @@
     most_open_tasks: int = 100_000
     """Maximum number of open tasks; a job that would exceed it is refused temporarily."""
     most_starts: int = 500
-    """Maximum number of starts in one round of placement."""
+    """Maximum number of attempts that one round of placement starts."""
     start_retry_seconds: float = 5.0
     """Interval after which a start that the platform has not confirmed is sent again."""
     keep_ended_seconds: float = 86_400.0
--- a/fireflyfork/decisions/_rights.py
+++ b/fireflyfork/decisions/_rights.py
@@ -22,13 +22,14 @@
     ask_interval_seconds: float = 0.5
     """Interval between questions to the guard."""
     compare_interval_seconds: float = 2.0
-    """Interval between questions to any other member, which only compare record revisions."""
+    """Interval between questions to members other than the guard, which compare record
+    revisions."""
     suspect_seconds: float = 2.0
     """A guard fences a ward that has not sent a question for this long."""
     replace_guard_seconds: float = 1.0
     """A member replaces a guard that has not acknowledged for this long."""
     improve_guard_seconds: float = 10.0
-    """Minimum time before a guard that acknowledges is replaced by a better-ranked one."""
+    """Minimum time before a guard that acknowledges is replaced by a better-ranked guard."""
     max_read_age_seconds: float = 1.0
     """Changes are written only if the last answered read was sent at most this long ago."""
     pause_seconds: float = 0.8
@@ -52,7 +53,7 @@
     acknowledged: bool
     """Whether the guard holds the right itself and has not begun to fence the asker."""
     if_you_guard_me: bool = False
-    """Whether the asker is the answering member's guard, and so the only one that can fence it."""
+    """Whether the asker is the answering member's guard, the only member that can fence it."""
 
 
 class RightRules:
--- a/fireflyfork/decisions/_routing.py
+++ b/fireflyfork/decisions/_routing.py
@@ -71,12 +71,12 @@
         return (1 - self.room) / self.drain_per_second
 
     def is_fresh(self, now: float) -> bool:
-        """Return whether the figures are recent enough to be compared with other members'."""
+        """Return whether the report is recent enough to compare the member with others."""
         return now - self.measured_at <= FRESH_SECONDS
 
 
 class RouteKind(Enum):
-    """What to do with a request."""
+    """How a request is routed."""
 
     OWN_TARGET = "own-target"
     FORWARD = "forward"
@@ -242,7 +242,7 @@
 
     target_id: TargetId
     age_seconds: float
-    """Time since the instance list or the configuration was last seen to list it as leaving."""
+    """Seconds since the instance list or the configuration last listed the target as leaving."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -256,7 +256,7 @@
         return LeavingTargets({**self._seen_at, **dict.fromkeys(targets, now)})
 
     def merge_marks(self, marks: Iterable[LeavingMark], now: float) -> LeavingTargets:
-        """Merge the marks of a peer, ignoring marks that are not much newer than the known ones.
+        """Merge the marks of a peer, ignoring marks that are hardly newer than the known marks.
 
         A mark appears younger by the time that its message was in transit. If any younger mark
         were merged, two members would keep renewing each other's marks for a target that has long
@@ -275,7 +275,7 @@
         return now - self._last_seen(target_id) < LEAVING_SECONDS
 
     def marks(self, now: float) -> tuple[LeavingMark, ...]:
-        """Return the marks to send to peers."""
+        """Return a ``LeavingMark`` for each leaving target, to be sent to peers."""
         return tuple(
             LeavingMark(target_id, now - seen_at)
             for target_id, seen_at in self._seen_at.items()
--- a/fireflyfork/decisions/_slots.py
+++ b/fireflyfork/decisions/_slots.py
@@ -53,7 +53,7 @@
     slots: int
     connections: int
     own_connections: int
-    """Maximum number of connections that one owner opens."""
+    """Maximum number of connections to the target that one owner opens."""
     hold_seconds: float
     """Time after taking a slot by which the target must have ended the request."""
 
--- a/fireflyfork/decisions/jobs/_cost_caches.py
+++ b/fireflyfork/decisions/jobs/_cost_caches.py
@@ -23,10 +23,10 @@
 
 
 class CostCache:
-    """Costs of tasks that don't differ in anything that decides where they may run."""
+    """Caches the cost of each executor for all tasks of the same shape."""
 
     def __init__(self, task: Task, model: InterferenceModel) -> None:
-        """Initialize for ``task`` and others of its shape."""
+        """Initialize for all tasks that have the shape of ``task``."""
         self._task = task
         self._model = model
         self._cache: dict[ExecutorState, tuple[Hashable, PlacementCost | None]] = {}
--- a/fireflyfork/decisions/jobs/_waves.py
+++ b/fireflyfork/decisions/jobs/_waves.py
@@ -55,7 +55,8 @@
 
     phase: UpkeepPhase
     executor: ExecutorId | None
-    """The executor on the machine when the order was sent; the upkeep ends its process."""
+    """The executor on the machine when the order was sent; None if there was none or the upkeep has
+    begun."""
 
 
 class UpkeepOutcome(Enum):
--- a/fireflyfork/decisions/jobs/tests/builders_jobs.py
+++ b/fireflyfork/decisions/jobs/tests/builders_jobs.py
@@ -56,17 +56,17 @@
 
 
 def table(*queues: QueueTerms) -> QueueTable:
-    """Return a configuration of these queues."""
+    """Return a configuration with the given queues."""
     return queue_table(ConfigurationVersion(1), queues or (queue(),), frozenset({SERVICE}))
 
 
 def step(**changes: object) -> StepSpec:
-    """Return a step of one task with one core."""
+    """Return a step with one task that reserves one core, with ``changes`` of its fields."""
     return replace(StepSpec(1, 1000, 1000, 0, 1000), **changes)  # type: ignore[arg-type]
 
 
 def job(name: str = "00000000000000aa", *steps: StepSpec, **changes: object) -> JobSpec:
-    """Return a job of these steps, or of one task."""
+    """Return a job with the given steps, or with a single task if there are none."""
     spec = JobSpec(JobId(name), QueueName("q"), SERVICE, "work", steps or (step(),), START_MS)
     return replace(spec, **changes)  # type: ignore[arg-type]
 
@@ -88,7 +88,7 @@
 
 
 def learned(serving: str, effect: float) -> LearnedFit:
-    """Return what an earlier owner learned: the effect of ``noisy`` on this service."""
+    """Return the sums that an earlier owner stored: ``noisy`` has ``effect`` on ``serving``."""
     weight = 1000.0
     products = (weight, 0.0, weight)
     return LearnedFit(serving, ("\x00", "noisy"), products, (2.4 * weight, -effect * weight))
--- a/fireflyfork/decisions/jobs/tests/test_arrangement_at_size.py
+++ b/fireflyfork/decisions/jobs/tests/test_arrangement_at_size.py
@@ -19,7 +19,7 @@
 
 
 def _fleet(size: int, mixed: range) -> OwnerUnderTest:
-    """Return executors with one service each, and a second one on those in ``mixed``."""
+    """Return executors that serve one service each; those in ``mixed`` serve a second one too."""
     owner = OwnerUnderTest(*(f"i-{number}" for number in range(size)))
     owner.scheduler.adopt(
         tuple(learned(image, LIGHT if image == "desk" else HEAVY) for image in IMAGES)
@@ -75,7 +75,7 @@
 
 
 class ArrangementAtSizeTest(unittest.TestCase):
-    """The cost of a search, and the tasks that it finds."""
+    """The cost of a search in a large fleet, and the tasks that it moves."""
 
     def test_a_look_costs_no_more_than_in_a_small_fleet(self) -> None:
         """Guards against an owner that is blocked by each search while polls and starts wait."""
--- a/fireflyfork/decisions/jobs/tests/test_candidates.py
+++ b/fireflyfork/decisions/jobs/tests/test_candidates.py
@@ -1,4 +1,4 @@
-"""Finding executors for the tasks of a step, in a small fleet and in one of hundreds.
+"""Tests of the search for executors of a step, in small fleets and with hundreds of executors.
 
 The owner handles hundreds of starts a second, each of which could go to any of hundreds of
 executors.
@@ -151,7 +151,7 @@
 
 
 def _fleet(loads: list[int], spec: StepSpec) -> tuple[list[ExecutorState], list[Task]]:
-    """Return executors with these numbers of cores in use, and the tasks of one step."""
+    """Return executors with the given numbers of cores in use, and the tasks of a step."""
     owner = OwnerUnderTest(*(f"i-{number}" for number in range(len(loads))))
     executors = list(owner.scheduler.executors.values())
     for number, load in enumerate(loads):
--- a/fireflyfork/decisions/jobs/tests/test_ends.py
+++ b/fireflyfork/decisions/jobs/tests/test_ends.py
@@ -1,4 +1,4 @@
-"""What the ends listed by executors prove, and what they don't prove."""
+"""Tests of the conclusions that an owner draws from the ends that executors list."""
 
 import unittest
 
--- a/fireflyfork/decisions/jobs/tests/test_late_listings.py
+++ b/fireflyfork/decisions/jobs/tests/test_late_listings.py
@@ -1,4 +1,4 @@
-"""An owner that polls its executors rarely, since it has too many of them for its processor."""
+"""Tests of an owner with too many executors for its processor, which polls them rarely."""
 
 import unittest
 
--- a/fireflyfork/decisions/jobs/tests/test_load_shedding.py
+++ b/fireflyfork/decisions/jobs/tests/test_load_shedding.py
@@ -1,4 +1,4 @@
-"""The work that an owner skips while its event loop is late.
+"""Tests of the work that an owner skips while its event loop is late.
 
 For seconds, more polls, starts and ends arrive than the owner's share of a processor can handle.
 """
@@ -87,7 +87,7 @@
         self.assertEqual(executor.incoming_cpu_millis, 0)
 
     def test_services_are_protected_by_what_is_known_while_nothing_is_learned(self) -> None:
-        """Guards against services that a late owner leaves over their target."""
+        """Guards against services that stay over their target while the owner is late."""
         self.owner.scheduler.note_lag(1.1 * LEARNING_LAG_SECONDS)
         with patch.object(InterferenceModel, "observe", autospec=True) as learned:
             self._poll()
--- a/fireflyfork/decisions/jobs/tests/test_ownership_proof.py
+++ b/fireflyfork/decisions/jobs/tests/test_ownership_proof.py
@@ -1,4 +1,4 @@
-"""What an owner may conclude and start while it is uncertain whether it still owns the service."""
+"""Tests of an owner that is uncertain whether it still owns the service."""
 
 import unittest
 
--- a/fireflyfork/decisions/jobs/tests/test_scheduler.py
+++ b/fireflyfork/decisions/jobs/tests/test_scheduler.py
@@ -409,7 +409,7 @@
 
 
 class TakeoverTest(unittest.TestCase):
-    """What a new owner may start, and when."""
+    """The tasks that a new owner may start, and when."""
 
     def setUp(self) -> None:
         """Set up a job of two steps that an earlier owner may have begun, and two executors."""
--- a/fireflyfork/decisions/jobs/tests/test_stragglers.py
+++ b/fireflyfork/decisions/jobs/tests/test_stragglers.py
@@ -1,4 +1,4 @@
-"""Runs that take much longer than they should."""
+"""Tests of runs that take much longer than their estimate."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 
 
 class StragglersTest(unittest.TestCase):
-    """One executor works at a sixth of its speed; it answers every poll and fails no task."""
+    """Runs on an executor at a sixth of the usual speed that answers polls and fails no task."""
 
     def setUp(self) -> None:
         self.owner = OwnerUnderTest("i-0", "i-1")
--- a/fireflyfork/decisions/jobs/tests/test_upkeep.py
+++ b/fireflyfork/decisions/jobs/tests/test_upkeep.py
@@ -52,7 +52,7 @@
 
 
 class WaveViewTest(unittest.TestCase):
-    """What the list of machines and the stored marks show about a wave."""
+    """The state of a wave, derived from the list of machines and the stored marks."""
 
     def test_when_a_wave_is_over(self) -> None:
         done = dict.fromkeys(range(3), BEGUN)
@@ -87,7 +87,7 @@
         return self.owner.scheduler.next_upkeep(views, self.owner.now)
 
     def _serving(self, count: int, budget: int) -> list[Run]:
-        """Start long-running tasks, one on each executor, that all serve."""
+        """Start long-running tasks, one on each executor, and let them report full progress."""
         lasting = step(
             count=count, long_running=True, per_executor_limit=1, unavailable_budget=budget
         )
--- a/fireflyfork/decisions/placement/_failed_searches.py
+++ b/fireflyfork/decisions/placement/_failed_searches.py
@@ -17,9 +17,10 @@
 class _FailedSearch:
     need: Resources
     max_slope: float
-    """The slope limit of the search. A task that has waited longer has a higher limit, so it may
-    find a worker nevertheless."""
+    """The slope limit of the search. A task that has waited longer has a higher limit, for which a
+    new search may find a worker."""
     until: float
+    """Time at which the result of the search expires."""
 
 
 class FailedSearches:
@@ -62,7 +63,7 @@
         self._count += 1
 
     def covers(self, need: Resources, task_class: TaskClass, limits: InterferenceLimits) -> bool:
-        """Return whether a search for no more than ``need`` failed with limits at least as high."""
+        """Return whether a recent search for at most ``need``, with limits as high, failed."""
         if any(search.need.fits_in(need) for search in self._searches.get(None, ())):
             return True
         return any(
--- a/fireflyfork/decisions/placement/_fair_queue.py
+++ b/fireflyfork/decisions/placement/_fair_queue.py
@@ -1,4 +1,5 @@
-"""Orders waiting batch tasks by fair sharing: the team that uses least of its quota comes first."""
+"""Orders waiting batch tasks by fair sharing: the team with the lowest used quota share is
+first."""
 
 from __future__ import annotations
 
@@ -29,7 +30,7 @@
         self._reserved_this_round: dict[TeamName, Resources] = {}
 
     def reserved(self, team: TeamName) -> Resources:
-        """Return what the team's batch tasks have reserved."""
+        """Return the resources reserved by the team's batch tasks."""
         changed = self._reserved_this_round.get(team)
         return changed if changed is not None else self._reserved.get(team, _NO_RESOURCES)
 
--- a/fireflyfork/decisions/placement/_headroom.py
+++ b/fireflyfork/decisions/placement/_headroom.py
@@ -33,13 +33,15 @@
         self._fleet = fleet
         self._held: dict[WorkerEntry, Resources] = {}
         self._size = Resources()
+        """The resources to hold on each worker: the largest need of an urgent task so far."""
         self._peak = 0.0
         self._peak_at = 0.0
         self._window_start = float("-inf")
         self._window_count = 0
+        """Number of urgent tasks that started in the current window."""
 
     def note_arrival(self, need: Resources, now: float) -> None:
-        """Count an urgent task that starts, and update the peak and the largest size."""
+        """Count an urgent task that starts, and update the peak and the size to hold."""
         if now - self._window_start > _WINDOW_SECONDS:
             self._window_start = now
             self._window_count = 0
--- a/fireflyfork/decisions/placement/_interference.py
+++ b/fireflyfork/decisions/placement/_interference.py
@@ -65,7 +65,7 @@
     pairs: dict[TaskClass, PairEstimate] = field(default_factory=dict)
 
     def slope(self, task_class: TaskClass, now: float) -> float:
-        """Return what a worker full of the class would add to the logarithm of the tail ratio."""
+        """Return the increase of the log of the tail ratio by a worker full of the class."""
         pair = self.pairs.get(task_class)
         return 0.0 if pair is None else _decayed_slope(pair, now)
 
@@ -126,7 +126,7 @@
     def added_log_ratio(
         self, service: ServiceName, load: float, task_class: TaskClass, share: float, now: float
     ) -> float:
-        """Return what ``share`` of a worker used by the class adds to the log of the tail ratio."""
+        """Return the log increase of the tail ratio if the class uses ``share`` of a worker."""
         band = self._nearest_band(service, load_band(load))
         if band is None:
             return 0.0
--- a/fireflyfork/decisions/placement/_policy.py
+++ b/fireflyfork/decisions/placement/_policy.py
@@ -54,9 +54,10 @@
 from ._worker_selection import NO_LIMITS, InterferenceLimits, WorkerSelector
 
 _MAX_FAILED_SEARCHES = 8
-"""Failed searches for batch tasks after which a round ends; bounds its cost on a full fleet."""
+"""Number of failed searches for batch tasks after which a round ends, to bound the round's cost on
+a full fleet."""
 _MAX_FAILED_URGENT_SEARCHES = 64
-"""Urgent tasks, or replicas, without a worker after which a round stops placing more of them."""
+"""Number of urgent tasks, or of replicas, without a worker after which a round places no more."""
 _MAX_RATIO = 0.75
 """Maximum ratio of p99 latency to objective that a new batch task may cause for a service."""
 _FULL_PATIENCE_SECONDS = 1200.0
@@ -416,7 +417,7 @@
         return accepts
 
     def _need(self, shape: TaskShape) -> Resources:
-        """Return what to reserve for a task: its learned size, capped at the largest worker."""
+        """Return the resources to reserve: the learned size, capped at the largest worker."""
         if not self._settings.learns_sizes:
             return shape.resources
         is_service = shape.service is not None
--- a/fireflyfork/decisions/placement/_preemption.py
+++ b/fireflyfork/decisions/placement/_preemption.py
@@ -1,4 +1,4 @@
-"""Preempts batch tasks for tasks that must start at once, and holds the room for these."""
+"""Preempts batch tasks for tasks that must start at once, and holds the freed room for them."""
 
 from __future__ import annotations
 
--- a/fireflyfork/decisions/placement/_relief.py
+++ b/fireflyfork/decisions/placement/_relief.py
@@ -31,14 +31,15 @@
 _MIN_SHARE_OF_RESERVATION = 0.25
 _MIN_MILLICORES = 50
 _MIN_CONTRIBUTION_SHARE = 0.25
-"""Neighbours that contribute less than this share of the largest contribution are left alone."""
+"""Neighbours that contribute less than this share of the largest contribution aren't throttled."""
 _NEGLIGIBLE_EFFECT = 0.01
 """A limit with at most this effect on the logarithm of tail latency is always lifted."""
 _MIN_EXPLAINED = 0.05
 """If the contributions of all neighbours to the logarithm of tail latency sum to less than this,
 they don't explain the latency, and slowing them would not help."""
 _REPORTS_TO_TRUST_ESTIMATES = 12
-"""Reports about a service after which its neighbours' low contributions are trusted."""
+"""Number of reports about a service in a load band from which estimates of low contributions by its
+neighbours are trusted."""
 _MAX_GAIN_MINUTES = 10.0
 """The benefit of an eviction is counted for at most this time, since load shifts."""
 _RESTART_MINUTES = 0.5
@@ -55,7 +56,7 @@
     task: Task
     attempt: AttemptEntry
     contribution: float
-    """What the task adds to the logarithm of the service's tail latency. If the effects are
+    """The task's contribution to the logarithm of the service's tail latency. If the effects are
     unknown, the share of the worker's processors that the task uses."""
     limit: int
     """The processor limit in millicores that the next throttle would set."""
--- a/fireflyfork/decisions/placement/_sizes.py
+++ b/fireflyfork/decisions/placement/_sizes.py
@@ -29,7 +29,7 @@
 _MIN_MEMORY = 1 << 20
 _MAX_CLASSES = 20_000
 _REFRESH_SAMPLES = 8
-"""Samples between two updates of the ratios of a class."""
+"""Number of samples of a class between two updates of its reservation ratios."""
 
 
 @dataclass(slots=True)
@@ -52,7 +52,7 @@
     def reservation(
         self, task_class: TaskClass, declared: Resources, is_service: bool = False
     ) -> Resources:
-        """Return what to reserve for a new task of the class.
+        """Return the resources to reserve for a new task of the class.
 
         Accelerators are reserved as declared, since they are whole devices.
         """
--- a/fireflyfork/decisions/tests/builders_requests.py
+++ b/fireflyfork/decisions/tests/builders_requests.py
@@ -47,7 +47,7 @@
 
 
 def slot_terms(slots: int = 2, connections: int = 8) -> SlotTerms:
-    """Return the slot terms of such a target."""
+    """Return the limits of a target with this number of slots and connections."""
     return SlotTerms.from_contracts(target(slots, connections), service())
 
 
--- a/fireflyfork/decisions/tests/test_idempotency.py
+++ b/fireflyfork/decisions/tests/test_idempotency.py
@@ -129,7 +129,7 @@
 
 @dataclass
 class _Booking:
-    """The true history of one key."""
+    """The runs and answers of one key, recorded independently of the table under test."""
 
     key: IdempotencyKey
     run_times: list[float] = field(default_factory=list)
