--- a/fireflyfork/decisions/_slots.py
+++ b/fireflyfork/decisions/_slots.py
@@ -59,7 +59,7 @@
 
     @classmethod
     def from_contracts(cls, target: TargetContract, service: ServiceContract) -> SlotTerms:
-        """Return the terms of a target of ``service``."""
+        """Return the limits of a target of ``service``."""
         share = max(target.slots, target.connections // CONNECTION_SHARE)
         return cls(
             slots=target.slots,
--- a/fireflyfork/decisions/jobs/_job_table.py
+++ b/fireflyfork/decisions/jobs/_job_table.py
@@ -23,7 +23,7 @@
 
 
 def terms_without_queue(spec: JobSpec) -> QueueTerms:
-    """Return terms for a job whose queue is no longer configured, so that the job is finished."""
+    """Return a configuration for the removed queue of a job, so that the job can finish."""
     return QueueTerms(spec.queue, "", "", spec.service, 9, 3, 2.0, 1000, 0)
 
 
@@ -46,7 +46,7 @@
     def configure(self, queues: QueueTable) -> None:
         """Use the queues of another configuration version.
 
-        Jobs of removed queues keep their terms.
+        Jobs of removed queues keep the last configuration of the queue.
         """
         self._queues = queues
         for job in self._jobs.values():
--- a/fireflyfork/decisions/jobs/_runs.py
+++ b/fireflyfork/decisions/jobs/_runs.py
@@ -141,7 +141,7 @@
 
     spec: JobSpec
     queue: QueueTerms
-    """The terms of the job's queue; if the queue was removed, its last known terms."""
+    """The configuration of the job's queue; if the queue was removed, the last known one."""
     state: JobState = JobState.QUEUED
     final_ms: int = 0
     tasks: dict[TaskKey, Task] = field(default_factory=dict)
