--- a/fireflyfork/decisions/jobs/_arrangement.py
+++ b/fireflyfork/decisions/jobs/_arrangement.py
@@ -65,10 +65,12 @@
 
 @dataclass(slots=True)
 class _MovePlan:
-    """Free resources and tasks as they would be after the moves planned so far."""
+    """The planned moves, and their effect on the free resources of executors."""
 
     cpu_millis: dict[ExecutorState, int] = field(default_factory=dict)
+    """By executor: the CPU time that the planned moves free; negative if they use it."""
     memory_mb: dict[ExecutorState, int] = field(default_factory=dict)
+    """By executor: the memory that the planned moves free; negative if they use it."""
     moves: list[Move] = field(default_factory=list)
     moved_runs: set[Run] = field(default_factory=set)
 
--- a/fireflyfork/decisions/jobs/_interference.py
+++ b/fireflyfork/decisions/jobs/_interference.py
@@ -111,7 +111,10 @@
     """The values of a serving task in one poll."""
 
     at: float
+    """Time of the poll."""
     headroom: float
+    """The target divided by the tail latency: below 1, the latency is over the target. Bounded for
+    very low latencies."""
     uses: dict[str, float]
     """Shares of the room that were used next to the task, by image."""
     over_since: float | None = None
--- a/fireflyfork/decisions/jobs/_pacing.py
+++ b/fireflyfork/decisions/jobs/_pacing.py
@@ -18,8 +18,8 @@
 margin, tail latencies would exceed their target less often, but more of the work next to them would
 end late."""
 HEADROOM_RECOVERY = 0.06
-"""How much the remembered low of the headroom recovers with each sample. Loads change over about
-ten seconds, and a low of 1.5 below the usual headroom is remembered for that long."""
+"""Amount by which the remembered minimum of the headroom rises with each sample. Loads change over
+about ten seconds, and a low of 1.5 below the usual headroom is remembered for that long."""
 MIN_PACE = 10
 """Lowest pace in percent, except for a pause. A run at a tenth of its pace still shows its effect
 on others; a stopped one would not."""
--- a/fireflyfork/decisions/jobs/_runs.py
+++ b/fireflyfork/decisions/jobs/_runs.py
@@ -51,6 +51,7 @@
     confirmed_at: float | None = None
     """When the executor confirmed that it runs; None before the confirmation."""
     stop_sent_at: float = 0.0
+    """When the last stop order for the run was queued."""
     stop_acknowledged_at: float | None = None
     """When the executor acknowledged a stop order; None before. After that the attempt can't begin
     on the executor any more."""
@@ -61,6 +62,7 @@
     progress_at: float = 0.0
     """When ``progress_percent`` last changed; 0 before the first listing."""
     pace_percent: int = 100
+    """The pace that was last ordered for the run, in percent of full pace."""
     lowest_pace: int = 100
     """The slowest pace that was ordered for the run, in percent."""
     pace_confirmed: bool = True
@@ -101,7 +103,9 @@
     attempt: AttemptNumber = _NONE_YET
     """The highest attempt number used."""
     failed_attempts: list[int] = field(default_factory=list)
+    """Numbers of the attempts that failed."""
     failed_on: set[ExecutorId] = field(default_factory=set)
+    """Executors on which an attempt failed."""
     checkpoint: str = ""
     runs: list[Run] = field(default_factory=list)
     straggler_handled: bool = False
@@ -144,6 +148,7 @@
     """The configuration of the job's queue; if the queue was removed, the last known one."""
     state: JobState = JobState.QUEUED
     final_ms: int = 0
+    """When the state became final, in Unix milliseconds; 0 before."""
     tasks: dict[TaskKey, Task] = field(default_factory=dict)
     """The tasks of the due occurrences that have not ended successfully."""
     remaining_tasks: dict[tuple[int, int], int] = field(default_factory=dict)
