--- a/fireflyfork/decisions/jobs/_executors.py
+++ b/fireflyfork/decisions/jobs/_executors.py
@@ -58,7 +58,7 @@
     """False after the registration was removed: the executor has left or cannot reach the store."""
     stored_address: Address | None = None
     """The executor's address in the last list of executors that is known to be stored, at which a
-    successor would poll it; None if the list does not contain the executor."""
+    successor would poll it; None if no stored list has contained the executor."""
     runs: dict[tuple[TaskName, AttemptNumber], Run] = field(default_factory=dict)
     used_cpu_millis: int = 0
     long_running_cpu_millis: int = 0
--- a/fireflyfork/decisions/jobs/_placement.py
+++ b/fireflyfork/decisions/jobs/_placement.py
@@ -27,7 +27,7 @@
 long-running task."""
 MAX_REFUSED_SHAPES = 24
 """A placement round ends when no executor could be found for this many different shapes of tasks.
-Further shapes would probably fail too, and each costs a comparison of every executor."""
+Further shapes would find none either, and each costs a comparison of every executor."""
 
 
 @dataclass(slots=True)
--- a/fireflyfork/decisions/jobs/_runs.py
+++ b/fireflyfork/decisions/jobs/_runs.py
@@ -49,7 +49,8 @@
     start_deadline_ms: int = 0
     """Time on the executor's clock after which the executor refuses the start order."""
     confirmed_at: float | None = None
-    """When the executor confirmed that it runs; None before the confirmation."""
+    """When the executor first confirmed the run, by accepting the start or listing the run; None
+    before."""
     stop_sent_at: float = 0.0
     """When the last stop order for the run was queued."""
     stop_acknowledged_at: float | None = None
--- a/fireflyfork/decisions/placement/_failed_searches.py
+++ b/fireflyfork/decisions/placement/_failed_searches.py
@@ -63,7 +63,7 @@
         self._count += 1
 
     def covers(self, need: Resources, task_class: TaskClass, limits: InterferenceLimits) -> bool:
-        """Return whether a recent search for at most ``need``, with limits as high, failed."""
+        """Return whether a recent search for at most ``need``, with no lower limits, failed."""
         if any(search.need.fits_in(need) for search in self._searches.get(None, ())):
             return True
         return any(
