--- a/fireflyfork/decisions/_slots.py
+++ b/fireflyfork/decisions/_slots.py
@@ -53,13 +53,13 @@
     slots: int
     connections: int
     own_connections: int
-    """Maximum number of connections that one owner opens."""
+    """Maximum number of connections to the target that one owner opens."""
     hold_seconds: float
     """Time after taking a slot by which the target must have ended the request."""
 
     @classmethod
     def from_contracts(cls, target: TargetContract, service: ServiceContract) -> SlotTerms:
-        """Return the terms of a target of ``service``."""
+        """Return the limits of a target of ``service``."""
         share = max(target.slots, target.connections // CONNECTION_SHARE)
         return cls(
             slots=target.slots,
--- a/fireflyfork/decisions/jobs/tests/test_stragglers.py
+++ b/fireflyfork/decisions/jobs/tests/test_stragglers.py
@@ -1,4 +1,4 @@
-"""Runs that take much longer than they should."""
+"""Tests of runs that take much longer than their estimate."""
 
 import unittest
 
@@ -7,13 +7,13 @@
 
 
 class StragglersTest(unittest.TestCase):
-    """One executor works at a sixth of its speed; it answers every poll and fails no task."""
+    """Runs on an executor at a sixth of the usual speed that answers polls and fails no task."""
 
     def setUp(self) -> None:
         self.owner = OwnerUnderTest("i-0", "i-1")
 
     def _start(self, number: int, **changes: object) -> Run:
-        """Start a job of one task while only `i-0` is usable."""
+        """Start a job of one task while only ``i-0`` is usable."""
         self.owner.executor("i-1").cordoned = True
         name = f"{number:016x}"
         self.owner.scheduler.accept(job(name, step(**changes)), START_MS)
