--- a/bench/job_scheduler_cost.py
+++ b/bench/job_scheduler_cost.py
@@ -30,11 +30,11 @@
     JobSpec,
     OrderAnswer,
     PollAnswer,
-    QueueTerms,
+    QueueConfiguration,
     Run,
     RunningRow,
     Scheduler,
-    SchedulerTerms,
+    SchedulerSettings,
     StartRun,
     StepSpec,
     queue_table,
@@ -69,8 +69,8 @@
         """
         self._uses_leftover_cpu = uses_leftover_cpu
         self._random = Random(executors)
-        self._scheduler = Scheduler(SchedulerTerms(SERVICE, 8.0, 5.0))
-        queue = QueueTerms(QueueName("q"), "h", "/q/", SERVICE, 0, 3, 2.0, 1000, 3000)
+        self._scheduler = Scheduler(SchedulerSettings(SERVICE, 8.0, 5.0))
+        queue = QueueConfiguration(QueueName("q"), "h", "/q/", SERVICE, 0, 3, 2.0, 1000, 3000)
         self._scheduler.configure(
             queue_table(ConfigurationVersion(1), (queue,), frozenset({SERVICE}))
         )
@@ -147,7 +147,7 @@
         self._scheduler.take_notes()
         self._scheduler.jobs.changes.take(10**6)
         self._scheduler.jobs.changes.mark_stored()
-        self._scheduler.note_stored()
+        self._scheduler.release_stored_ends()
         self._scheduler.check_time(self._now, 0)
 
     def _ended(self, name: ExecutorId, runs: list[Run]) -> tuple[EndedRow, ...]:
--- a/bench/overload_model.py
+++ b/bench/overload_model.py
@@ -31,12 +31,12 @@
     OwnTarget,
     RetryBudget,
     RetryDecision,
-    RetryTerms,
+    RetryLimits,
     RouteInput,
     RouteKind,
     ServiceTime,
     SlotLedger,
-    SlotTerms,
+    SlotLimits,
     WaitingRequest,
     route,
 )
@@ -126,7 +126,7 @@
         self._serial = 0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._owners = self._build_owners()
-        self._budgets = [RetryBudget.full(RetryTerms()) for _ in range(ENTRIES)]
+        self._budgets = [RetryBudget.full(RetryLimits()) for _ in range(ENTRIES)]
         self._peer_loads: list[dict[int, MemberLoad]] = [{} for _ in range(ENTRIES)]
         self._round_robin_counters = [0] * ENTRIES
 
@@ -155,7 +155,7 @@
             contract = TargetContract(
                 target_id, service.name, "", REGION, FailureDomainName("suva"), slots, 64
             )
-            ledgers[target_id] = SlotLedger(SlotTerms.from_contracts(contract, service))
+            ledgers[target_id] = SlotLedger(SlotLimits.from_contracts(contract, service))
         admission = AdmissionQueue(service.longest_queue, ServiceTime(MEAN_SECONDS, 0.0))
         return ModelOwner(ledgers, admission)
 
@@ -377,4 +377,4 @@
 
 
 def _slots(owner: ModelOwner) -> int:
-    return sum(ledger.terms.slots for ledger in owner.ledgers.values())
+    return sum(ledger.limits.slots for ledger in owner.ledgers.values())
--- a/bench/request_decisions.py
+++ b/bench/request_decisions.py
@@ -11,8 +11,8 @@
 from fireflyfork.decisions import (
     AdmissionQueue,
     ConnectionId,
+    ConnectionLimits,
     ConnectionPool,
-    ConnectionTerms,
     FailedAttempt,
     KeyTable,
     KeyTerms,
@@ -20,11 +20,11 @@
     MemberLoad,
     OwnTarget,
     RetryBudget,
-    RetryTerms,
+    RetryLimits,
     RouteInput,
     ServiceTime,
     SlotLedger,
-    SlotTerms,
+    SlotLimits,
     WaitingRequest,
     minted_at,
     route,
@@ -49,7 +49,7 @@
 
 
 def _slots() -> Callable[[int], object]:
-    ledger = SlotLedger(SlotTerms(8, 64, 32, 12.0))
+    ledger = SlotLedger(SlotLimits(8, 64, 32, 12.0))
     for number in range(6):
         taken = ledger.acquire(RequestId(f"busy-{number}"), NOW)
         assert isinstance(taken, SlotLedger)
@@ -65,7 +65,7 @@
 
 
 def _connections() -> Callable[[int], object]:
-    pool = ConnectionPool(ConnectionTerms())
+    pool = ConnectionPool(ConnectionLimits())
     for number in range(1, 5):
         pool, _ = pool.answered(ConnectionId(number), NOW)
 
@@ -124,7 +124,7 @@
 
 
 def _retries() -> Callable[[int], object]:
-    budget = RetryBudget(RetryTerms(), 5.0)
+    budget = RetryBudget(RetryLimits(), 5.0)
     failed = FailedAttempt(Verdict.NOT_RUN, False, 1, DEADLINE, 0.1)
     return lambda number: budget.request().decide(failed, NOW)
 
@@ -163,7 +163,7 @@
 
 
 def _busy_ledgers(count: int) -> list[SlotLedger]:
-    terms = SlotTerms(8, 64, 32, 12.0)
+    terms = SlotLimits(8, 64, 32, 12.0)
     ledgers = []
     for target in range(count):
         ledger = SlotLedger(terms)
--- a/fireflyfork/adapters/_peers.py
+++ b/fireflyfork/adapters/_peers.py
@@ -9,13 +9,13 @@
 from .._errors import PeerError
 from .._ids import MemberId
 from .._links import Address
-from ..decisions import ConnectionChoice, ConnectionPool, ConnectionTerms
+from ..decisions import ConnectionChoice, ConnectionLimits, ConnectionPool
 from ._peer_connection import PeerConnection, PeerHandler
 from ._peer_handshake import HANDSHAKE_SECONDS, accept_peer, connect_peer
 
 CONNECT_SECONDS = 2.0
 
-PATH_TERMS = ConnectionTerms(silence_seconds=CONNECT_SECONDS + HANDSHAKE_SECONDS)
+PATH_TERMS = ConnectionLimits(silence_seconds=CONNECT_SECONDS + HANDSHAKE_SECONDS)
 
 AddressOf = Callable[[MemberId], Address | None]
 
--- a/fireflyfork/decisions/__init__.py
+++ b/fireflyfork/decisions/__init__.py
@@ -32,8 +32,8 @@
     ConnectionChoice,
     ConnectionDecision,
     ConnectionId,
+    ConnectionLimits,
     ConnectionPool,
-    ConnectionTerms,
     IdleConnection,
     PathState,
 )
@@ -145,7 +145,7 @@
     Start,
     Throttle,
 )
-from ._retries import FailedAttempt, RetryBudget, RetryDecision, RetryTerms
+from ._retries import FailedAttempt, RetryBudget, RetryDecision, RetryLimits
 from ._rights import GuardAnswer, MembershipTiming, RightRules
 from ._routing import (
     LeavingMark,
@@ -159,7 +159,7 @@
     route,
 )
 from ._runs import RunReport, RunState, StartOrder
-from ._slots import HandedOverSlot, OccupiedSlot, SlotHandover, SlotLedger, SlotRefusal, SlotTerms
+from ._slots import HandedOverSlot, OccupiedSlot, SlotHandover, SlotLedger, SlotLimits, SlotRefusal
 from ._snapshot import Snapshot, decode_snapshot, encode_snapshot, table_of
 from ._task_changes import (
     AttemptOutcome,
@@ -217,8 +217,8 @@
     "ConnectionChoice",
     "ConnectionDecision",
     "ConnectionId",
+    "ConnectionLimits",
     "ConnectionPool",
-    "ConnectionTerms",
     "DurableChange",
     "EndRecorded",
     "Event",
@@ -283,7 +283,7 @@
     "RegisterState",
     "RetryBudget",
     "RetryDecision",
-    "RetryTerms",
+    "RetryLimits",
     "RightRules",
     "Route",
     "RouteInput",
@@ -297,8 +297,8 @@
     "Settlement",
     "SlotHandover",
     "SlotLedger",
+    "SlotLimits",
     "SlotRefusal",
-    "SlotTerms",
     "Snapshot",
     "StaleRun",
     "Start",
--- a/fireflyfork/decisions/_admission.py
+++ b/fireflyfork/decisions/_admission.py
@@ -153,8 +153,10 @@
 
     def answered(self, seconds: float, now: float) -> AdmissionQueue:
         """Record an answer that arrived ``seconds`` after its request was sent."""
-        learned = self.service_time.with_sample(seconds)
-        return AdmissionQueue(self.max_waiting, learned, self.waiting, now, self.nonempty_since)
+        service_time = self.service_time.with_sample(seconds)
+        return AdmissionQueue(
+            self.max_waiting, service_time, self.waiting, now, self.nonempty_since
+        )
 
     def drain_per_second(self, usable: int, now: float) -> float:
         """Return the expected number of requests completed per second while the queue is non-empty.
--- a/fireflyfork/decisions/_connections.py
+++ b/fireflyfork/decisions/_connections.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ConnectionTerms:
+class ConnectionLimits:
     """Limits on idle connections and quarantines. All times are in seconds."""
 
     trusted_seconds: float = 2.0
@@ -81,7 +81,7 @@
 class ConnectionPool:
     """The idle connections of one path and the health of the path."""
 
-    terms: ConnectionTerms
+    limits: ConnectionLimits
     idle: tuple[IdleConnection, ...] = ()
     """Idle connections in order of verification, with the most recently verified last."""
     state: PathState = PathState.WORKING
@@ -93,23 +93,23 @@
 
     def choose(self, idempotent: bool, now: float) -> tuple[ConnectionPool, ConnectionDecision]:
         """Choose a connection for one request."""
-        expired = tuple(self._unverified_for(self.terms.max_idle_seconds, now))
+        expired = tuple(self._unverified_for(self.limits.max_idle_seconds, now))
         kept = self.idle[len(expired) :]
-        trusted_for = self.terms.max_idle_seconds if idempotent else self.terms.trusted_seconds
+        trusted_for = self.limits.max_idle_seconds if idempotent else self.limits.trusted_seconds
         if kept and now - kept[-1].verified_at <= trusted_for:
             latest = kept[-1].connection_id
             reuse = ConnectionDecision(ConnectionChoice.REUSE, latest, expired)
-            return self._with_idle(kept[:-1]), reuse
+            return self._with_idle_connections(kept[:-1]), reuse
         if now < self.quarantined_until:
             wait = self.quarantined_until - now
             refused = ConnectionDecision(ConnectionChoice.QUARANTINED, None, expired, wait)
-            return self._with_idle(kept), refused
+            return self._with_idle_connections(kept), refused
         # A new connection replaces the least recently verified idle connection. Otherwise idle
         # connections that are no longer trusted could exhaust the contract's connection limit, and
         # requests would be refused for lack of a connection while slots are free.
         replaced = tuple(connection.connection_id for connection in kept[:1])
         opened = ConnectionDecision(ConnectionChoice.OPEN, None, expired + replaced)
-        return self._with_probe_started(now)._with_idle(kept[1:]), opened
+        return self._with_probe_started(now)._with_idle_connections(kept[1:]), opened
 
     def opened(self) -> ConnectionPool:
         """Record that a new connection was set up.
@@ -136,13 +136,15 @@
             return self, (connection_id,)
         remaining = (c for c in self.idle if c.connection_id != connection_id)
         idle = (*remaining, IdleConnection(connection_id, now))
-        surplus = max(0, len(idle) - self.terms.max_idle_connections)
+        surplus = max(0, len(idle) - self.limits.max_idle_connections)
         close = tuple(c.connection_id for c in idle[:surplus])
-        return self._working()._with_idle(idle[surplus:]), close
+        return self._working()._with_idle_connections(idle[surplus:]), close
 
     def closed(self, connection_id: ConnectionId) -> ConnectionPool:
         """Remove a connection that was closed."""
-        return self._with_idle(tuple(c for c in self.idle if c.connection_id != connection_id))
+        return self._with_idle_connections(
+            tuple(c for c in self.idle if c.connection_id != connection_id)
+        )
 
     def silent(
         self, connection_id: ConnectionId, newest: ConnectionId, now: float
@@ -173,7 +175,7 @@
         """
         if self.failures == 0:
             return self
-        until = now + max(self._quarantine_seconds(), self.terms.silence_seconds)
+        until = now + max(self._quarantine_seconds(), self.limits.silence_seconds)
         return replace(self, quarantined_until=until)
 
     def _quarantined(self, state: PathState, now: float) -> ConnectionPool:
@@ -181,19 +183,19 @@
         return replace(failed, quarantined_until=now + failed._quarantine_seconds())
 
     def _quarantine_seconds(self) -> float:
-        doubled = self.terms.min_quarantine_seconds * 2.0 ** min(self.failures - 1, 16)
-        return min(doubled, self.terms.max_quarantine_seconds)
+        doubled = self.limits.min_quarantine_seconds * 2.0 ** min(self.failures - 1, 16)
+        return min(doubled, self.limits.max_quarantine_seconds)
 
     def _working(self) -> ConnectionPool:
         if self.state is PathState.WORKING:
             return self
         return replace(self, state=PathState.WORKING, quarantined_until=0.0, failures=0)
 
-    def _with_idle(self, idle: tuple[IdleConnection, ...]) -> ConnectionPool:
+    def _with_idle_connections(self, idle: tuple[IdleConnection, ...]) -> ConnectionPool:
         if idle is self.idle:
             return self
         return ConnectionPool(
-            self.terms,
+            self.limits,
             idle,
             self.state,
             self.suspected_up_to,
--- a/fireflyfork/decisions/_membership.py
+++ b/fireflyfork/decisions/_membership.py
@@ -161,7 +161,7 @@
         record=changed,
         expected=state.revision,
         kind=planned.kind,
-        subject=planned.subject,
+        subject_member=planned.subject_member,
         partitions=frozenset(planned.receivers),
         sent_at=now,
     )
--- a/fireflyfork/decisions/_membership_guards.py
+++ b/fireflyfork/decisions/_membership_guards.py
@@ -84,7 +84,9 @@
 
 def _may_be_fencing(state: MembershipState, member_id: MemberId) -> bool:
     write = state.write
-    return write is not None and write.kind is ChangeKind.FENCE and write.subject == member_id
+    return (
+        write is not None and write.kind is ChangeKind.FENCE and write.subject_member == member_id
+    )
 
 
 def _writes(state: MembershipState, kind: ChangeKind) -> bool:
--- a/fireflyfork/decisions/_membership_planning.py
+++ b/fireflyfork/decisions/_membership_planning.py
@@ -76,7 +76,7 @@
     record = state.record
     name = state.me.member_id
     change_id = ChangeId(f"{name}:{state.next_change}")
-    subject = planned.subject
+    subject = planned.subject_member
     match planned.kind:
         case ChangeKind.JOIN:
             return changes.join(record, state.me, change_id)
--- a/fireflyfork/decisions/_membership_state.py
+++ b/fireflyfork/decisions/_membership_state.py
@@ -48,7 +48,7 @@
     record: FleetRecord
     expected: Revision
     kind: ChangeKind
-    subject: MemberId | None
+    subject_member: MemberId | None
     """The member to be fenced or taken over, or the new guard; None for other changes."""
     partitions: frozenset[PartitionId]
     """The partitions that are handed over."""
@@ -64,7 +64,7 @@
     """A change of the record that this member should make."""
 
     kind: ChangeKind
-    subject: MemberId | None = None
+    subject_member: MemberId | None = None
     receivers: Mapping[PartitionId, MemberId] = field(default_factory=dict)
 
 
--- a/fireflyfork/decisions/_partition.py
+++ b/fireflyfork/decisions/_partition.py
@@ -115,7 +115,7 @@
             region_report.region,
             region_report.requested_at,
         )
-    samples = tuple(_samples(partition, latest, now))
+    samples = tuple(_usage_samples(partition, latest, now))
     policy = partition.policy
     if samples:
         policy = policy.observe(SamplesTaken(now, samples))
@@ -293,7 +293,9 @@
     )
 
 
-def _samples(partition: Partition, runs: Iterable[RunReport], now: float) -> Iterator[RunSample]:
+def _usage_samples(
+    partition: Partition, runs: Iterable[RunReport], now: float
+) -> Iterator[RunSample]:
     for run in runs:
         task = partition.table.tasks.get(run.task_id)
         if task is None or run.state is not RunState.RUNNING or task.attempt != run.attempt:
--- a/fireflyfork/decisions/_retries.py
+++ b/fireflyfork/decisions/_retries.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RetryTerms:
+class RetryLimits:
     """Limits on retries."""
 
     share: float = 0.1
@@ -56,26 +56,26 @@
 class RetryBudget:
     """The retry budget of one service at one entry."""
 
-    terms: RetryTerms
+    limits: RetryLimits
     saved: float
 
     @classmethod
-    def full(cls, terms: RetryTerms) -> RetryBudget:
+    def full(cls, limits: RetryLimits) -> RetryBudget:
         """Return a full budget."""
-        return cls(terms, terms.burst)
+        return cls(limits, limits.burst)
 
     def request(self) -> RetryBudget:
         """Add a new request's share to the budget."""
-        if self.saved >= self.terms.burst:
+        if self.saved >= self.limits.burst:
             return self
-        return RetryBudget(self.terms, min(self.terms.burst, self.saved + self.terms.share))
+        return RetryBudget(self.limits, min(self.limits.burst, self.saved + self.limits.share))
 
     def decide(self, failed: FailedAttempt, now: float) -> tuple[RetryBudget, RetryDecision]:
         """Decide whether to retry; a granted retry is deducted from the budget."""
         refusal = self._refusal(failed, now)
         if refusal is not None:
             return self, refusal
-        return RetryBudget(self.terms, self.saved - 1.0), RetryDecision.RETRY
+        return RetryBudget(self.limits, self.saved - 1.0), RetryDecision.RETRY
 
     def _refusal(self, failed: FailedAttempt, now: float) -> RetryDecision | None:
         if failed.verdict is Verdict.ANSWERED:
@@ -84,7 +84,7 @@
             return RetryDecision.UNSAFE
         if now + failed.expected_seconds > failed.deadline:
             return RetryDecision.TOO_LATE
-        if failed.attempts >= self.terms.max_attempts:
+        if failed.attempts >= self.limits.max_attempts:
             return RetryDecision.TOO_MANY_ATTEMPTS
         if self.saved < 1.0:
             return RetryDecision.OVER_BUDGET
--- a/fireflyfork/decisions/_routing.py
+++ b/fireflyfork/decisions/_routing.py
@@ -274,7 +274,7 @@
         """Return whether the target is leaving, so that it gets no new requests."""
         return now - self._last_seen(target_id) < LEAVING_SECONDS
 
-    def marks(self, now: float) -> tuple[LeavingMark, ...]:
+    def marks_for_peers(self, now: float) -> tuple[LeavingMark, ...]:
         """Return a ``LeavingMark`` for each leaving target, to be sent to peers."""
         return tuple(
             LeavingMark(target_id, now - seen_at)
--- a/fireflyfork/decisions/_slots.py
+++ b/fireflyfork/decisions/_slots.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SlotTerms:
+class SlotLimits:
     """The limits of one target, derived from the contracts."""
 
     slots: int
@@ -58,7 +58,7 @@
     """Time after taking a slot by which the target must have ended the request."""
 
     @classmethod
-    def from_contracts(cls, target: TargetContract, service: ServiceContract) -> SlotTerms:
+    def from_contracts(cls, target: TargetContract, service: ServiceContract) -> SlotLimits:
         """Return the limits of a target of ``service``."""
         share = max(target.slots, target.connections // CONNECTION_SHARE)
         return cls(
@@ -101,7 +101,7 @@
 class SlotLedger:
     """The occupied slots and open connections of one target, as an immutable value."""
 
-    terms: SlotTerms
+    limits: SlotLimits
     occupied: tuple[OccupiedSlot, ...] = ()
     own_connections: int = 0
     """Number of connections that this owner has open or is opening."""
@@ -113,22 +113,22 @@
     handed_over: bool = False
 
     @classmethod
-    def after_handover(cls, terms: SlotTerms, handover: SlotHandover, now: float) -> SlotLedger:
+    def after_handover(cls, limits: SlotLimits, handover: SlotHandover, now: float) -> SlotLedger:
         """Return the ledger that continues from a planned handover.
 
         The transit time of the handover only extends the holds.
         """
         return cls(
-            terms,
+            limits,
             tuple(OccupiedSlot(s.attempt, now + s.remaining_seconds) for s in handover.occupied),
             inherited_connections=handover.connections,
-            inherited_until=now + terms.hold_seconds,
+            inherited_until=now + limits.hold_seconds,
             leaving=handover.leaving,
         )
 
     @classmethod
     def after_fence(
-        cls, terms: SlotTerms, now: float, ceiling: int | None = None, leaving: bool = False
+        cls, limits: SlotLimits, now: float, ceiling: int | None = None, leaving: bool = False
     ) -> SlotLedger:
         """Return the ledger that follows a fenced owner, which left no handover.
 
@@ -137,12 +137,12 @@
         fewer, a wrong guess would overload the target. ``ceiling`` is the maximum number of slots
         that the previous owner could use, if known.
         """
-        busy = terms.slots if ceiling is None else min(ceiling, terms.slots)
-        until = now + terms.hold_seconds
+        busy = limits.slots if ceiling is None else min(ceiling, limits.slots)
+        until = now + limits.hold_seconds
         return cls(
-            terms,
+            limits,
             (OccupiedSlot(None, until),) * busy,
-            inherited_connections=terms.own_connections,
+            inherited_connections=limits.own_connections,
             inherited_until=until,
             leaving=leaving,
         )
@@ -158,14 +158,14 @@
         if self.leaving:
             return SlotRefusal.LEAVING
         occupied = self.occupied
-        if len(occupied) >= self.terms.slots:
+        if len(occupied) >= self.limits.slots:
             occupied = self._still_occupied(now)
-            if len(occupied) >= self.terms.slots:
+            if len(occupied) >= self.limits.slots:
                 return SlotRefusal.FULL
         for slot in occupied:
             if slot.attempt == attempt:
                 return SlotRefusal.DUPLICATE
-        taken = OccupiedSlot(attempt, now + self.terms.hold_seconds)
+        taken = OccupiedSlot(attempt, now + self.limits.hold_seconds)
         return self._with_occupied((*occupied, taken))
 
     def release(self, attempt: RequestId) -> SlotLedger:
@@ -195,11 +195,11 @@
         """Return the number of slots that can be acquired now."""
         if self.leaving or self.handed_over:
             return 0
-        return max(0, self.terms.slots - self.busy(now))
+        return max(0, self.limits.slots - self.busy(now))
 
     def next_free_at(self, now: float) -> float:
         """Return the latest time at which a slot becomes free; ``now`` if one is free."""
-        if self.busy(now) < self.terms.slots:
+        if self.busy(now) < self.limits.slots:
             return now
         return min(slot.until for slot in self.occupied if slot.until > now)
 
@@ -208,9 +208,9 @@
         if self.handed_over:
             return SlotRefusal.HANDED_OVER
         own = self.own_connections + 1
-        if own > self.terms.own_connections:
+        if own > self.limits.own_connections:
             return SlotRefusal.FULL
-        if own + self._inherited(now) > self.terms.connections:
+        if own + self._inherited(now) > self.limits.connections:
             return SlotRefusal.FULL
         return self._with_connections(own)
 
@@ -239,10 +239,10 @@
         """Resume sending. Call only if the handover is known not to have taken effect."""
         return self._with_flags(leaving=self.leaving, handed_over=False)
 
-    def with_terms(self, terms: SlotTerms) -> SlotLedger:
+    def with_limits(self, limits: SlotLimits) -> SlotLedger:
         """Apply a changed contract; running requests are not affected."""
         return SlotLedger(
-            terms,
+            limits,
             self.occupied,
             self.own_connections,
             self.inherited_connections,
@@ -259,7 +259,7 @@
 
     def _with_occupied(self, occupied: tuple[OccupiedSlot, ...]) -> SlotLedger:
         return SlotLedger(
-            self.terms,
+            self.limits,
             occupied,
             self.own_connections,
             self.inherited_connections,
@@ -270,7 +270,7 @@
 
     def _with_connections(self, own: int) -> SlotLedger:
         return SlotLedger(
-            self.terms,
+            self.limits,
             self.occupied,
             own,
             self.inherited_connections,
@@ -281,7 +281,7 @@
 
     def _with_flags(self, leaving: bool, handed_over: bool) -> SlotLedger:
         return SlotLedger(
-            self.terms,
+            self.limits,
             self.occupied,
             self.own_connections,
             self.inherited_connections,
--- a/fireflyfork/decisions/jobs/__init__.py
+++ b/fireflyfork/decisions/jobs/__init__.py
@@ -17,7 +17,7 @@
 from ._load_shedding import Shed
 from ._notes import ExecutorGivenUp, JobOver, Note, RunEnded, TaskSent
 from ._progress import JobState, StoredProgress, StoredTask
-from ._queues import QueueTable, QueueTerms, queue_table
+from ._queues import QueueConfiguration, QueueTable, queue_table
 from ._reports import (
     CallOutcome,
     EndedRow,
@@ -30,7 +30,7 @@
 )
 from ._run_end_evidence import RunEndEvidence
 from ._runs import Job, Run, RunPhase, Task
-from ._scheduler import Scheduler, SchedulerTerms
+from ._scheduler import Scheduler, SchedulerSettings
 from ._specs import JobSpec, StepSpec, TaskKey, parse_task_name, step_name
 from ._stored_forms import (
     StoredFormatError,
@@ -74,8 +74,8 @@
     "PaceRun",
     "PollAnswer",
     "PollRequest",
+    "QueueConfiguration",
     "QueueTable",
-    "QueueTerms",
     "Run",
     "RunCommand",
     "RunEndEvidence",
@@ -83,7 +83,7 @@
     "RunPhase",
     "RunningRow",
     "Scheduler",
-    "SchedulerTerms",
+    "SchedulerSettings",
     "Shed",
     "StartRequest",
     "StartRun",
--- a/fireflyfork/decisions/jobs/_arrangement.py
+++ b/fireflyfork/decisions/jobs/_arrangement.py
@@ -218,10 +218,10 @@
         served = frozenset(images)
         cached = self._cache.get((executor, served))
         if cached is None:
-            cached = self._cache[executor, served] = self._compute(executor, served)
+            cached = self._cache[executor, served] = self._compute_millis(executor, served)
         return cached
 
-    def _compute(self, executor: ExecutorState, served: frozenset[str]) -> float:
+    def _compute_millis(self, executor: ExecutorState, served: frozenset[str]) -> float:
         leftover = leftover_millis(executor)
         if leftover <= 0:
             return 0.0
--- a/fireflyfork/decisions/jobs/_candidates.py
+++ b/fireflyfork/decisions/jobs/_candidates.py
@@ -31,7 +31,7 @@
         self,
         task: Task,
         executors: Sequence[ExecutorState],
-        prices: CostCache,
+        costs: CostCache,
         max_cost: float,
         first: int = 0,
         batch_size: int = EXECUTORS_PER_BATCH,
@@ -41,10 +41,10 @@
         Costs are computed for ``batch_size`` executors from index ``first`` on, and for another
         batch whenever none of these can run a task. Executors near the step's data come first.
         """
-        self._prices = prices
+        self._costs = costs
         self._max_cost = max_cost
         self._batch_size = batch_size
-        self._unpriced = enumerate(_near_data_first(task, executors, first))
+        self._unexamined = enumerate(_near_data_first(task, executors, first))
         self._heap: list[tuple[float, int, ExecutorState]] = []
         self._add_batch()
 
@@ -70,13 +70,13 @@
         return None
 
     def _cost(self, executor: ExecutorState) -> float | None:
-        cost = self._prices.cost(executor)
+        cost = self._costs.cost(executor)
         return cost.total if cost is not None and cost.best_effort <= self._max_cost else None
 
     def _add_batch(self) -> bool:
         """Compute the costs of the next batch. Returns False if no executors are left."""
         any_left = False
-        for number, executor in islice(self._unpriced, self._batch_size):
+        for number, executor in islice(self._unexamined, self._batch_size):
             any_left = True
             cost = self._cost(executor)
             if cost is not None:
--- a/fireflyfork/decisions/jobs/_job_table.py
+++ b/fireflyfork/decisions/jobs/_job_table.py
@@ -9,7 +9,7 @@
 from ..._ids import JobId, QueueName, TaskName
 from ._change_log import ChangeLog
 from ._progress import JobState, StoredProgress
-from ._queues import QueueTable, QueueTerms
+from ._queues import QueueConfiguration, QueueTable
 from ._runs import Job, Task
 from ._specs import JobSpec, StepSpec, TaskKey, parse_task_name
 
@@ -22,9 +22,9 @@
     final_ms: int
 
 
-def terms_without_queue(spec: JobSpec) -> QueueTerms:
+def configuration_without_queue(spec: JobSpec) -> QueueConfiguration:
     """Return a configuration for the removed queue of a job, so that the job can finish."""
-    return QueueTerms(spec.queue, "", "", spec.service, 9, 3, 2.0, 1000, 0)
+    return QueueConfiguration(spec.queue, "", "", spec.service, 9, 3, 2.0, 1000, 0)
 
 
 class JobTable:
@@ -87,7 +87,9 @@
         is_known = spec.job in self._jobs or spec.job in self._finished
         if is_known or spec.job in self._removed or spec.job in self._removed_before:
             return []
-        queue = (self._queues and self._queues.by_name(spec.queue)) or terms_without_queue(spec)
+        queue = (self._queues and self._queues.by_name(spec.queue)) or configuration_without_queue(
+            spec
+        )
         job = Job(spec, queue)
         self._jobs[spec.job] = job
         if progress is not None:
@@ -139,13 +141,13 @@
         live = (job for job in self._jobs.values() if not job.state.is_final)
         return (task for job in live for task in job.tasks.values())
 
-    def note_started(self, job: Job) -> None:
+    def record_start(self, job: Job) -> None:
         """Note that a task of the job has been sent to an executor."""
         if job.state is JobState.QUEUED:
             job.state = JobState.RUNNING
         self.changes.record(job.spec.job)
 
-    def note_changed(self, job: Job) -> int:
+    def record_change(self, job: Job) -> int:
         """Note that the job has to be stored. Returns the number of the change."""
         return self.changes.record(job.spec.job)
 
--- a/fireflyfork/decisions/jobs/_placement.py
+++ b/fireflyfork/decisions/jobs/_placement.py
@@ -181,8 +181,8 @@
             # services differs between executors.
             compares_all = task.spec.long_running or task.spec.uses_leftover_cpu
             batch_size = len(allowed) if compares_all else EXECUTORS_PER_BATCH
-            prices = self._cost_caches.for_task(task)
-            candidates = Candidates(task, allowed, prices, max_cost, self._first_index, batch_size)
+            costs = self._cost_caches.for_task(task)
+            candidates = Candidates(task, allowed, costs, max_cost, self._first_index, batch_size)
             self._first_index += EXECUTORS_PER_BATCH
             placement_round.candidates[task.step_id] = candidates
         return candidates
@@ -269,7 +269,7 @@
         self._state.commands.append(StartRun(run))
         self._state.notes.append(_task_sent_note(run, now, now_ms))
         task.wait_reason = WaitReason.NOTHING
-        self._state.jobs.note_started(task.job)
+        self._state.jobs.record_start(task.job)
 
 
 def _set_deadline(run: Run, now: float) -> None:
--- a/fireflyfork/decisions/jobs/_queues.py
+++ b/fireflyfork/decisions/jobs/_queues.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class QueueTerms:
+class QueueConfiguration:
     """The configuration of one queue."""
 
     name: QueueName
@@ -36,23 +36,25 @@
     """All queues of one configuration version."""
 
     version: ConfigurationVersion
-    queues: tuple[QueueTerms, ...]
+    queues: tuple[QueueConfiguration, ...]
     services: frozenset[ServiceName]
-    by_host: Mapping[str, tuple[QueueTerms, ...]] = field(default_factory=dict)
+    by_host: Mapping[str, tuple[QueueConfiguration, ...]] = field(default_factory=dict)
     """The queues by host, the longest path prefix first."""
 
-    def find(self, host: str, path: str) -> QueueTerms | None:
+    def find(self, host: str, path: str) -> QueueConfiguration | None:
         """Return the queue with the longest prefix of ``path``, or None."""
         candidates = self.by_host.get(host.lower(), ())
         return next((queue for queue in candidates if path.startswith(queue.path_prefix)), None)
 
-    def by_name(self, name: QueueName) -> QueueTerms | None:
+    def by_name(self, name: QueueName) -> QueueConfiguration | None:
         """Return the queue of that name, or None if it is no longer configured."""
         return next((queue for queue in self.queues if queue.name == name), None)
 
 
 def queue_table(
-    version: ConfigurationVersion, queues: tuple[QueueTerms, ...], services: frozenset[ServiceName]
+    version: ConfigurationVersion,
+    queues: tuple[QueueConfiguration, ...],
+    services: frozenset[ServiceName],
 ) -> QueueTable:
     """Return a table indexed by host."""
     hosts = {queue.host.lower() for queue in queues}
--- a/fireflyfork/decisions/jobs/_report_handling.py
+++ b/fireflyfork/decisions/jobs/_report_handling.py
@@ -8,7 +8,7 @@
 from ._commands import PaceRun
 from ._executors import ExecutorRegistration, ExecutorState
 from ._gangs import failed_attempt_count, gang_members, save_checkpoint
-from ._job_table import terms_without_queue
+from ._job_table import configuration_without_queue
 from ._load_shedding import Shed
 from ._notes import RunEnded
 from ._pacing import BACKGROUND_PACE, adjust_pace
@@ -39,7 +39,7 @@
     def start_answered(self, run: Run, answer: OrderAnswer, now: float) -> None:
         """Handle the answer to a start order, or its absence."""
         executor = run.executor
-        _note_clock(executor, answer, now)
+        _update_clock(executor, answer, now)
         if run.key not in executor.runs or run.phase is not RunPhase.STARTING:
             return
         outcome = answer.outcome
@@ -67,7 +67,7 @@
 
     def stop_answered(self, run: Run, answer: OrderAnswer, now: float) -> None:
         """Handle the answer to a stop order, or its absence."""
-        _note_clock(run.executor, answer, now)
+        _update_clock(run.executor, answer, now)
         if answer.outcome is CallOutcome.OTHER_INCARNATION:
             self.handle_incarnation(run.executor, answer.incarnation, run.stop_sent_at, now)
         if answer.outcome is CallOutcome.ACCEPTED and run.stop_acknowledged_at is None:
@@ -157,7 +157,7 @@
                 answer.running,
                 self._state.interference,
                 now,
-                learns=self._state.shed < Shed.LEARNING,
+                learns=self._state.shed_level < Shed.LEARNING,
             )
         )
 
@@ -179,7 +179,7 @@
         if run is not None:
             self._state.remove_run(run, now, RunEndEvidence.ENDED)
         task.attempt = max(task.attempt, row.attempt)
-        self._state.jobs.note_changed(task.job)
+        self._state.jobs.record_change(task.job)
 
     def _open_task(self, name: TaskName) -> Task | None:
         """Return the task of that name, or None. Opens its occurrence."""
@@ -288,7 +288,7 @@
             return
         for previous_run in previous_runs:
             self._state.stop(previous_run, now)
-        self._state.jobs.note_started(task.job)
+        self._state.jobs.record_start(task.job)
 
     def _stop_unknown_run(self, executor: ExecutorState, row: RunningRow, now: float) -> None:
         """Stop a run of a task that is over or unknown.
@@ -303,14 +303,14 @@
             else JobSpec(JobId(row.task), QueueName(""), service, "", (), 0)
         )
         step = known_step[1] if known_step else StepSpec(1, 0, 0, 0, 0)
-        job = Job(spec, terms_without_queue(spec), JobState.CANCELLED)
+        job = Job(spec, configuration_without_queue(spec), JobState.CANCELLED)
         task = Task(job, TaskKey(0, 0, 0), row.task, step)
         run = Run(task, row.attempt, executor, RunPhase.STOPPING, now, confirmed_at=now)
         executor.add(run)
         self._state.stop(run, now)
 
 
-def _note_clock(executor: ExecutorState, answer: OrderAnswer, now: float) -> None:
+def _update_clock(executor: ExecutorState, answer: OrderAnswer, now: float) -> None:
     """Update the executor's clock from an answer of the known incarnation.
 
     The clock of the next incarnation begins at 0. If it were assumed to have advanced as far as the
--- a/fireflyfork/decisions/jobs/_runs.py
+++ b/fireflyfork/decisions/jobs/_runs.py
@@ -9,7 +9,7 @@
 from ..._ids import AttemptNumber, ExecutorId, TaskName
 from ..._waits import WaitReason
 from ._progress import JobState, StoredProgress, StoredTask
-from ._queues import QueueTerms
+from ._queues import QueueConfiguration
 from ._run_end_evidence import RunEndEvidence
 from ._specs import JobSpec, StepSpec, TaskKey
 from ._tickets import StepId
@@ -145,7 +145,7 @@
     """One accepted job whose state is not final yet, or was made final by this owner."""
 
     spec: JobSpec
-    queue: QueueTerms
+    queue: QueueConfiguration
     """The configuration of the job's queue; if the queue was removed, the last known one."""
     state: JobState = JobState.QUEUED
     final_ms: int = 0
--- a/fireflyfork/decisions/jobs/_scheduler.py
+++ b/fireflyfork/decisions/jobs/_scheduler.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SchedulerTerms:
+class SchedulerSettings:
     """The service of a scheduler, and the time limits of the platform in seconds."""
 
     service: ServiceName
@@ -55,16 +55,16 @@
 class Scheduler:
     """Decides where the tasks of one service run, on behalf of the service's owner."""
 
-    def __init__(self, terms: SchedulerTerms) -> None:
+    def __init__(self, settings: SchedulerSettings) -> None:
         """Initialize without jobs or executors; ``recover`` restores what an earlier owner left."""
-        self._terms = terms
+        self._settings = settings
         self._state = ServiceState()
-        self._report_handler = ReportHandler(self._state, int(terms.max_lease * 1000))
+        self._report_handler = ReportHandler(self._state, int(settings.max_lease * 1000))
         self._placement = Placement(self._state)
         self._time_checks = TimeChecks(self._state)
         self._stragglers = Stragglers(self._state)
         self._arrangement = Arrangement(self._state)
-        self._upkeep = Upkeep(self._state, terms.service)
+        self._upkeep = Upkeep(self._state, settings.service)
 
     @property
     def jobs(self) -> JobTable:
@@ -125,7 +125,7 @@
             self._state.add_executor(executor)
         for registration in registrations:
             self.register(registration, now)
-        self._state.unreached = dict.fromkeys(self.executors, now + self._terms.unreached_lease)
+        self._state.unreached = dict.fromkeys(self.executors, now + self._settings.unreached_lease)
         for spec, progress in jobs:
             ready = self.jobs.accept(spec, progress, now_ms)
             job = self.jobs.get(spec.job)
@@ -241,7 +241,7 @@
         """Handle the list of an executor's runs and ends."""
         self._report_handler.poll_answered(executor, sent_at, answer, now, now_ms, in_time)
 
-    def note_stored(self) -> None:
+    def release_stored_ends(self) -> None:
         """Let executors forget the ends whose changes have been stored."""
         stored = self.jobs.changes.stored_to
         for executor in self.executors.values():
@@ -269,14 +269,14 @@
         self._state.waiting.retry(now_ms)
 
     @property
-    def shed(self) -> Shed:
+    def shed_level(self) -> Shed:
         """The work that is skipped at the current load."""
-        return self._state.shed
+        return self._state.shed_level
 
-    def note_lag(self, lag: float) -> Shed:
+    def update_shed_level(self, lag: float) -> Shed:
         """Set the level of load shedding for a lag of the event loop in seconds, and return it."""
-        self._state.shed = shed_level(lag, self._state.shed)
-        return self._state.shed
+        self._state.shed_level = shed_level(lag, self._state.shed_level)
+        return self._state.shed_level
 
     def check_time(self, now: float, now_ms: int) -> None:
         """Handle expired leases, stops without an answer, stalled runs and jobs that become due."""
@@ -286,7 +286,7 @@
         self._state.give_up_unreached(now)
         self._upkeep.evict(now)
         self._state.move_reservations.expire(now)
-        if self._state.shed < Shed.ARRANGEMENT:
+        if self._state.shed_level < Shed.ARRANGEMENT:
             self._arrangement.check(now)
         for job in tuple(self.jobs.with_future_occurrences()):
             for task in self.jobs.open_due(job, now_ms):
@@ -334,5 +334,5 @@
         has started there must be over by then, or the successor would start the same tasks a second
         time.
         """
-        longest_wait = self._terms.unreached_lease - LAST_START_MARGIN_SECONDS
+        longest_wait = self._settings.unreached_lease - LAST_START_MARGIN_SECONDS
         return now - self._state.ownership_proved_at <= longest_wait
--- a/fireflyfork/decisions/jobs/_service_state.py
+++ b/fireflyfork/decisions/jobs/_service_state.py
@@ -55,7 +55,7 @@
         at which every lease that the earlier owner may have granted it has expired."""
         self.held_tasks: list[Task] = []
         """Tasks that may already be running on one of the unreached executors."""
-        self.shed = Shed.NOTHING
+        self.shed_level = Shed.NOTHING
         """The work that is skipped at the current load."""
         self.ownership_proved_at = float("inf")
         """The latest time at which this owner is known to have owned the service; infinite if no
--- a/fireflyfork/decisions/jobs/_tickets.py
+++ b/fireflyfork/decisions/jobs/_tickets.py
@@ -11,7 +11,7 @@
 
 from ..._ids import ExecutorId, JobId
 
-MAX_EXECUTORS_ASKED = 30
+MAX_EXECUTORS_PER_QUESTION = 30
 """Maximum number of executors in one question. A step rarely needs more, and each costs the advisor
 time."""
 RENEW_MARGIN_SECONDS = 0.3
@@ -68,7 +68,7 @@
         if tickets.asked or now < tickets.ask_after:
             return ()
         names = tuple(candidate for candidate in candidates if candidate not in tickets.refused)[
-            :MAX_EXECUTORS_ASKED
+            :MAX_EXECUTORS_PER_QUESTION
         ]
         tickets.asked = bool(names)
         return names
--- a/fireflyfork/decisions/jobs/tests/builders_jobs.py
+++ b/fireflyfork/decisions/jobs/tests/builders_jobs.py
@@ -28,12 +28,12 @@
     OrderAnswer,
     PaceRun,
     PollAnswer,
+    QueueConfiguration,
     QueueTable,
-    QueueTerms,
     Run,
     RunningRow,
     Scheduler,
-    SchedulerTerms,
+    SchedulerSettings,
     StartRun,
     StepSpec,
     StopRun,
@@ -43,19 +43,19 @@
 SERVICE = ServiceName("desk")
 LEASE_MS = 5_000
 """The longest lease that any owner grants, in milliseconds."""
-TERMS = SchedulerTerms(SERVICE, unreached_lease=8.0, max_lease=LEASE_MS / 1000)
+TERMS = SchedulerSettings(SERVICE, unreached_lease=8.0, max_lease=LEASE_MS / 1000)
 START = 1000.0
 """Time on the owner's clock at the start of a test, in seconds."""
 START_MS = 1_700_000_000_000
 
 
-def queue(**changes: object) -> QueueTerms:
+def queue(**changes: object) -> QueueConfiguration:
     """Return a queue whose tasks have two attempts."""
-    terms = QueueTerms(QueueName("q"), "h", "/q/", SERVICE, 0, 2, 2.0, 1000, 3000)
+    terms = QueueConfiguration(QueueName("q"), "h", "/q/", SERVICE, 0, 2, 2.0, 1000, 3000)
     return replace(terms, **changes)  # type: ignore[arg-type]
 
 
-def table(*queues: QueueTerms) -> QueueTable:
+def table(*queues: QueueConfiguration) -> QueueTable:
     """Return a configuration with the given queues."""
     return queue_table(ConfigurationVersion(1), queues or (queue(),), frozenset({SERVICE}))
 
--- a/fireflyfork/decisions/jobs/tests/test_arrangement.py
+++ b/fireflyfork/decisions/jobs/tests/test_arrangement.py
@@ -23,10 +23,10 @@
 
 
 def _serving(name: str, image: str, **changes: object) -> object:
-    lasting = step(
+    long_running_step = step(
         count=1, cpu_millis=6000, image=image, tail_target_ms=50, long_running=True, **changes
     )
-    return job(name, lasting)
+    return job(name, long_running_step)
 
 
 def _owner(*jobs: tuple[str, str, int]) -> OwnerUnderTest:
@@ -86,10 +86,10 @@
 MIXED = (("1", "web", 0), ("2", "desk", 0), ("3", "web", 1), ("4", "desk", 1))
 
 
-class MovesTest(unittest.TestCase):
+class ServingTaskMovesTest(unittest.TestCase):
     """Which tasks are moved, and how."""
 
-    def test_two_mixed_executors_become_pure_ones(self) -> None:
+    def test_tasks_of_two_images_are_separated(self) -> None:
         """Guards against batch work that finds no executor because every one serves a mixture."""
         owner = _owner(*MIXED)
         _let_batch_wait(owner)
@@ -99,7 +99,7 @@
         self.assertTrue(any(set(mix) == {"desk"} for mix in _mix(owner)), _mix(owner))
         self.assertEqual(sum(mix.get("web", 0) for mix in _mix(owner)), 2)
 
-    def test_a_place_on_an_executor_that_has_vanished_is_given_up(self) -> None:
+    def test_reservation_on_a_lost_executor_is_released(self) -> None:
         """Guards against a task that is sent to an executor which vanished after the
         reservation."""
         owner = _owner(*MIXED)
@@ -127,7 +127,7 @@
         self.assertEqual({run.task for run in again}, moved)
         self.assertNotIn(vanished, [run.executor for run in again])
 
-    def test_what_is_bound_by_more_than_room_stays(self) -> None:
+    def test_tasks_with_placement_constraints_are_not_moved(self) -> None:
         """Guards against a moved task that takes an accelerator which isn't free."""
         for changes in (
             {"accelerators": 1},
@@ -143,7 +143,7 @@
                 _poll_all(owner)
                 self.assertEqual(_settle(owner, 3.0), [])
 
-    def test_nothing_is_moved_while_no_work_waits(self) -> None:
+    def test_nothing_is_moved_without_waiting_work(self) -> None:
         """Guards against moves without a gain: each makes a task unavailable for half a second."""
         owner = _owner(*MIXED)
         _poll_all(owner)
@@ -176,7 +176,7 @@
             self.assertEqual(len(stops), len({run.task.step_id for run in stops}))
             self.assertLessEqual(len(stops), MAX_RESERVED_MOVES)
 
-    def test_a_moved_task_rests(self) -> None:
+    def test_a_moved_task_is_not_moved_again_soon(self) -> None:
         """Guards against tasks that are moved after each change of the learned effects."""
         owner = _owner(*MIXED)
         _let_batch_wait(owner)
@@ -186,7 +186,7 @@
         again = _settle(owner, MIN_SECONDS_BETWEEN_MOVES / 2)
         self.assertFalse({run.task.name for run in first} & {run.task.name for run in again})
 
-    def test_the_room_that_is_kept_goes_to_nobody_else(self) -> None:
+    def test_reserved_resources_are_not_given_to_other_tasks(self) -> None:
         """Guards against an executor that is overcommitted once a moved task arrives."""
         owner = _owner(*MIXED)
         _let_batch_wait(owner)
@@ -203,12 +203,12 @@
         self.assertTrue(owner.executor(place).fits(free, 1000, 0))
 
 
-class UsefulnessTest(unittest.TestCase):
+class UsefulLeftoverTest(unittest.TestCase):
     """How much work without a reservation an executor can run."""
 
     @given(st.sets(st.sampled_from(("web", "desk", "third")), max_size=3))
     @settings(max_examples=20)
-    def test_more_images_are_never_of_more_use(self, images: set[str]) -> None:
+    def test_more_served_images_never_increase_useful_leftover(self, images: set[str]) -> None:
         owner = _owner(("1", "web", 0))
         useful_leftover = UsefulLeftover(
             owner.scheduler._state.interference, {"noisy": 1.0, "x": 2.0}, 0.5
--- a/fireflyfork/decisions/jobs/tests/test_arrangement_at_size.py
+++ b/fireflyfork/decisions/jobs/tests/test_arrangement_at_size.py
@@ -41,8 +41,8 @@
 def _serve(owner: OwnerUnderTest, name: str, image: str) -> None:
     """Run a task of a service on an executor."""
     number = len(owner.scheduler.jobs) + 0x100
-    lasting = step(cpu_millis=5000, image=image, tail_target_ms=50, long_running=True)
-    spec = job(f"{number:016x}", lasting)
+    long_running_step = step(cpu_millis=5000, image=image, tail_target_ms=50, long_running=True)
+    spec = job(f"{number:016x}", long_running_step)
     owner.scheduler.accept(spec, START_MS)
     accepted = owner.scheduler.jobs.get(spec.job)
     assert accepted is not None
@@ -77,11 +77,11 @@
 class ArrangementAtSizeTest(unittest.TestCase):
     """The cost of a search in a large fleet, and the tasks that it moves."""
 
-    def test_a_look_costs_no_more_than_in_a_small_fleet(self) -> None:
+    def test_search_cost_is_independent_of_fleet_size(self) -> None:
         """Guards against an owner that is blocked by each search while polls and starts wait."""
         self.assertLessEqual(_most_comparisons(LARGE), 1.5 * _most_comparisons(SMALL))
 
-    def test_strays_anywhere_in_a_large_fleet_are_moved(self) -> None:
+    def test_misplaced_tasks_in_a_large_fleet_are_moved(self) -> None:
         """Guards against searches that never reach some executors."""
         for first in (0, LARGE // 2, LARGE - 4):
             with self.subTest(first=first):
--- a/fireflyfork/decisions/jobs/tests/test_backlog.py
+++ b/fireflyfork/decisions/jobs/tests/test_backlog.py
@@ -22,7 +22,7 @@
 class BacklogTest(unittest.TestCase):
     """The cost of a backlog, and the order in which it is served."""
 
-    def test_a_tick_costs_by_steps_and_not_by_tasks(self) -> None:
+    def test_tick_cost_depends_on_steps_not_tasks(self) -> None:
         """Guards against an owner that spends all of its time on tasks that it can't place."""
         owner = OwnerUnderTest("i-0", "i-1")
         for number in range(STEPS):
@@ -44,7 +44,7 @@
         self.assertLessEqual(tried.call_count, STEPS)
 
     @given(st.lists(st.tuples(st.integers(1, 5), st.integers(200, 9000)), min_size=1, max_size=8))
-    def test_what_is_started_is_the_most_urgent(self, steps: list[tuple[int, int]]) -> None:
+    def test_the_most_urgent_tasks_are_started(self, steps: list[tuple[int, int]]) -> None:
         """Guards against jobs that are overtaken by less urgent ones because tasks wait in
         groups."""
         owner = OwnerUnderTest("i-0")
@@ -57,7 +57,7 @@
         for run in owner.place():
             self.assertLessEqual(urgency(run.task, START_MS), least_urgent)
 
-    def test_a_task_that_comes_back_is_tried_before_the_next_tick(self) -> None:
+    def test_a_requeued_task_is_placed_before_the_next_tick(self) -> None:
         """Guards against tasks that wait for a tick although resources have become free."""
         owner = OwnerUnderTest("i-0")
         owner.scheduler.accept(job("00000000000000aa", step(count=5, cpu_millis=4000)), START_MS)
@@ -66,15 +66,15 @@
         owner.scheduler._state.remove_run(runs[0], owner.now, runs[0].task.last_run_over)
         self.assertEqual(len(owner.place()), 1)
 
-    def test_a_lasting_task_comes_back_past_others_that_wait_for_room_kept_free(self) -> None:
+    def test_a_restarted_long_running_task_may_use_the_short_task_reserve(self) -> None:
         """Guards against a service whose ended task is not restarted although resources are free.
 
         Tasks of its step that never ran may not have those resources, since they are kept free from
         new tasks.
         """
         owner = OwnerUnderTest("i-0")
-        lasting = step(count=20, cpu_millis=1000, memory_mb=100, long_running=True)
-        owner.scheduler.accept(job("00000000000000aa", lasting), START_MS)
+        long_running_step = step(count=20, cpu_millis=1000, memory_mb=100, long_running=True)
+        owner.scheduler.accept(job("00000000000000aa", long_running_step), START_MS)
         runs = owner.place()
         self.assertEqual(len(runs), 14)
         owner.end("i-0", runs[3].task.name, runs[3].attempt, EndReason.FAILED)
--- a/fireflyfork/decisions/jobs/tests/test_candidates.py
+++ b/fireflyfork/decisions/jobs/tests/test_candidates.py
@@ -29,7 +29,7 @@
     """Compares the candidates with a choice among all executors."""
 
     @given(_LOADS, _SIZES, st.booleans(), st.integers(0, 2))
-    def test_the_same_executors_are_chosen(
+    def test_the_cheapest_executors_are_chosen(
         self, loads: list[int], cpu_millis: int, fills: bool, limit: int
     ) -> None:
         spec = step(
@@ -47,7 +47,7 @@
             chosen.add(Run(task, AttemptNumber(1), chosen, RunPhase.RUNNING, 0.0))
 
     @given(_LOADS, _SIZES, st.integers(0, 9), st.integers(1, 3))
-    def test_a_place_is_found_wherever_there_is_one(
+    def test_any_usable_executor_is_found(
         self, loads: list[int], cpu_millis: int, first: int, batch_size: int
     ) -> None:
         """Guards against tasks that wait because the free executors were never considered."""
@@ -66,15 +66,17 @@
     def test_a_start_in_a_large_fleet_costs_no_more_than_in_a_small_one(self) -> None:
         """Guards against an owner that falls behind because each start considers all executors."""
         executors, tasks = _fleet([1] * 400, step(count=12))
-        with patch.object(_cost_caches, "placement_cost", wraps=placement_cost) as priced:
+        with patch.object(
+            _cost_caches, "placement_cost", wraps=placement_cost
+        ) as placement_cost_mock:
             candidates = Candidates(
                 tasks[0], executors, CostCache(tasks[0], InterferenceModel()), 2.0, first=390
             )
             for _ in tasks:
                 self.assertIsNotNone(candidates.best())
-        self.assertLessEqual(priced.call_count, EXECUTORS_PER_BATCH + len(tasks))
+        self.assertLessEqual(placement_cost_mock.call_count, EXECUTORS_PER_BATCH + len(tasks))
 
-    def test_what_a_step_disturbs_is_not_summed_up_for_each_of_its_tasks(self) -> None:
+    def test_disturbance_is_not_recomputed_for_each_task(self) -> None:
         """Guards against an owner that falls behind because each start sums up all executors'
         loads."""
         executors, tasks = _fleet([1] * 100, step(count=12, uses_leftover_cpu=True))
@@ -90,27 +92,27 @@
                     self.assertIsNotNone(candidates.best())
         self.assertEqual(summed.call_count, len(executors))
 
-    def test_what_has_changed_on_an_executor_is_priced_anew(self) -> None:
+    def test_cost_follows_changes_on_an_executor(self) -> None:
         """Guards against work sent next to a service by an outdated state of the executor."""
         (executor,), (task, other_task, *_) = _fleet([1], step(count=12, uses_leftover_cpu=True))
         executor.recent_min_headroom = {"web": 1.0}
         model = InterferenceModel()
 
-        def price() -> float:
+        def current_cost() -> float:
             cost = task_cost(task, executor, model, 100.0)
             assert cost is not None
             return cost
 
-        alone = price()
+        alone = current_cost()
         added_run = Run(other_task, AttemptNumber(1), executor, RunPhase.RUNNING, 0.0)
         executor.add(added_run)
-        self.assertGreater(price(), alone)
+        self.assertGreater(current_cost(), alone)
         executor.remove(added_run)
-        self.assertEqual(price(), alone)
+        self.assertEqual(current_cost(), alone)
         list(adjust_pace(executor, (), model, executor.sampled_at + 1.0))
-        self.assertLess(price(), alone)
+        self.assertLess(current_cost(), alone)
 
-    def test_executors_near_the_data_of_a_step_are_always_looked_at(self) -> None:
+    def test_executors_near_the_data_are_always_examined(self) -> None:
         """Guards against tasks that take twice as long because their data's rack was not
         considered."""
         executors, tasks = _fleet([1] * 100, step(count=1, data_rack="r9"))
@@ -121,7 +123,7 @@
         )
         self.assertIs(candidates.best(), near)
 
-    def test_where_all_that_were_looked_at_are_in_trouble_others_are(self) -> None:
+    def test_another_batch_is_examined_if_all_executors_failed_recently(self) -> None:
         """Guards against work that goes to executors that fail everything while sound ones are
         free."""
         executors, tasks = _fleet([1] * 100, step(count=1))
@@ -133,7 +135,7 @@
         assert chosen is not None
         self.assertEqual(chosen.consecutive_failures, 0)
 
-    def test_work_that_slows_services_goes_where_it_slows_them_least(self) -> None:
+    def test_disturbing_work_goes_where_it_slows_services_least(self) -> None:
         """Guards against services over their target next to work that has a better executor.
 
         In a large fleet the better executor may be outside of the first batch of candidates.
--- a/fireflyfork/decisions/jobs/tests/test_ends.py
+++ b/fireflyfork/decisions/jobs/tests/test_ends.py
@@ -9,7 +9,7 @@
 A = "00000000000000aa"
 
 
-class CutListsTest(unittest.TestCase):
+class TruncatedEndListsTest(unittest.TestCase):
     """Executors list a limited number of ends; further ones only after the first may be
     forgotten."""
 
@@ -54,7 +54,7 @@
         self.assertEqual(owner.place(), [])
 
 
-class OrderOfEndsTest(unittest.TestCase):
+class EndsOutOfOrderTest(unittest.TestCase):
     """Ends are numbered, and may be listed in any order."""
 
     def test_an_end_that_is_listed_after_a_later_one_counts(self) -> None:
@@ -73,7 +73,7 @@
         self.assertIs(first.task.job.state, JobState.COMPLETED)
 
 
-class TimedJobsTest(unittest.TestCase):
+class OccurrencesNotDueAtTakeoverTest(unittest.TestCase):
     """Occurrences started by an earlier owner whose clock was ahead of its successor's."""
 
     def setUp(self) -> None:
@@ -87,7 +87,7 @@
             [(self.spec, progress)], [registration("i-0")], [], self.owner.now, START_MS
         )
 
-    def test_a_task_that_has_ended_well_is_not_run_again_when_its_time_comes(self) -> None:
+    def test_a_successful_task_does_not_rerun_when_its_occurrence_is_due(self) -> None:
         """Guards against running a task again whose end was listed before its occurrence was due.
 
         An owner starts a nightly booking run and is lost; the run ends successfully. By the
@@ -103,7 +103,7 @@
         assert accepted is not None
         self.assertIs(accepted.state, JobState.COMPLETED)
 
-    def test_a_task_that_runs_goes_on(self) -> None:
+    def test_a_run_of_an_occurrence_not_yet_due_is_adopted(self) -> None:
         """Guards against stopping a run of an occurrence that is not due by the successor's clock.
 
         The run was stopped, and the task was started again next to the stopping run when it became
@@ -159,7 +159,7 @@
 class LateRegistrationsTest(unittest.TestCase):
     """Executors report a restart in answers to polls, and later through the store."""
 
-    def test_the_registration_of_an_earlier_life_does_not_end_the_runs_of_the_present_one(
+    def test_an_outdated_registration_does_not_end_current_runs(
         self,
     ) -> None:
         """Guards against a late registration of an earlier incarnation.
@@ -183,7 +183,7 @@
         self.assertEqual(owner.place(), [])
         self.assertEqual(list(owner.executor().runs.values()), [run])
 
-    def test_the_registration_of_an_earlier_life_is_not_used(self) -> None:
+    def test_an_outdated_registration_is_ignored(self) -> None:
         """Guards against the capacity or address of an earlier incarnation.
 
         Runs sent according to its registration would be refused, or would overcommit the present
@@ -197,7 +197,7 @@
         owner.scheduler.register(now, owner.now)
         self.assertTrue(owner.executor().registered)
 
-    def test_an_executor_whose_earlier_life_leaves_is_still_there(self) -> None:
+    def test_late_removal_of_an_earlier_registration_is_ignored(self) -> None:
         """The registration of an earlier incarnation is removed late, while the executor
         answers."""
         owner = OwnerUnderTest("i-0")
@@ -206,7 +206,7 @@
         owner.scheduler.unregister(ExecutorId("i-0"), owner.now)
         self.assertIn(ExecutorId("i-0"), owner.scheduler.executors)
 
-    def test_an_executor_whose_clock_went_back_before_it_started_anew_is_heard(self) -> None:
+    def test_answers_count_after_a_restart_with_the_clock_set_back(self) -> None:
         """Guards against ignoring an executor whose clock was set back before it restarted.
 
         Its present incarnation seems to have begun before the earlier one. Its answers were dropped
--- a/fireflyfork/decisions/jobs/tests/test_interference.py
+++ b/fireflyfork/decisions/jobs/tests/test_interference.py
@@ -45,12 +45,12 @@
 class InterferenceModelTest(unittest.TestCase):
     """The fit of the effects."""
 
-    def test_effects_are_found_behind_a_swinging_load(self) -> None:
+    def test_effects_are_learned_under_varying_load(self) -> None:
         model = _trained()
         self.assertAlmostEqual(model.effect("web", "noisy"), HEAVY, delta=0.8)
         self.assertAlmostEqual(model.effect("web", "quiet"), LIGHT, delta=0.5)
 
-    def test_a_pair_that_was_never_seen_is_average(self) -> None:
+    def test_an_unobserved_pair_has_the_average_effect(self) -> None:
         self.assertEqual(_trained().effect("web", "new"), PRIOR_EFFECT)
         self.assertEqual(InterferenceModel().effect("web", "noisy"), PRIOR_EFFECT)
 
@@ -62,14 +62,14 @@
                 model.observe("web", Sample(number / 400, 2.0, {"noisy": number % 4 * 0.1}), None)
         self.assertLessEqual(solved.call_count, 10 / SOLVE_SECONDS + 1)
 
-    def test_nothing_is_learned_to_speed_a_neighbour_up(self) -> None:
+    def test_learned_effects_are_never_negative(self) -> None:
         model = InterferenceModel()
         for number in range(100):
             uses = {"odd": number % 2 * 0.3}
             model.observe("web", Sample(number * 0.5, 2.0 + uses["odd"], uses), None)
         self.assertEqual(model.effect("web", "odd"), 0.0)
 
-    def test_what_is_old_gives_way(self) -> None:
+    def test_recent_samples_outweigh_old_samples(self) -> None:
         """Guards against a model that never forgets: effects change, and callers wait meanwhile."""
         model = InterferenceModel()
         for number in range(6000):
@@ -79,7 +79,7 @@
         # The newer half of the samples weighs two thirds: 0.5 / 3 + 5 * 2 / 3.
         self.assertAlmostEqual(model.effect("web", "other"), 3.5, delta=0.2)
 
-    def test_the_next_owner_goes_on_from_what_was_learned(self) -> None:
+    def test_the_next_owner_uses_the_learned_effects(self) -> None:
         """Guards against a successor that assumes every pair of images to be average.
 
         It placed work next to the services that it slows down most, so callers waited for some
@@ -98,7 +98,7 @@
             after.observe("web", Sample(0.0, 2.0, {"noisy": 0.2}), None)
         self.assertGreater(after.effect("web", "noisy"), HEAVY - 1.5)
 
-    def test_what_was_learned_with_holes_is_not_read(self) -> None:
+    def test_incomplete_learned_fits_are_rejected(self) -> None:
         """Guards against decoding incomplete values that another version of the program wrote.
 
         Otherwise the new owner would fail at each recovery, and no job would start any more.
@@ -111,10 +111,10 @@
                 decode_learned(encode_learned((fit,)))
 
 
-class PlacingTest(unittest.TestCase):
+class InterferencePlacementTest(unittest.TestCase):
     """Where work without a reservation is placed."""
 
-    def test_work_goes_where_nobody_near_minds_it(self) -> None:
+    def test_work_goes_where_it_disturbs_no_service(self) -> None:
         """Guards against placing work next to a service that it disturbs while its load is low.
 
         Of two executors, one serves an image that the work does not disturb. Users of the other one
@@ -134,7 +134,7 @@
         assert chosen is not None
         self.assertEqual(chosen.executor, "i-1")
 
-    def test_work_waits_where_it_would_only_slow_everybody(self) -> None:
+    def test_work_waits_if_it_would_slow_all_services(self) -> None:
         """Guards against starting many large jobs at once, which share the leftover CPU and all end
         late.
 
@@ -171,7 +171,7 @@
         owner.tick(0.1)
         self.assertEqual(len(owner.place()), 1)
 
-    def test_work_does_not_wait_for_ever_for_a_better_place(self) -> None:
+    def test_work_does_not_wait_forever_for_a_better_executor(self) -> None:
         """Guards against a job that waits forever because every executor serves an image it
         disturbs.
 
@@ -192,15 +192,15 @@
             started += len(owner.place())
         self.assertEqual(started, 1)
 
-    def test_short_tasks_find_room_beside_lasting_ones(self) -> None:
+    def test_long_running_tasks_leave_room_for_short_tasks(self) -> None:
         """Guards against long-running tasks that reserve every processor.
 
         A short task that needs a few cores for half a second would find no executor for as long as
         they run.
         """
         owner = OwnerUnderTest("i-0")
-        lasting = step(count=40, long_running=True, cpu_millis=500, memory_mb=10)
-        owner.scheduler.accept(job("00000000000000aa", lasting), START_MS)
+        long_running_step = step(count=40, long_running=True, cpu_millis=500, memory_mb=10)
+        owner.scheduler.accept(job("00000000000000aa", long_running_step), START_MS)
         owner.place()
         owner.scheduler.accept(job("00000000000000bb", step(cpu_millis=1500)), START_MS)
         self.assertEqual([run.task.name for run in owner.place()], ["00000000000000bb.0.0.0"])
@@ -209,7 +209,7 @@
 class PacingTest(unittest.TestCase):
     """The pace of work without a reservation."""
 
-    def _beside(self, tail_ms: float, model: InterferenceModel) -> list[tuple[Run, int]]:
+    def _paces_at_latency(self, tail_ms: float, model: InterferenceModel) -> list[tuple[Run, int]]:
         owner = OwnerUnderTest("i-0")
         serving = step(long_running=True, image="web", tail_target_ms=18, cpu_millis=3000)
         owner.scheduler.accept(job("00000000000000aa", serving), START_MS)
@@ -221,15 +221,15 @@
         rows = (row(web, 100, tail_ms), *(row(run, 20, 3000.0) for run in noisy))
         return list(adjust_pace(owner.executor(), rows, model, owner.now + 1.0))
 
-    def test_a_tail_over_its_target_slows_the_work_beside_it(self) -> None:
-        paces = self._beside(40.0, _trained())
+    def test_latency_over_target_slows_work_on_the_executor(self) -> None:
+        paces = self._paces_at_latency(40.0, _trained())
         self.assertEqual(len(paces), 2)
         for _, percent in paces:
             headroom = 18 / 40 + HEAVY * 6 / 16 * (1 - percent / 100)
             self.assertGreaterEqual(headroom, HEADROOM_TO_KEEP - 0.1)
             self.assertGreaterEqual(percent, MIN_PACE)
 
-    def test_a_tail_that_stays_over_its_target_stops_the_work_beside_it(self) -> None:
+    def test_latency_that_stays_over_target_pauses_work_on_the_executor(self) -> None:
         """Guards against a service that stays slow because the learned effect or the pace is wrong.
 
         The work next to it pauses when its tail latency has been over the target for some seconds.
@@ -254,10 +254,10 @@
         list(adjust_pace(owner.executor(), calm, harmless, owner.now))
         self.assertGreater(best_effort.pace_percent, 0)
 
-    def test_a_calm_tail_leaves_the_work_alone(self) -> None:
-        self.assertEqual(self._beside(5.0, InterferenceModel()), [])
+    def test_latency_within_target_leaves_work_at_full_pace(self) -> None:
+        self.assertEqual(self._paces_at_latency(5.0, InterferenceModel()), [])
 
-    def test_a_pace_that_may_not_be_in_force_is_ordered_again(self) -> None:
+    def test_an_unconfirmed_pace_is_ordered_again(self) -> None:
         """Guards against a job that stays slow after a change of owner or a lost pace answer.
 
         An owner that assumes full pace never orders it again, and the job stays slow.
@@ -288,7 +288,7 @@
                 owner.poll("i-0", *rows)
                 self.assertEqual(owner.scheduler.take_commands(), [])
 
-    def test_work_that_is_of_no_use_any_more_slows_nobody(self) -> None:
+    def test_useless_work_runs_in_the_background(self) -> None:
         """Guards against useless jobs that slow down services.
 
         After a backlog, some jobs have taken three times what their objective allows but still have
--- a/fireflyfork/decisions/jobs/tests/test_late_listings.py
+++ b/fireflyfork/decisions/jobs/tests/test_late_listings.py
@@ -7,10 +7,10 @@
 SELDOM_SECONDS = 3.0
 
 
-class LateListingTest(unittest.TestCase):
+class RarePollsTest(unittest.TestCase):
     """Missing polls are no evidence about runs or executors."""
 
-    def test_a_run_that_nobody_has_asked_about_does_not_stand_still(self) -> None:
+    def test_a_run_without_recent_polls_is_not_stalled(self) -> None:
         """Guards against a late owner that stops sound runs and avoids their executors."""
         owner = OwnerUnderTest("i-0")
         owner.scheduler.accept(job(), 0)
@@ -20,7 +20,7 @@
             owner.tick(SELDOM_SECONDS)
             self.assertEqual((owner.stops(), owner.executor().consecutive_failures), ([], 0))
 
-    def test_a_run_that_is_listed_without_progress_stands_still(self) -> None:
+    def test_a_run_listed_without_progress_is_stalled(self) -> None:
         """Guards against a stalled run that is never stopped because it is polled too rarely."""
         owner = OwnerUnderTest("i-0")
         owner.scheduler.accept(job(), 0)
--- a/fireflyfork/decisions/jobs/tests/test_load_shedding.py
+++ b/fireflyfork/decisions/jobs/tests/test_load_shedding.py
@@ -26,7 +26,7 @@
 class ShedLevelTest(unittest.TestCase):
     """The level of load shedding."""
 
-    def test_the_order_is_fixed(self) -> None:
+    def test_level_follows_the_lag(self) -> None:
         for lag, expected in (
             (0.0, Shed.NOTHING),
             (1.1 * ARRANGEMENT_LAG_SECONDS, Shed.ARRANGEMENT),
@@ -36,7 +36,7 @@
             with self.subTest(lag=lag):
                 self.assertIs(shed_level(lag, Shed.NOTHING), expected)
 
-    def test_it_is_taken_up_again_later_than_it_was_left(self) -> None:
+    def test_work_resumes_at_a_lower_lag(self) -> None:
         """Guards against searches that resume at each moment without lag, and cause the next
         lag."""
         lag = 0.8 * ARRANGEMENT_LAG_SECONDS
@@ -45,12 +45,14 @@
         self.assertIs(shed_level(0.0, Shed.LEARNING), Shed.NOTHING)
 
     @given(_LAGS, _LAGS, st.sampled_from(Shed))
-    def test_more_lag_never_leaves_less_out(self, one: float, other: float, before: Shed) -> None:
-        less, more = sorted((one, other))
+    def test_more_lag_never_sheds_less_work(
+        self, first_lag: float, second_lag: float, before: Shed
+    ) -> None:
+        less, more = sorted((first_lag, second_lag))
         self.assertLessEqual(shed_level(less, before), shed_level(more, before))
 
 
-class SheddingTest(unittest.TestCase):
+class LoadSheddingTest(unittest.TestCase):
     """The work that is skipped, and the work that never is."""
 
     def setUp(self) -> None:
@@ -65,34 +67,34 @@
         self.owner.now += 0.5
         self.owner.poll("i-0", row(self.serving, 100, 50.0), row(self.filling, 10, 4000.0))
 
-    def test_no_look_for_another_arrangement_while_late(self) -> None:
+    def test_no_arrangement_search_while_late(self) -> None:
         """Guards against a late owner that spends its time on work that can wait."""
-        self.owner.scheduler.note_lag(1.1 * ARRANGEMENT_LAG_SECONDS)
+        self.owner.scheduler.update_shed_level(1.1 * ARRANGEMENT_LAG_SECONDS)
         with patch.object(Arrangement, "check", autospec=True) as looked:
             self.owner.tick(0.1)
             looked.assert_not_called()
-            self.owner.scheduler.note_lag(0.0)
+            self.owner.scheduler.update_shed_level(0.0)
             self.owner.tick(0.1)
             looked.assert_called_once()
 
-    def test_places_that_are_kept_are_given_back_while_late(self) -> None:
+    def test_reservations_are_released_while_late(self) -> None:
         """Guards against resources that stay reserved for a task which went elsewhere."""
         executor = self.owner.executor("i-0")
         state = self.owner.scheduler._state
         state.move_reservations.add(self.serving.task, executor, self.owner.now + 1.0)
-        self.owner.scheduler.note_lag(1.1 * LEARNING_LAG_SECONDS)
+        self.owner.scheduler.update_shed_level(1.1 * LEARNING_LAG_SECONDS)
         self.owner.tick(0.1)
         self.assertGreater(executor.incoming_cpu_millis, 0)
         self.owner.tick(1.0)
         self.assertEqual(executor.incoming_cpu_millis, 0)
 
-    def test_services_are_protected_by_what_is_known_while_nothing_is_learned(self) -> None:
+    def test_paces_follow_known_effects_while_learning_is_shed(self) -> None:
         """Guards against services that stay over their target while the owner is late."""
-        self.owner.scheduler.note_lag(1.1 * LEARNING_LAG_SECONDS)
+        self.owner.scheduler.update_shed_level(1.1 * LEARNING_LAG_SECONDS)
         with patch.object(InterferenceModel, "observe", autospec=True) as learned:
             self._poll()
             learned.assert_not_called()
             self.assertEqual([name for name, _ in self.owner.paces()], [self.filling.task.name])
-            self.owner.scheduler.note_lag(0.0)
+            self.owner.scheduler.update_shed_level(0.0)
             self._poll()
             learned.assert_called_once()
--- a/fireflyfork/decisions/jobs/tests/test_ownership_proof.py
+++ b/fireflyfork/decisions/jobs/tests/test_ownership_proof.py
@@ -17,7 +17,7 @@
     def _prove(self) -> None:
         self.owner.scheduler.record_ownership(self.owner.now)
 
-    def test_a_lease_has_lapsed_only_while_the_owner_certainly_owned(self) -> None:
+    def test_a_lease_lapses_only_with_proof_of_ownership(self) -> None:
         """Guards against declaring a run over while a successor renews its executor's lease.
 
         The owner is cut off from the executor. The run there continues; if the owner started its
@@ -38,7 +38,7 @@
         owner.tick(0.1)
         self.assertEqual([again.attempt for again in owner.place()], [2])
 
-    def test_an_executor_that_never_answered_is_given_up_only_by_a_certain_owner(self) -> None:
+    def test_an_unreached_executor_is_given_up_only_with_proof_of_ownership(self) -> None:
         """Guards against giving up an executor that a successor may have reached."""
         owner = OwnerUnderTest()
         owner.scheduler.recover(
@@ -58,7 +58,7 @@
         owner.tick(0.1)
         self.assertEqual(len(owner.place()), 1)
 
-    def test_nothing_starts_that_a_successor_would_start_beside_it(self) -> None:
+    def test_no_task_starts_that_a_successor_may_start(self) -> None:
         """Guards against starting tasks shortly before a successor may start them as well.
 
         A successor waits 8 s for executors that it can't reach. Each start extends its executor's
@@ -72,7 +72,7 @@
         self._prove()
         self.assertEqual(len(owner.place()), 1)
 
-    def test_an_older_proof_takes_nothing_back(self) -> None:
+    def test_an_older_proof_is_ignored(self) -> None:
         self._prove()
         self.owner.scheduler.record_ownership(self.owner.now - 10.0)
         self.owner.scheduler.accept(job(A), START_MS)
--- a/fireflyfork/decisions/jobs/tests/test_price_lists.py
+++ b/fireflyfork/decisions/jobs/tests/test_price_lists.py
@@ -66,7 +66,7 @@
         """Reserve resources for a moved task."""
         self.executor.incoming_cpu_millis += 2000
 
-    def register_anew(self) -> None:
+    def register_again(self) -> None:
         """Register with other labels and less room."""
         room = replace(self.executor.registration.room, cpu_millis=12_000)
         self.executor.registration = registration(labels=frozenset({"b"}), room=room)
@@ -83,7 +83,7 @@
         _Place.report,
         _Place.fail,
         _Place.promise,
-        _Place.register_anew,
+        _Place.register_again,
         _Place.go_down_for_upkeep,
     ]
 )
@@ -105,27 +105,29 @@
     return next(iter(accepted.tasks.values()))
 
 
-class PriceListTest(unittest.TestCase):
+class CostCacheTest(unittest.TestCase):
     """Compares cached costs with newly computed ones."""
 
     @given(_SHAPES, st.lists(_EVENTS, max_size=12))
-    def test_a_kept_price_is_what_it_costs_now(self, spec: object, events: list[object]) -> None:
+    def test_a_cached_cost_equals_the_computed_cost(
+        self, spec: object, events: list[object]
+    ) -> None:
         """Guards against work sent by an outdated state of an executor, which may be full by
         now."""
         place = _Place()
         model = place.owner.scheduler._state.interference
         task = _task(place.owner, 1, spec)
-        prices = CostCache(task, model)
+        cache = CostCache(task, model)
         for event in events:
-            prices.cost(place.executor)
+            cache.cost(place.executor)
             if event is _Place.end and not place.executor.runs:
                 continue
             event(place)  # type: ignore[operator]
             self.assertEqual(
-                prices.cost(place.executor), placement_cost(task, place.executor, model)
+                cache.cost(place.executor), placement_cost(task, place.executor, model)
             )
 
-    def test_a_backlog_that_is_tried_again_prices_only_what_has_changed(self) -> None:
+    def test_retrying_a_backlog_recomputes_only_changed_costs(self) -> None:
         """Guards against an owner that falls behind because of a backlog."""
         owner = OwnerUnderTest(*(f"i-{number}" for number in range(EXECUTORS)))
         for number in range(SHAPES):
@@ -139,6 +141,8 @@
         changed = owner.executor("i-7")
         owner.tick(0.1)
         changed.consecutive_failures += 1
-        with patch.object(_cost_caches, "placement_cost", wraps=placement_cost) as priced:
+        with patch.object(
+            _cost_caches, "placement_cost", wraps=placement_cost
+        ) as placement_cost_mock:
             owner.place()
-        self.assertLessEqual(priced.call_count, SHAPES)
+        self.assertLessEqual(placement_cost_mock.call_count, SHAPES)
--- a/fireflyfork/decisions/jobs/tests/test_relay_choice.py
+++ b/fireflyfork/decisions/jobs/tests/test_relay_choice.py
@@ -32,7 +32,7 @@
 class RelayChoiceTest(unittest.TestCase):
     """Guards against more calls than one event loop can handle, and against unnecessary hops."""
 
-    def test_each_failure_domain_has_its_strongest(self) -> None:
+    def test_the_strongest_instances_of_each_failure_domain_are_chosen(self) -> None:
         chosen = choose_relays(OWN, _fleet(6, 16), LARGE)
         self.assertEqual(len(chosen), 6 * RELAYS_PER_DOMAIN)
         self.assertGreaterEqual(min(standing.strength for standing in chosen), 0.1 * 12 - 1e-9)
@@ -45,5 +45,5 @@
         """Guards against calls sent to an instance of an earlier version, which does not relay."""
         old = InstanceStanding(NodeName("old"), 2.0, FailureDomainName("0"))
         own = InstanceStanding(OWN, 2.0, FailureDomainName("0"), RELAY)
-        other = InstanceStanding(NodeName("n"), 0.1, FailureDomainName("0"), RELAY)
-        self.assertEqual(choose_relays(OWN, [old, own, other], LARGE), (other,))
+        relay_instance = InstanceStanding(NodeName("n"), 0.1, FailureDomainName("0"), RELAY)
+        self.assertEqual(choose_relays(OWN, [old, own, relay_instance], LARGE), (relay_instance,))
--- a/fireflyfork/decisions/jobs/tests/test_scheduler.py
+++ b/fireflyfork/decisions/jobs/tests/test_scheduler.py
@@ -164,7 +164,7 @@
         owner.poll(lost.executor.executor)
         self.assertEqual([run.attempt for run in owner.place()], [2])
 
-    def test_a_list_with_more_ends_than_it_holds_proves_nothing(self) -> None:
+    def test_a_truncated_list_proves_nothing(self) -> None:
         """Guards against taking a run for over because its end is missing from a truncated list.
 
         While the store is unavailable no end may be forgotten, and more runs have ended on an
@@ -249,7 +249,7 @@
             [(new_run.attempt, new_run.executor is silent) for new_run in again], [(2, False)]
         )
 
-    def test_an_executor_that_starts_anew_under_its_id_runs_nothing_of_before(self) -> None:
+    def test_a_restarted_executor_has_no_earlier_runs(self) -> None:
         owner = OwnerUnderTest("i-0")
         owner.scheduler.accept(job(A), START_MS)
         owner.place()
@@ -257,7 +257,7 @@
         owner.poll("i-0", incarnation=2)
         self.assertEqual([run.attempt for run in owner.place()], [2])
 
-    def test_an_executor_that_starts_anew_and_vanishes_holds_no_task_back(self) -> None:
+    def test_an_executor_lost_after_a_restart_blocks_no_task(self) -> None:
         """Guards against a task that waits forever for an executor that restarted and vanished.
 
         An executor restarts while an order is on its way to it, and is lost before the new
@@ -280,7 +280,7 @@
             [(new_run.attempt, new_run.executor is restarted) for new_run in again], [(2, False)]
         )
 
-    def test_an_answer_of_an_earlier_life_is_not_mixed_in(self) -> None:
+    def test_an_answer_of_an_earlier_incarnation_is_ignored(self) -> None:
         """Guards against mixing the answer of an earlier incarnation into the state of the present
         one.
 
@@ -294,7 +294,7 @@
         owner.poll("i-0", row(run), incarnation=1)
         self.assertEqual(owner.executor().runs, {})
 
-    def test_a_failed_look_of_a_life_that_was_given_up_leaves_the_next_one_alone(self) -> None:
+    def test_a_failed_poll_of_an_earlier_incarnation_is_ignored(self) -> None:
         """Guards against a failed poll of an earlier incarnation that removes the present one.
 
         An executor crashes, is given up, and registers again under its id while a poll is pending.
@@ -310,7 +310,7 @@
         owner.scheduler.poll_failed(given_up, owner.now)
         self.assertIn(ExecutorId("i-0"), owner.scheduler.executors)
 
-    def test_the_clock_of_an_executor_is_not_taken_for_that_of_the_instance(self) -> None:
+    def test_an_executor_clock_starts_at_zero(self) -> None:
         """Guards against estimating an executor's clock by that of the instance.
 
         An executor's clock begins at 0 when it starts. When it was taken to be hours ahead, like
@@ -320,7 +320,7 @@
         owner = OwnerUnderTest("i-0", polled=False)
         self.assertLess(owner.executor().min_clock_ms(owner.now + 1.0), 1100)
 
-    def test_lasting_tasks_leave_an_executor_that_leaves(self) -> None:
+    def test_long_running_tasks_leave_a_draining_executor(self) -> None:
         owner = OwnerUnderTest("i-0")
         owner.scheduler.accept(job(A, step(long_running=True)), START_MS)
         (run,) = owner.place()
@@ -328,7 +328,7 @@
         owner.tick(0.1)
         self.assertEqual(owner.stops(), [run])
 
-    def test_an_owner_that_finds_an_executor_leaving_moves_its_tasks_too(self) -> None:
+    def test_a_new_owner_moves_tasks_off_a_draining_executor(self) -> None:
         """Guards against a successor that ignores an executor which is already draining.
 
         The earlier owner was lost after the executor announced that it drains. Its long-running
@@ -343,7 +343,7 @@
         owner.tick(0.1)
         self.assertEqual([run.task.name for run in owner.stops()], [f"{A}.0.0.0"])
 
-    def test_a_run_that_stands_still_is_stopped(self) -> None:
+    def test_a_stalled_run_is_stopped(self) -> None:
         """Guards against a run that hangs: its progress stops, and its caller would wait
         forever."""
         owner = OwnerUnderTest("i-0", "i-1")
@@ -434,7 +434,7 @@
         self.owner.poll("i-1")
         self.assertEqual(len(self.owner.place()), 1)
 
-    def test_a_run_that_is_found_is_kept(self) -> None:
+    def test_a_listed_run_is_adopted(self) -> None:
         listed = RunningRow(TaskName(f"{A}.0.0.0"), AttemptNumber(1), "", 40, 0.0)
         self.owner.poll("i-0", listed)
         self.owner.poll("i-1")
@@ -463,7 +463,7 @@
         self.owner.tick(0.2)
         self.assertEqual([run.attempt for run in self.owner.place()], [2])
 
-    def test_a_job_that_came_after_the_takeover_waits_for_nobody(self) -> None:
+    def test_a_job_accepted_after_the_takeover_starts_at_once(self) -> None:
         self.owner.poll("i-0")
         self.owner.scheduler.accept(job("00000000000000bb"), START_MS)
         self.assertEqual([run.task.name for run in self.owner.place()], ["00000000000000bb.0.0.0"])
@@ -485,7 +485,7 @@
         (run,) = owner.place()
         self.assertEqual(run.executor.executor, "i-0")
 
-    def test_a_run_that_was_given_up_is_stopped_when_it_turns_up(self) -> None:
+    def test_a_given_up_run_is_stopped_when_it_is_listed(self) -> None:
         """Guards against a late start that runs next to its replacement.
 
         An executor leaves an order unanswered and carries it out seconds later, after the task has
@@ -503,7 +503,7 @@
             [(1, RunPhase.STOPPING)],
         )
 
-    def test_what_the_last_owner_lets_an_executor_run_counts_from_its_first_answer(self) -> None:
+    def test_the_earlier_lease_counts_from_the_first_answer(self) -> None:
         """Guards against taking a lease granted by an earlier owner for expired.
 
         An owner renews an executor's lease and is lost. Its successor finds the task there, and
@@ -524,7 +524,7 @@
         again = self.owner.place()
         self.assertEqual([(run.attempt, run.executor.executor) for run in again], [(2, "i-1")])
 
-    def test_a_lease_outlives_what_the_owner_remembers_of_its_executor(self) -> None:
+    def test_a_lease_outlives_the_state_of_its_executor(self) -> None:
         """Guards against forgetting a lease together with the state of its executor.
 
         An idle executor vanishes just after its lease was renewed, is dropped, and registers again.
@@ -562,9 +562,9 @@
         self.owner.tick(8.1)
         self.owner.poll("i-0", ends_may_be_cut=True)
         self.assertEqual(self.owner.place(), [])
-        heard = self.owner.executor("i-0")
-        heard.grant_lease(self.owner.clock() + LEASE_MS)
-        self.owner.scheduler.poll_failed(heard, self.owner.now)
+        polled_executor = self.owner.executor("i-0")
+        polled_executor.grant_lease(self.owner.clock() + LEASE_MS)
+        self.owner.scheduler.poll_failed(polled_executor, self.owner.now)
         self.owner.tick(1.0)
         self.assertEqual(self.owner.place(), [])
         self.owner.end("i-0", TaskName(f"{A}.0.0.0"), 1, EndReason.DONE)
@@ -649,14 +649,14 @@
         (run,) = owner.place()
         owner.end("i-0", run.task.name, 1, EndReason.DONE)
         owner.poll("i-0")
-        owner.scheduler.note_stored()
+        owner.scheduler.release_stored_ends()
         self.assertEqual(owner.executor().forgettable_end, 0)
         changes = owner.scheduler.jobs.changes
         changes.take(10)
-        owner.scheduler.note_stored()
+        owner.scheduler.release_stored_ends()
         self.assertEqual(owner.executor().forgettable_end, 0)
         changes.mark_stored()
-        owner.scheduler.note_stored()
+        owner.scheduler.release_stored_ends()
         self.assertEqual(owner.executor().forgettable_end, 1)
 
 
@@ -682,7 +682,7 @@
             20000,
         )
 
-    def test_one_end_stands_for_all(self) -> None:
+    def test_the_end_of_one_member_ends_the_gang(self) -> None:
         self.owner.scheduler.accept(job(A, self.gang), START_MS)
         first, *_ = self.owner.place()
         name = str(first.executor.executor)
@@ -710,7 +710,7 @@
         self.assertEqual({(run.attempt, run.checkpoint) for run in again}, {(2, "saved")})
         self.assertEqual(len(again), 4)
 
-    def test_a_gang_that_a_predecessor_began_in_part_is_stopped_and_started_anew(self) -> None:
+    def test_a_partly_started_gang_is_stopped_and_restarted(self) -> None:
         """Guards against a gang of which an earlier owner started only a part.
 
         The owner was killed while it sent out the members. The started ones wait for the others,
@@ -744,10 +744,10 @@
         self.assertEqual({run.executor.registration.rack for run in owner.place()}, {"r2"})
 
 
-class BlameTest(unittest.TestCase):
+class FailureAttributionTest(unittest.TestCase):
     """Tasks that can't succeed are distinguished from executors that fail everything."""
 
-    def test_a_task_that_fails_everywhere_does_not_put_executors_out_of_use(self) -> None:
+    def test_a_task_that_always_fails_does_not_block_executors(self) -> None:
         """Guards against avoiding all executors because many jobs arrive that can't succeed.
 
         If each of their failures counted against the executor, sound jobs would find no executor.
@@ -764,7 +764,7 @@
             sum(executor.consecutive_failures for executor in owner.scheduler.executors.values()), 1
         )
 
-    def test_an_executor_that_fails_all_it_gets_is_avoided(self) -> None:
+    def test_an_executor_that_fails_all_tasks_is_avoided(self) -> None:
         owner = OwnerUnderTest("i-0")
         for number in range(2):
             owner.scheduler.accept(job(f"{number:016x}"), START_MS)
--- a/fireflyfork/decisions/jobs/tests/test_standing.py
+++ b/fireflyfork/decisions/jobs/tests/test_standing.py
@@ -23,7 +23,7 @@
 class StrengthTest(unittest.TestCase):
     """The capacity of an instance."""
 
-    def test_the_scarcer_of_processor_and_link_counts(self) -> None:
+    def test_strength_is_limited_by_processor_or_link(self) -> None:
         for processors, link_mbps, near, expected in (
             (2.0, 1000.0, True, 2.0),
             (2.0, 10.0, True, 0.25),
@@ -34,7 +34,7 @@
                 self.assertAlmostEqual(strength(processors, link_mbps, near), expected)
 
 
-class BidTest(unittest.TestCase):
+class BidDelayTest(unittest.TestCase):
     """The order in which instances bid for a vacant service."""
 
     @given(fleets)
@@ -43,12 +43,12 @@
         self.assertEqual(bid_delay(strongest, fleet), 0.0)
 
     @given(fleets)
-    def test_a_stronger_one_never_waits_longer(self, fleet: list[InstanceStanding]) -> None:
+    def test_a_stronger_instance_never_waits_longer(self, fleet: list[InstanceStanding]) -> None:
         ordered = sorted(fleet, key=lambda standing: standing.strength)
         delays = [bid_delay(standing, fleet) for standing in ordered]
         self.assertEqual(delays, sorted(delays, reverse=True))
 
-    def test_equals_do_not_wait_for_each_other(self) -> None:
+    def test_equally_strong_instances_do_not_wait_for_each_other(self) -> None:
         """The ranking costs no time in a fleet of equal instances."""
         fleet = [InstanceStanding(NodeName(f"n-{i}"), 0.43) for i in range(9)]
         self.assertEqual({bid_delay(standing, fleet) for standing in fleet}, {0.0})
@@ -58,7 +58,7 @@
     """When an owner hands its service over to another instance."""
 
     @given(fleets)
-    def test_hand_overs_end(self, fleet: list[InstanceStanding]) -> None:
+    def test_hand_overs_do_not_continue_forever(self, fleet: list[InstanceStanding]) -> None:
         """Guards against a service that is handed over again and again, and has no owner half of
         the time.
 
@@ -75,7 +75,7 @@
             hand_overs += 1
         self.assertLessEqual(hand_overs, len(fleet))
 
-    def test_a_recovery_is_given_up_only_for_one_that_can_do_better(self) -> None:
+    def test_a_recovery_is_given_up_only_for_a_stronger_instance(self) -> None:
         own = InstanceStanding(NodeName("own"), 0.2)
         for other, equals, expected in (
             (1.0, False, True),
--- a/fireflyfork/decisions/jobs/tests/test_stragglers.py
+++ b/fireflyfork/decisions/jobs/tests/test_stragglers.py
@@ -61,7 +61,7 @@
         self._report(0.9, first, second, percent=15)
         self.assertEqual(set(self.owner.stops()), {first, second})
 
-    def test_what_is_not_moved(self) -> None:
+    def test_runs_that_are_not_moved(self) -> None:
         """Guards against moving long tasks from executor to executor, so that they never end."""
         for name, changes, seconds, percent in (
             ("one job alone", {}, 0.9, 15),
@@ -76,7 +76,7 @@
                 self._report(seconds, run, percent=percent)
                 self.assertEqual((self.owner.stops(), self.owner.place()), ([], []))
 
-    def test_a_run_that_no_poll_has_listed_yet_is_not_judged(self) -> None:
+    def test_a_run_not_listed_yet_is_not_a_straggler(self) -> None:
         """Guards against moving every run after half a second because its progress is still
         unknown."""
         self._start(1, speculative=True)
--- a/fireflyfork/decisions/jobs/tests/test_upkeep.py
+++ b/fireflyfork/decisions/jobs/tests/test_upkeep.py
@@ -88,16 +88,16 @@
 
     def _serving(self, count: int, budget: int) -> list[Run]:
         """Start long-running tasks, one on each executor, and let them report full progress."""
-        lasting = step(
+        long_running_step = step(
             count=count, long_running=True, per_executor_limit=1, unavailable_budget=budget
         )
-        self.owner.scheduler.accept(job("00000000000000aa", lasting), START_MS)
+        self.owner.scheduler.accept(job("00000000000000aa", long_running_step), START_MS)
         runs = self.owner.place()
         for run in runs:
             self.owner.poll(run.executor.executor, row(run, 100))
         return runs
 
-    def test_empty_machines_go_down_as_far_as_the_wave_allows(self) -> None:
+    def test_empty_machines_go_down_up_to_the_limit_of_the_wave(self) -> None:
         for max_at_once, expected in ((1, 1), (2, 2), (5, 3)):
             with self.subTest(max_at_once):
                 self.assertEqual(
@@ -114,7 +114,7 @@
         self.assertEqual(self._orders(view), [(1, _machine(0))])
         self.assertFalse(self.owner.executor("i-0").is_usable(self.owner.now))
 
-    def test_a_machine_whose_order_may_come_late_gets_no_work_from_the_next_owner(self) -> None:
+    def test_a_machine_with_an_unconfirmed_order_gets_no_work_after_a_takeover(self) -> None:
         """Guards against a successor that starts tasks on a machine which is about to go down.
 
         The earlier owner was lost right after it had ordered the machine down; the late order ended
@@ -129,7 +129,7 @@
         ]
         self.assertEqual(usable, [0, 2])
 
-    def test_an_executor_that_its_owner_hears_of_later_is_kept_free_as_well(self) -> None:
+    def test_an_executor_registered_later_is_cordoned_too(self) -> None:
         """Guards against forgetting that an executor is cordoned while it is not registered.
 
         The executor's registration is missing while the next owner reads the store, or the executor
@@ -177,7 +177,7 @@
         self.owner.poll(name)
         self.assertEqual(self._orders(view), [(1, _machine(emptied))])
 
-    def test_lasting_tasks_are_moved_one_after_the_other(self) -> None:
+    def test_long_running_tasks_are_moved_one_at_a_time(self) -> None:
         """Guards against stopping several tasks of a service at once.
 
         Both run on machines that are due, and its users would have fewer tasks than they are
@@ -206,11 +206,11 @@
         ]
         self.assertEqual(usable, [True] * 3)
 
-    def test_what_is_moved_does_not_go_where_it_would_be_moved_again(self) -> None:
+    def test_moved_tasks_avoid_machines_with_due_upkeep(self) -> None:
         """Guards against moving a service to a machine that is due next, so that users wait
         twice."""
-        lasting = step(long_running=True, image="web", tail_target_ms=18, cpu_millis=3000)
+        long_running_step = step(long_running=True, image="web", tail_target_ms=18, cpu_millis=3000)
         self._orders(_view({0: UP, 1: UP}))
-        self.owner.scheduler.accept(job("00000000000000aa", lasting), START_MS)
+        self.owner.scheduler.accept(job("00000000000000aa", long_running_step), START_MS)
         (run,) = self.owner.place()
         self.assertEqual(run.executor.executor, "i-2")
--- a/fireflyfork/decisions/jobs/tests/test_upstreams.py
+++ b/fireflyfork/decisions/jobs/tests/test_upstreams.py
@@ -33,7 +33,7 @@
 
 instances = st.tuples(st.sampled_from(sorted(DOMAINS)), st.sampled_from((0.3, 0.3, 1.0, 2.0)))
 fleets = st.lists(instances, min_size=1, max_size=24).map(
-    lambda drawn: [_instance(number, *one) for number, one in enumerate(drawn)]
+    lambda drawn: [_instance(number, *fields) for number, fields in enumerate(drawn)]
 )
 
 
@@ -57,7 +57,7 @@
             )
 
     @given(fleets)
-    def test_each_failure_domain_is_told_once_from_outside(
+    def test_each_failure_domain_receives_changes_once_from_outside(
         self, fleet: list[InstanceStanding]
     ) -> None:
         """Guards against sending a large configuration between regions once per instance."""
@@ -70,7 +70,7 @@
         self.assertEqual(from_outside, Counter({standing.failure_domain for standing in fleet}))
 
     @given(fleets)
-    def test_few_are_named(self, fleet: list[InstanceStanding]) -> None:
+    def test_the_number_of_upstreams_is_limited(self, fleet: list[InstanceStanding]) -> None:
         for own in fleet:
             chosen = choose_upstreams(own, fleet)
             self.assertLessEqual(len(chosen), UPSTREAMS)
@@ -86,7 +86,7 @@
         fleet = [_instance(number, "suva", 1.0, near=False) for number in range(3)]
         self.assertEqual(choose_upstreams(fleet[0], fleet), ())
 
-    def test_instances_that_tell_nothing_are_not_followed(self) -> None:
+    def test_instances_without_a_replica_are_not_followed(self) -> None:
         """Some instances have no spare port to serve a replica."""
         mute = InstanceStanding(NodeName("n-1"), 2.0, FailureDomainName("suva"), near_store=True)
         own = _instance(2, "suva", 1.0)
--- a/fireflyfork/decisions/jobs/tests/test_urgency.py
+++ b/fireflyfork/decisions/jobs/tests/test_urgency.py
@@ -35,7 +35,7 @@
         small = _task(owner, "00000000000000bb", 1900)
         self.assertLess(urgency(small, START_MS), urgency(large, START_MS))
 
-    def test_what_is_done_of_a_job_counts_no_more(self) -> None:
+    def test_finished_work_of_a_job_does_not_count(self) -> None:
         owner = OwnerUnderTest("i-0")
         wide = _task(owner, "00000000000000aa", 1000)
         before = wide.job.remaining_work()
@@ -43,14 +43,14 @@
         wide.job.remaining_tasks[0, 0] = 0
         self.assertEqual(wide.job.remaining_work(), 0)
 
-    def test_jobs_of_no_more_use_go_by_age(self) -> None:
+    def test_jobs_beyond_use_are_ordered_by_age(self) -> None:
         """Guards against a large job that waits forever while small ones keep arriving."""
         owner = OwnerUnderTest()
         large = _task(owner, "00000000000000aa", 600, age_ms=60_000)
         small = _task(owner, "00000000000000bb", 500, age_ms=30_000)
         self.assertLess(urgency(large, START_MS), urgency(small, START_MS))
 
-    def test_a_job_that_is_late_anyway_stands_behind_those_that_can_be_in_time(self) -> None:
+    def test_late_jobs_follow_jobs_that_can_be_in_time(self) -> None:
         """Guards against serving jobs by age alone under overload.
 
         Each job would wait for others that are already late and end late itself, so no caller would
@@ -61,7 +61,7 @@
         fresh = _task(owner, "00000000000000bb", 2000)
         self.assertLess(urgency(fresh, START_MS), urgency(late, START_MS))
 
-    def test_a_job_of_no_more_use_stands_last(self) -> None:
+    def test_jobs_beyond_use_come_last(self) -> None:
         owner = OwnerUnderTest()
         useless = _task(owner, "00000000000000aa", 500, age_ms=20_000)
         late = _task(owner, "00000000000000bb", 2000, age_ms=6_000)
--- a/fireflyfork/decisions/placement/_failed_searches.py
+++ b/fireflyfork/decisions/placement/_failed_searches.py
@@ -19,7 +19,7 @@
     max_slope: float
     """The slope limit of the search. A task that has waited longer has a higher limit, for which a
     new search may find a worker."""
-    until: float
+    expires_at: float
     """Time at which the result of the search expires."""
 
 
@@ -44,7 +44,7 @@
         """Reset the count and remove expired searches."""
         self._count = 0
         for key, searches in list(self._searches.items()):
-            recent = [search for search in searches if search.until > now]
+            recent = [search for search in searches if search.expires_at > now]
             if recent:
                 self._searches[key] = recent
             else:
--- a/fireflyfork/decisions/placement/_fair_queue.py
+++ b/fireflyfork/decisions/placement/_fair_queue.py
@@ -49,12 +49,12 @@
 
     def dominant_share(self, team: TeamName) -> float:
         """Return the largest share of its quota that the team has reserved of any resource."""
-        held = self.reserved(team)
+        reserved = self.reserved(team)
         quota = self.quota(team)
         return max(
-            held.millicores / max(quota.millicores, 1),
-            held.memory / max(quota.memory, 1),
-            held.accelerators / max(quota.accelerators, 1),
+            reserved.millicores / max(quota.millicores, 1),
+            reserved.memory / max(quota.memory, 1),
+            reserved.accelerators / max(quota.accelerators, 1),
         )
 
 
--- a/fireflyfork/decisions/placement/_headroom.py
+++ b/fireflyfork/decisions/placement/_headroom.py
@@ -32,23 +32,23 @@
         """Start without urgent demand and without held resources."""
         self._fleet = fleet
         self._held: dict[WorkerEntry, Resources] = {}
-        self._size = Resources()
+        self._size_per_worker = Resources()
         """The resources to hold on each worker: the largest need of an urgent task so far."""
         self._peak = 0.0
         self._peak_at = 0.0
         self._window_start = float("-inf")
-        self._window_count = 0
+        self._window_arrivals = 0
         """Number of urgent tasks that started in the current window."""
 
-    def note_arrival(self, need: Resources, now: float) -> None:
+    def record_arrival(self, need: Resources, now: float) -> None:
         """Count an urgent task that starts, and update the peak and the size to hold."""
         if now - self._window_start > _WINDOW_SECONDS:
             self._window_start = now
-            self._window_count = 0
-        self._window_count += 1
-        self._peak = max(self._decayed_peak(now), float(self._window_count))
+            self._window_arrivals = 0
+        self._window_arrivals += 1
+        self._peak = max(self._decayed_peak(now), float(self._window_arrivals))
         self._peak_at = now
-        self._size = _maximum(self._size, need)
+        self._size_per_worker = _maximum(self._size_per_worker, need)
 
     def take(self, need: Resources, accepts: Callable[[WorkerEntry], bool]) -> WorkerEntry | None:
         """Release the headroom of a worker that then has room for ``need``.
@@ -78,7 +78,7 @@
         worker_count = round(peak) + 1 if peak >= _MIN_PEAK else 0
         if urgent_work_allowed:
             worker_count = max(worker_count, _MIN_WORKERS)
-            self._size = _maximum(self._size, self._initial_size())
+            self._size_per_worker = _maximum(self._size_per_worker, self._initial_size())
         worker_count = min(worker_count, max_workers)
         while len(self._held) > worker_count:
             entry, amount = self._held.popitem()
@@ -94,14 +94,14 @@
 
     def _hold_more(self, count: int) -> None:
         added = []
-        for entry in self._fleet.with_room(self._size):
+        for entry in self._fleet.with_room(self._size_per_worker):
             if entry not in self._held:
                 added.append(entry)
             if len(added) >= count:
                 break
         for entry in added:
-            self._fleet.hold(entry, self._size)
-            self._held[entry] = self._size
+            self._fleet.hold(entry, self._size_per_worker)
+            self._held[entry] = self._size_per_worker
 
     def _drop_unlisted(self) -> None:
         entries = self._fleet.entries
--- a/fireflyfork/decisions/placement/_policy.py
+++ b/fireflyfork/decisions/placement/_policy.py
@@ -311,7 +311,7 @@
                 yield from self._preempt(task, need, view)
                 continue
             quotas.add_reservation(task.shape.team, need)
-            self._headroom.note_arrival(need, view.now)
+            self._headroom.record_arrival(need, view.now)
             waited = view.now - task.submitted
             reason = PlacedUrgent(entry.worker.worker_id, waited)
             yield self._start(task, entry, need, reason, view.now)
@@ -383,7 +383,7 @@
         self, task: Task, entry: WorkerEntry, need: Resources, reason: Reason, now: float
     ) -> Start:
         task_class = TaskClass(task.shape.task_class)
-        self._selector.note_start(entry, need, task_class, now)
+        self._selector.record_start(entry, need, task_class, now)
         self._fleet.add_start(entry, need, task_class)
         self._health.started(entry.worker.worker_id, task.task_id)
         return Start(task.task_id, entry.worker.worker_id, need, reason.sentence())
@@ -475,9 +475,9 @@
     weights = view.weights
     total = weights.throughput + weights.tail_latency
     impatience = weights.throughput / total if total > 0.0 else 0.0
-    patience = min(waited / _FULL_PATIENCE_SECONDS, 1.0)
-    ratio = _MAX_RATIO + impatience * patience
-    return InterferenceLimits(ratio, _INITIAL_MAX_SLOPE + _MAX_SLOPE_INCREASE * patience)
+    relaxation = min(waited / _FULL_PATIENCE_SECONDS, 1.0)
+    ratio = _MAX_RATIO + impatience * relaxation
+    return InterferenceLimits(ratio, _INITIAL_MAX_SLOPE + _MAX_SLOPE_INCREASE * relaxation)
 
 
 def _may_be_worker_fault(ended: AttemptEnded) -> bool:
--- a/fireflyfork/decisions/placement/_spread.py
+++ b/fireflyfork/decisions/placement/_spread.py
@@ -29,14 +29,14 @@
 
     def __init__(self) -> None:
         """Start without replicas."""
-        self._domains: dict[ServiceName, Counter[FailureDomainName]] = {}
-        self._racks: dict[ServiceName, Counter[RackName]] = {}
+        self._counts_by_domain: dict[ServiceName, Counter[FailureDomainName]] = {}
+        self._counts_by_rack: dict[ServiceName, Counter[RackName]] = {}
 
     def add(self, service: ServiceName, entry: WorkerEntry, change: int) -> None:
         """Add ``change`` to the number of replicas: 1 for a start on a worker, -1 for an end."""
         worker = entry.worker
-        self._domains.setdefault(service, Counter())[worker.failure_domain] += change
-        self._racks.setdefault(service, Counter())[worker.rack] += change
+        self._counts_by_domain.setdefault(service, Counter())[worker.failure_domain] += change
+        self._counts_by_rack.setdefault(service, Counter())[worker.rack] += change
 
     def place(self, service: ServiceName, entry: WorkerEntry) -> ReplicaPlace:
         """Return a worker as the place for another replica."""
@@ -49,11 +49,11 @@
 
     def in_failure_domain(self, service: ServiceName, name: FailureDomainName) -> int:
         """Return the number of replicas of the service in a failure domain."""
-        return self._domains.get(service, Counter())[name]
+        return self._counts_by_domain.get(service, Counter())[name]
 
     def in_rack(self, service: ServiceName, name: RackName) -> int:
         """Return the number of replicas of the service in a rack."""
-        return self._racks.get(service, Counter())[name]
+        return self._counts_by_rack.get(service, Counter())[name]
 
 
 def replica_places(
--- a/fireflyfork/decisions/placement/_worker_selection.py
+++ b/fireflyfork/decisions/placement/_worker_selection.py
@@ -137,7 +137,7 @@
             cost += forecast.replicas * (_penalty(after) - _penalty(before.ratio))
         return Candidate(entry, cost, slowdown)
 
-    def note_start(
+    def record_start(
         self, entry: WorkerEntry, need: Resources, task_class: TaskClass, now: float
     ) -> None:
         """Update a worker's forecasts for a start, which is cheaper than recomputing them."""
--- a/fireflyfork/decisions/placement/tests/test_interference.py
+++ b/fireflyfork/decisions/placement/tests/test_interference.py
@@ -28,7 +28,7 @@
 class InterferenceTest(unittest.TestCase):
     """Estimates per service, neighbouring class and load band."""
 
-    def test_the_noisy_class_is_told_from_the_quiet_one(self) -> None:
+    def test_noisy_and_quiet_classes_are_distinguished(self) -> None:
         """Guards against throttling a harmless class.
 
         The quiet class runs next to the noisy class in every report, so attributing the latency to
@@ -40,7 +40,7 @@
         self.assertAlmostEqual(noisy, 3.0, delta=0.6)
         self.assertLess(quiet, 0.5)
 
-    def test_estimates_fade(self) -> None:
+    def test_estimates_decay_with_age(self) -> None:
         """Guards against excluding a class forever.
 
         A class that was improved is not placed next to services, so no report can correct its
--- a/fireflyfork/decisions/placement/tests/test_policy.py
+++ b/fireflyfork/decisions/placement/tests/test_policy.py
@@ -67,7 +67,7 @@
 class FairnessTest(unittest.TestCase):
     """Teams share the workers in proportion to their quotas."""
 
-    def test_a_flood_of_one_team_does_not_starve_another(self) -> None:
+    def test_many_tasks_of_one_team_do_not_starve_another(self) -> None:
         """Guards against a task that waits until hundreds of another team's tasks have run."""
         task_table = table(InterferenceAwarePolicy(), workers=1)
         task_table.submit(shape(size(1, 1), team=QUOTES), 300)
@@ -92,7 +92,7 @@
         self.assertEqual(sorted(domains), ["domain-0", "domain-0", "domain-1", "domain-1"])
 
 
-class UrgentTest(unittest.TestCase):
+class UrgentPlacementTest(unittest.TestCase):
     """Urgent tasks don't wait until batch tasks finish."""
 
     def test_urgent_work_evicts_the_least_lost_work(self) -> None:
@@ -118,7 +118,7 @@
         self.assertIsNotNone(task_table.tasks[urgent].worker_id)
         self.assertIsNotNone(task_table.tasks[old].worker_id)
 
-    def test_what_tolerates_nothing_is_not_evicted(self) -> None:
+    def test_tasks_without_tolerance_are_not_evicted(self) -> None:
         """Guards against evicting tasks of a team whose tolerance doesn't allow eviction."""
         task_table = table(InterferenceAwarePolicy(), workers=1)
         for tolerance in (Tolerance.NONE, Tolerance.THROTTLE):
@@ -156,15 +156,15 @@
         noisy = task_table.submit(shape(size(12, 12), task_class="noisy"), 8)
         task_table.run_round()
         for _ in range(60):
-            beside: dict[WorkerId | None, float] = {}
+            load_by_worker: dict[WorkerId | None, float] = {}
             for task_id in noisy:
                 task = task_table.tasks[task_id]
                 limit = task.millicores_limit or task.reservation.millicores
-                beside[task.worker_id] = limit / 16_000
+                load_by_worker[task.worker_id] = limit / 16_000
                 if task.worker_id is not None:
                     task_table.report(task_id, Resources(limit, GIGABYTE))
             for task_id in desks:
-                share = beside.get(task_table.tasks[task_id].worker_id, 0.0)
+                share = load_by_worker.get(task_table.tasks[task_id].worker_id, 0.0)
                 task_table.report(task_id, size(1, 1), tail=OBJECTIVE_MILLISECONDS * exp(6 * share))
             task_table.run_round(3.0)
         self.assertEqual(task_table.evictions, 2)
@@ -196,7 +196,7 @@
         self.assertIsNone(task_table.tasks[noisy].millicores_limit)
 
 
-class BlameTest(unittest.TestCase):
+class FailureAttributionTest(unittest.TestCase):
     """Failures are attributed to the worker or to the task."""
 
     def test_a_worker_that_fails_everything_is_quarantined(self) -> None:
@@ -226,7 +226,7 @@
         self.assertEqual(starts, 3)
         self.assertIn("failed on 3 different workers", task_table.refused[task_id].reason)
 
-    def test_one_bad_job_accuses_no_worker(self) -> None:
+    def test_failures_of_one_job_quarantine_no_worker(self) -> None:
         """Guards against quarantining workers because all tasks of a single job crash."""
         task_table = table(InterferenceAwarePolicy(), workers=4)
         task_table.submit(shape(), 20)
@@ -240,7 +240,7 @@
         self.assertEqual(len({task.worker_id for task in task_table.running()}), 4)
 
 
-class SizeTest(unittest.TestCase):
+class LearnedSizesTest(unittest.TestCase):
     """Reservations when declared sizes differ from usage."""
 
     def test_sizes_shrink_and_grow_with_usage(self) -> None:
@@ -257,7 +257,7 @@
         self.assertTrue(reservation.fits_in(size(2.5, 5)), reservation)
         self.assertTrue(size(1, 2.2).fits_in(reservation), reservation)
 
-    def test_memory_is_not_cut_before_the_tail_is_known(self) -> None:
+    def test_memory_is_not_reduced_before_enough_peaks_are_known(self) -> None:
         """Guards against a task that runs out of memory after few samples.
 
         Three small tasks don't show the memory usage of the largest task.
--- a/fireflyfork/decisions/placement/tests/test_pressure.py
+++ b/fireflyfork/decisions/placement/tests/test_pressure.py
@@ -46,7 +46,7 @@
         changes = sum(before is not after for before, after in pairwise(actions))
         self.assertLessEqual(changes, 14)
 
-    def test_worst_rhythm(self) -> None:
+    def test_latency_rises_with_each_lifted_limit(self) -> None:
         """Guards against oscillation if each lifted limit raises latency at once, for two hours."""
         pressure = Pressure()
         throttled = False
--- a/fireflyfork/decisions/tests/builders_requests.py
+++ b/fireflyfork/decisions/tests/builders_requests.py
@@ -19,7 +19,7 @@
     OwnTarget,
     RouteInput,
     ServiceTime,
-    SlotTerms,
+    SlotLimits,
     WaitingRequest,
 )
 
@@ -46,9 +46,9 @@
     )
 
 
-def slot_terms(slots: int = 2, connections: int = 8) -> SlotTerms:
+def slot_limits(slots: int = 2, connections: int = 8) -> SlotLimits:
     """Return the limits of a target with this number of slots and connections."""
-    return SlotTerms.from_contracts(target(slots, connections), service())
+    return SlotLimits.from_contracts(target(slots, connections), service())
 
 
 def member_load(
--- a/fireflyfork/decisions/tests/test_admission.py
+++ b/fireflyfork/decisions/tests/test_admission.py
@@ -53,7 +53,7 @@
                 for seconds in retry_times:
                     self.assertAlmostEqual(seconds, retry_after)
 
-    def test_an_urgent_request_makes_nobody_late(self) -> None:
+    def test_an_urgent_request_delays_no_admitted_request(self) -> None:
         """An urgent request must not make an already admitted request miss its deadline."""
         tight, _ = queue().offer(waiting("first", 0.151), 0, 2, 0.0)
         _, decision = tight.offer(waiting("second", 0.1505), 0, 2, 0.0)
@@ -99,8 +99,8 @@
         filling = _filled(3).answered(0.1, 0.4)
         _, decision = filling.offer(waiting("burst", 60.0), 0, 2, now=0.4)
         self.assertIs(decision.kind, AdmissionKind.QUEUE)
-        lasting = filling.answered(0.1, 0.6)
-        _, decision = lasting.offer(waiting("surplus", 60.0), 0, 2, now=0.6)
+        overloaded = filling.answered(0.1, 0.6)
+        _, decision = overloaded.offer(waiting("surplus", 60.0), 0, 2, now=0.6)
         self.assertIs(decision.kind, AdmissionKind.REFUSE)
 
     def test_requests_expire_before_their_deadline(self) -> None:
--- a/fireflyfork/decisions/tests/test_connections.py
+++ b/fireflyfork/decisions/tests/test_connections.py
@@ -6,9 +6,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from .. import ConnectionChoice, ConnectionId, ConnectionPool, ConnectionTerms, PathState
+from .. import ConnectionChoice, ConnectionId, ConnectionLimits, ConnectionPool, PathState
 
-TERMS = ConnectionTerms()
+TERMS = ConnectionLimits()
 FIRST, SECOND, THIRD = ConnectionId(1), ConnectionId(2), ConnectionId(3)
 
 
@@ -84,7 +84,7 @@
         self.assertEqual(len(pool.closed(SECOND).idle), TERMS.max_idle_connections - 1)
 
 
-class SilentPath(RuleBasedStateMachine):
+class ConnectionPoolMachine(RuleBasedStateMachine):
     """Generated histories of a path on which all traffic may be dropped silently at any time.
 
     The number of requests lost to one silence is bounded: those already in flight, as many on new
@@ -199,5 +199,5 @@
             assert self.lost <= self.allowed_to_lose, (self.lost, self.allowed_to_lose)
 
 
-SilentPath.TestCase.settings = settings(max_examples=60, stateful_step_count=20)
-SilentPathTest = SilentPath.TestCase
+ConnectionPoolMachine.TestCase.settings = settings(max_examples=60, stateful_step_count=20)
+ConnectionPoolMachineTest = ConnectionPoolMachine.TestCase
--- a/fireflyfork/decisions/tests/test_replicas.py
+++ b/fireflyfork/decisions/tests/test_replicas.py
@@ -25,7 +25,7 @@
 class ReplicasTest(unittest.TestCase):
     """The number of replicas equals the number in the contract."""
 
-    def test_up_and_down(self) -> None:
+    def test_replicas_follow_the_contract(self) -> None:
         """An operator changes the number of replicas; a repeated round makes no changes."""
         partition = make_partition()
         for replicas in (3, 3, 5, 1, 0, 2):
--- a/fireflyfork/decisions/tests/test_retries.py
+++ b/fireflyfork/decisions/tests/test_retries.py
@@ -7,9 +7,9 @@
 from hypothesis import strategies as st
 
 from ... import Verdict
-from .. import FailedAttempt, RetryBudget, RetryDecision, RetryTerms
+from .. import FailedAttempt, RetryBudget, RetryDecision, RetryLimits
 
-TERMS = RetryTerms(share=0.1, burst=3.0)
+TERMS = RetryLimits(share=0.1, burst=3.0)
 FAILED = FailedAttempt(Verdict.NOT_RUN, False, 1, deadline=10.0, expected_seconds=1.0)
 
 
--- a/fireflyfork/decisions/tests/test_routing.py
+++ b/fireflyfork/decisions/tests/test_routing.py
@@ -99,7 +99,7 @@
         st.booleans(),
     )
     @settings(max_examples=150)
-    def test_any_figures_give_a_usable_route(
+    def test_any_reported_load_gives_a_usable_route(
         self, peers: list[tuple[int, int, float]], draw: tuple[float, float], forwarded: bool
     ) -> None:
         """A route names a member only if it needs one; a request is forwarded at most once."""
@@ -114,7 +114,7 @@
         self.assertGreaterEqual(chosen.retry_after, 0.0)
 
 
-class LeavingGossip(RuleBasedStateMachine):
+class LeavingMarksMachine(RuleBasedStateMachine):
     """Three members exchange marks of leaving targets in duplicated and reordered messages."""
 
     TARGET = TargetId("t")
@@ -138,7 +138,7 @@
     @rule(member=st.integers(0, 2))
     def send(self, member: int) -> None:
         """A member sends its marks."""
-        self.messages.append((self.now, self.members[member].marks(self.now)))
+        self.messages.append((self.now, self.members[member].marks_for_peers(self.now)))
 
     @rule(data=st.data(), member=st.integers(0, 2), again=st.booleans())
     def receive(self, data: st.DataObject, member: int, again: bool) -> None:
@@ -157,7 +157,7 @@
     def exchange_continuously(self) -> None:
         """All members exchange slow messages continuously."""
         for _ in range(40):
-            messages = [member.marks(self.now) for member in self.members]
+            messages = [member.marks_for_peers(self.now) for member in self.members]
             self.time_passes(self.LONGEST_DELAY)
             for marks in messages:
                 self.members = [member.merge_marks(marks, self.now) for member in self.members]
@@ -176,5 +176,5 @@
             assert not any(m.includes(self.TARGET, self.now) for m in self.members)
 
 
-LeavingGossip.TestCase.settings = settings(max_examples=80, stateful_step_count=30)
-LeavingGossipTest = LeavingGossip.TestCase
+LeavingMarksMachine.TestCase.settings = settings(max_examples=80, stateful_step_count=30)
+LeavingMarksMachineTest = LeavingMarksMachine.TestCase
--- a/fireflyfork/decisions/tests/test_slots.py
+++ b/fireflyfork/decisions/tests/test_slots.py
@@ -10,9 +10,9 @@
 from ..._ids import RequestId
 from .. import SlotLedger, SlotRefusal
 from .._slots import START_WITHIN_SECONDS
-from .builders_requests import LONGEST_RUN, slot_terms
+from .builders_requests import LONGEST_RUN, slot_limits
 
-HOLD = slot_terms().hold_seconds
+HOLD = slot_limits().hold_seconds
 STILL_RUNNING = (START_WITHIN_SECONDS + LONGEST_RUN) * 0.995
 """Time after taking its slot at which a request may still be running."""
 FAST, SLOW = 1.0095, 0.9905
@@ -30,7 +30,7 @@
 
     def setUp(self) -> None:
         """Create the ledger of a target whose two slots are taken at time 0."""
-        self.full = _acquired(_acquired(SlotLedger(slot_terms()), "a", 0.0), "b", 0.0)
+        self.full = _acquired(_acquired(SlotLedger(slot_limits()), "a", 0.0), "b", 0.0)
 
     def test_a_late_answer_still_holds_its_slot(self) -> None:
         """The caller of a slow request gives up while the executor still works on it.
@@ -51,13 +51,13 @@
             self.full.release(RequestId("a")).acquire(RequestId("b"), 1.0), SlotRefusal.DUPLICATE
         )
 
-    def test_a_leaving_target_gets_nothing_new(self) -> None:
+    def test_a_leaving_target_gets_no_new_requests(self) -> None:
         """An executor stops in a few seconds, so a request sent to it now would be cut off."""
         leaving = self.full.release(RequestId("a")).leave()
         self.assertIs(leaving.acquire(RequestId("c"), 1.0), SlotRefusal.LEAVING)
         self.assertEqual((leaving.busy(1.0), leaving.free(1.0)), (1, 0))
         _, handover = leaving.hand_over(1.0)
-        successor = SlotLedger.after_handover(slot_terms(), handover, 50.0)
+        successor = SlotLedger.after_handover(slot_limits(), handover, 50.0)
         self.assertIs(successor.acquire(RequestId("c"), 50.0), SlotRefusal.LEAVING)
         self.assertEqual(leaving.rejoin().free(1.0), 1)
 
@@ -66,7 +66,7 @@
         stopped, handover = self.full.release(RequestId("a")).hand_over(1.0)
         self.assertIs(stopped.acquire(RequestId("c"), 1.0), SlotRefusal.HANDED_OVER)
         self.assertIs(stopped.open_connection(1.0), SlotRefusal.HANDED_OVER)
-        successor = SlotLedger.after_handover(slot_terms(), handover, 50.0)
+        successor = SlotLedger.after_handover(slot_limits(), handover, 50.0)
         self.assertEqual((successor.busy(50.0), successor.free(50.0)), (1, 1))
         self.assertEqual(successor.release(RequestId("b")).free(50.0), 2)
         self.assertEqual(successor.busy(50.0 + HOLD - 1.0 - 0.01), 1)
@@ -78,7 +78,7 @@
         cases = [(None, 0), (2, 0), (1, 1), (5, 0)]
         for ceiling, free in cases:
             with self.subTest(ceiling=ceiling):
-                ledger = SlotLedger.after_fence(slot_terms(), 100.0, ceiling)
+                ledger = SlotLedger.after_fence(slot_limits(), 100.0, ceiling)
                 self.assertEqual(ledger.free(100.0 + HOLD - 0.01), free)
                 self.assertEqual(ledger.free(100.0 + HOLD), 2)
 
@@ -88,19 +88,19 @@
         If the dead owner had opened all eight, its successor could not connect to the target until
         the longest run time has passed, and the target's capacity would be lost until then.
         """
-        ledger = SlotLedger.after_fence(slot_terms(), 0.0)
+        ledger = SlotLedger.after_fence(slot_limits(), 0.0)
         for _ in range(4):
             opened = ledger.open_connection(0.0)
             assert isinstance(opened, SlotLedger)
             ledger = opened
         self.assertIs(ledger.open_connection(HOLD), SlotRefusal.FULL)
         self.assertIsInstance(ledger.close_connection().open_connection(0.0), SlotLedger)
-        second = SlotLedger.after_handover(slot_terms(), ledger.hand_over(1.0)[1], 1.0)
+        second = SlotLedger.after_handover(slot_limits(), ledger.hand_over(1.0)[1], 1.0)
         self.assertIs(second.open_connection(1.0), SlotRefusal.FULL)
 
     def test_a_smaller_contract_lets_running_requests_end(self) -> None:
         """An operator lowers the number of slots while requests run."""
-        smaller = self.full.with_terms(slot_terms(slots=1))
+        smaller = self.full.with_limits(slot_limits(slots=1))
         self.assertEqual(smaller.free(1.0), 0)
         self.assertIs(
             smaller.release(RequestId("a")).acquire(RequestId("c"), 1.0), SlotRefusal.FULL
@@ -124,7 +124,7 @@
         super().__init__()
         self.time = 1000.0
         self.rates = [FAST]
-        self.ledger = SlotLedger(slot_terms())
+        self.ledger = SlotLedger(slot_limits())
         self.at_target: dict[RequestId, _SentRequest] = {}
         self.answers: list[tuple[RequestId, int]] = []
         self.reachable_owners = {0}
@@ -189,19 +189,19 @@
         self.reachable_owners.add(len(self.rates))
         self.pause(delay)
         self.rates.append(rate)
-        self.ledger = SlotLedger.after_handover(slot_terms(), handover, self._now())
+        self.ledger = SlotLedger.after_handover(slot_limits(), handover, self._now())
 
     @rule(rate=st.sampled_from([FAST, SLOW]))
     def fence(self, rate: float) -> None:
         """The owner fails or is cut off, and its right to send has expired."""
         self.reachable_owners.clear()
         self.rates.append(rate)
-        self.ledger = SlotLedger.after_fence(slot_terms(), self._now())
+        self.ledger = SlotLedger.after_fence(slot_limits(), self._now())
 
     @invariant()
     def never_more_than_slots(self) -> None:
         """Requests in transit to the target or running on it never exceed its slots."""
-        assert len(self.at_target) <= slot_terms().slots
+        assert len(self.at_target) <= slot_limits().slots
 
 
 SlotHistory.TestCase.settings = settings(max_examples=120, stateful_step_count=40)
--- a/fireflyfork/platform/_configuration.py
+++ b/fireflyfork/platform/_configuration.py
@@ -6,7 +6,7 @@
 
 from .._errors import SettingsError
 from .._ids import ConfigurationVersion, QueueName, ServiceName
-from ..decisions.jobs import QueueTable, QueueTerms, queue_table
+from ..decisions.jobs import QueueConfiguration, QueueTable, queue_table
 
 
 class _Advice(msgspec.Struct):
@@ -49,8 +49,8 @@
     )
 
 
-def _queue(route: _Route) -> QueueTerms:
-    return QueueTerms(
+def _queue(route: _Route) -> QueueConfiguration:
+    return QueueConfiguration(
         name=QueueName(route.name),
         host=route.host,
         path_prefix=route.path_prefix,
--- a/fireflyfork/platform/_jobs.py
+++ b/fireflyfork/platform/_jobs.py
@@ -8,7 +8,7 @@
 
 from .._errors import BadRequestError
 from .._ids import JobId
-from ..decisions.jobs import JobSpec, JobState, QueueTerms, StepSpec
+from ..decisions.jobs import JobSpec, JobState, QueueConfiguration, StepSpec
 
 _JOB_ID = re.compile(r"[0-9a-f]{16}")
 
@@ -55,7 +55,7 @@
     return JobId(text) if _JOB_ID.fullmatch(text) else None
 
 
-def decode_job(body: bytes, job: JobId, queue: QueueTerms, now_ms: int) -> JobSpec:
+def decode_job(body: bytes, job: JobId, queue: QueueConfiguration, now_ms: int) -> JobSpec:
     """Decode a submitted job and give it the id ``job``. Raises BadRequestError if it is invalid."""
     try:
         request = msgspec.json.decode(body, type=_Job)
--- a/fireflyfork/programs/_executor_polls.py
+++ b/fireflyfork/programs/_executor_polls.py
@@ -325,7 +325,7 @@
     def _poll_wait(self, executor: ExecutorState) -> float:
         if executor.polled_at is None or executor.failed_polls or executor.unstored_ends:
             return 0.0
-        if self._scheduler.shed >= Shed.POLLS:
+        if self._scheduler.shed_level >= Shed.POLLS:
             return SHED_POLL_SECONDS
         has_serving_tasks = has_filling_tasks = False
         for run in executor.runs.values():
--- a/fireflyfork/programs/_job_requests.py
+++ b/fireflyfork/programs/_job_requests.py
@@ -19,7 +19,7 @@
 from ..decisions.jobs import (
     JobSpec,
     JobState,
-    QueueTerms,
+    QueueConfiguration,
     StoredFormatError,
     decode_progress,
     decode_stored_job,
@@ -76,7 +76,7 @@
         self._changed()
         return True
 
-    async def pending(self, queue: QueueTerms) -> int:
+    async def pending(self, queue: QueueConfiguration) -> int:
         """Return how many jobs of a queue wait for their first start; the count may be 2 s old."""
         self._refuse_without_store()
         item = await self._store.read(pending_key(queue.service))
--- a/fireflyfork/programs/_job_service.py
+++ b/fireflyfork/programs/_job_service.py
@@ -10,7 +10,7 @@
 from .._ids import JobId
 from .._verdict import Verdict
 from ..adapters import Exchange, Header, HttpError, HttpHandler, collect
-from ..decisions.jobs import QueueTable, QueueTerms
+from ..decisions.jobs import QueueConfiguration, QueueTable
 from ..platform import decode_job, encode_pending, encode_state, parse_job_id
 from ._clocks import Clock
 from ._job_requests import JobRequests
@@ -98,7 +98,7 @@
             )
 
     async def _handle_queue_request(
-        self, exchange: Exchange, queue: QueueTerms, subpath: str
+        self, exchange: Exchange, queue: QueueConfiguration, subpath: str
     ) -> None:
         method = exchange.head.method
         if not subpath and method == "GET":
@@ -116,7 +116,7 @@
         else:
             await exchange.answer_json(405, {"error": f"{method} is not allowed on a job"})
 
-    async def _submit(self, exchange: Exchange, queue: QueueTerms, job: JobId) -> None:
+    async def _submit(self, exchange: Exchange, queue: QueueConfiguration, job: JobId) -> None:
         try:
             received_body = collect(exchange.body(), MAX_BODY_BYTES)
             body = await self._time_left.wait(received_body, Verdict.NOT_RUN)
@@ -143,7 +143,7 @@
         else:
             await exchange.answer_json(410, {"error": "no such job"})
 
-    async def _pending(self, exchange: Exchange, queue: QueueTerms) -> None:
+    async def _pending(self, exchange: Exchange, queue: QueueConfiguration) -> None:
         count = await self._time_left.wait(self._requests.pending(queue), Verdict.NOT_RUN)
         await exchange.answer(200, encode_pending(count), (_JSON,))
 
--- a/fireflyfork/programs/_peer_service.py
+++ b/fireflyfork/programs/_peer_service.py
@@ -111,7 +111,7 @@
         return Pong(
             nonce,
             {group.contract.name: group.figures() for group in groups if group is not None},
-            {mark.target_id: mark.age_seconds for mark in targets.leaving.marks(now)},
+            {mark.target_id: mark.age_seconds for mark in targets.leaving.marks_for_peers(now)},
         )
 
     def handle_pong(self, member: MemberId, pong: Pong) -> None:
--- a/fireflyfork/programs/_request_flow.py
+++ b/fireflyfork/programs/_request_flow.py
@@ -18,7 +18,7 @@
     LinkBudget,
     RetryBudget,
     RetryDecision,
-    RetryTerms,
+    RetryLimits,
     Route,
     RouteInput,
     RouteKind,
@@ -105,7 +105,7 @@
         await self._attempts.run(self._group(request), request, body, sink, entry)
 
     def _budget(self, service: ServiceName) -> RetryBudget:
-        return self._budgets.get(service) or RetryBudget.full(RetryTerms())
+        return self._budgets.get(service) or RetryBudget.full(RetryLimits())
 
     def _pay_for_retry(self, request: ServiceRequest, failed: FailedAttempt) -> bool:
         budget = self._budget(request.service)
--- a/fireflyfork/programs/_service_journal.py
+++ b/fireflyfork/programs/_service_journal.py
@@ -152,7 +152,7 @@
         if pending is not None:
             self._stored_pending = pending
             self._pending_at = trio.current_time()
-        self._scheduler.note_stored()
+        self._scheduler.release_stored_ends()
         if executors is not None:
             self._scheduler.executors_stored(executors)
         self._confirmed(executors is not None)
--- a/fireflyfork/programs/_service_owner.py
+++ b/fireflyfork/programs/_service_owner.py
@@ -18,7 +18,7 @@
     ExecutorState,
     QueueTable,
     Scheduler,
-    SchedulerTerms,
+    SchedulerSettings,
     UpkeepWave,
     step_name,
 )
@@ -105,7 +105,7 @@
         self._retention = bounds.status_retention + RETENTION_MARGIN_SECONDS
         lease = min(LEASE_SECONDS, bounds.max_lease * MAX_LEASE_SHARE)
         unheard_seconds = MAX_UNCONFIRMED_SECONDS + lease + CLOCK_MARGIN_SECONDS
-        self._scheduler = Scheduler(SchedulerTerms(self._service, unheard_seconds, lease))
+        self._scheduler = Scheduler(SchedulerSettings(self._service, unheard_seconds, lease))
         self._journal = ServiceJournal(
             self._store, term, self._scheduler, self._note_journal_written
         )
@@ -276,8 +276,8 @@
 
     def _shed_load(self) -> None:
         """Skip or reduce deferrable work while the event loop is late."""
-        lag, previous = self._loop_time.lag, self._scheduler.shed
-        shed = self._scheduler.note_lag(lag)
+        lag, previous = self._loop_time.lag, self._scheduler.shed_level
+        shed = self._scheduler.update_shed_level(lag)
         if shed is previous:
             return
         self._metrics.count(
--- a/fireflyfork/programs/_target_attempts.py
+++ b/fireflyfork/programs/_target_attempts.py
@@ -114,7 +114,7 @@
     async def _carry_out(self, group: TargetGroup, target: OwnedTarget, attempt: _Attempt) -> None:
         started = trio.current_time()
         try:
-            with trio.move_on_after(target.ledger.terms.hold_seconds):
+            with trio.move_on_after(target.ledger.limits.hold_seconds):
                 await self._use_connection(target, attempt, group.contract.longest_run_seconds)
         except (HttpError, PeerError) as error:
             attempt.error = RequestError(502, str(error), attempt.verdict, retry_after=1.0)
--- a/fireflyfork/programs/_target_group.py
+++ b/fireflyfork/programs/_target_group.py
@@ -18,15 +18,15 @@
     AdmissionKind,
     AdmissionQueue,
     ConnectionId,
+    ConnectionLimits,
     ConnectionPool,
-    ConnectionTerms,
     Ownership,
     OwnTarget,
     RefusedRequest,
     ServiceTime,
     SlotLedger,
+    SlotLimits,
     SlotRefusal,
-    SlotTerms,
     WaitingRequest,
 )
 
@@ -153,8 +153,8 @@
             contract.longest_queue, self._queue.service_time, self._queue.waiting
         )
         for target in self._targets.values():
-            target.ledger = target.ledger.with_terms(
-                SlotTerms.from_contracts(target.contract, contract)
+            target.ledger = target.ledger.with_limits(
+                SlotLimits.from_contracts(target.contract, contract)
             )
 
     def add(
@@ -165,7 +165,7 @@
         ledger: SlotLedger,
     ) -> None:
         """Add a target that this entry has come to own."""
-        terms = ConnectionTerms(silence_seconds=self._contract.longest_run_seconds)
+        terms = ConnectionLimits(silence_seconds=self._contract.longest_run_seconds)
         self._targets[contract.target_id] = OwnedTarget(
             contract,
             partition,
--- a/fireflyfork/programs/_target_groups.py
+++ b/fireflyfork/programs/_target_groups.py
@@ -17,7 +17,7 @@
     Ownership,
     SlotHandover,
     SlotLedger,
-    SlotTerms,
+    SlotLimits,
     partition_of,
 )
 from ._ownership import OwnershipView
@@ -148,8 +148,8 @@
                 group.add(contract, partition, ownership, ledger)
             elif owned.contract != contract:
                 owned.contract = contract
-                terms = SlotTerms.from_contracts(contract, group.contract)
-                owned.ledger = owned.ledger.with_terms(terms)
+                terms = SlotLimits.from_contracts(contract, group.contract)
+                owned.ledger = owned.ledger.with_limits(terms)
 
     @staticmethod
     def _set_leaving(target: OwnedTarget, leaving: bool) -> None:
@@ -158,7 +158,7 @@
 
 
 def _new_ledger(group: TargetGroup, contract: TargetContract, ownership: Ownership) -> SlotLedger:
-    terms = SlotTerms.from_contracts(contract, group.contract)
+    terms = SlotLimits.from_contracts(contract, group.contract)
     now = trio.current_time()
     if ownership.acquired is Acquisition.FIRST:
         return SlotLedger(terms)
@@ -169,7 +169,7 @@
 
 
 def _handover(
-    occupied: tuple[OccupiedSlots, ...], target_id: TargetId, terms: SlotTerms
+    occupied: tuple[OccupiedSlots, ...], target_id: TargetId, terms: SlotLimits
 ) -> SlotHandover:
     handed = tuple(
         HandedOverSlot(None, slots.seconds)
--- a/fireflyfork/programs/tests/test_upkeep_duty.py
+++ b/fireflyfork/programs/tests/test_upkeep_duty.py
@@ -16,7 +16,7 @@
 
 from ..._ids import ExecutorId, LeaseId, NodeName, Revision, ServiceName
 from ...adapters import Put
-from ...decisions.jobs import ExecutorRoom, Scheduler, SchedulerTerms, UpkeepWave
+from ...decisions.jobs import ExecutorRoom, Scheduler, SchedulerSettings, UpkeepWave
 from ...decisions.jobs.tests.builders_jobs import registration
 from .._clocks import Clock
 from .._scheduling_keys import owner_key
@@ -54,7 +54,7 @@
             executor = StandInExecutor(NAME, SERVICE, room, store, history, random)
             machines = StandInMachines(SERVICE, {NAME: executor}, history, random)
             revision = store.apply({}, (Put(owner_key(SERVICE), b""),), ())
-            scheduler = Scheduler(SchedulerTerms(SERVICE, 8.0, 5.0))
+            scheduler = Scheduler(SchedulerSettings(SERVICE, 8.0, 5.0))
             # The executor wasn't polled yet, so it may still run tasks and its machine isn't
             # ordered down.
             scheduler.recover((), (registration(NAME),), (), 0.0, 0)
--- a/fireflyfork/tests/test_contract_codec.py
+++ b/fireflyfork/tests/test_contract_codec.py
@@ -12,7 +12,7 @@
 class ContractCodecTest(unittest.TestCase):
     """Small values are plain JSON, and large values are compressed."""
 
-    def test_both_forms_come_back(self) -> None:
+    def test_both_forms_round_trip(self) -> None:
         """Guards against a configuration, plain or compressed, that changes when it is read back.
 
         The configurations have 24 and 2,400 targets.
--- a/fireflyfork/tests/test_documents.py
+++ b/fireflyfork/tests/test_documents.py
@@ -11,7 +11,7 @@
 class DocumentsTest(unittest.TestCase):
     """Links and commands in the pages."""
 
-    def test_links_lead_somewhere(self) -> None:
+    def test_links_have_targets(self) -> None:
         """Guards against broken links after a page was moved or renamed."""
         pages = [*ROOT.glob("*.md"), *ROOT.glob("docs/**/*.md")]
         self.assertGreater(len(pages), 5)
--- a/fireflyfork/tests/test_known_red.py
+++ b/fireflyfork/tests/test_known_red.py
@@ -152,7 +152,7 @@
                 self.assertEqual(run.returncode, 0, run.stdout + run.stderr)
                 self._assert_closing_line(run, "1 passed, 0 failed, 0 skipped")
 
-    def test_a_module_or_class_that_does_not_come_up_cannot_be_listed(self) -> None:
+    def test_failed_modules_and_classes_cannot_be_listed(self) -> None:
         """Guards against one entry that hides the failures of all tests of a module or class."""
         self._write("test_typo.py", "import no_such_module\n")
         self._write(
@@ -173,7 +173,7 @@
                 self.assertIn(f"no test that ran has the id {identity}\n", run.stdout)
                 self._assert_closing_line(run, "2 passed, 2 failed, 1 skipped")
 
-    def test_fail_fast_goes_on_after_what_is_known(self) -> None:
+    def test_fail_fast_continues_after_known_failures(self) -> None:
         """Guards against ``--fail-fast`` stopping at a known failure before a new one."""
         self._list(*_ALL_RED)
         run = self._run("--fail-fast")
--- a/fireflyfork_standins/scheduling/_day.py
+++ b/fireflyfork_standins/scheduling/_day.py
@@ -20,7 +20,7 @@
     ExecutorRoom,
     JobSpec,
     JobState,
-    QueueTerms,
+    QueueConfiguration,
     StepSpec,
     UpkeepWave,
     queue_table,
@@ -135,7 +135,7 @@
         self._machines = StandInMachines(SERVICE, self._executors, self._history, self._random)
         self._history.checks_budgets = not (profile.troubles or profile.planned_troubles)
         self._history.listing_counts = profile.listing_counts
-        queue = QueueTerms(QueueName("q"), "h", "/q/", SERVICE, 0, 3, 2.0, 1000, 3000)
+        queue = QueueConfiguration(QueueName("q"), "h", "/q/", SERVICE, 0, 3, 2.0, 1000, 3000)
         table = queue_table(ConfigurationVersion(1), (queue,), frozenset({SERVICE}))
         longest = profile.max_lease_seconds
         bounds = PlatformBounds(longest, 0.2, 6.0, profile.retention_seconds, 2.5)
--- a/fireflyfork_standins/tests/builders_takeovers.py
+++ b/fireflyfork_standins/tests/builders_takeovers.py
@@ -19,7 +19,7 @@
     ExecutorRoom,
     JobSpec,
     JobState,
-    QueueTerms,
+    QueueConfiguration,
     StepSpec,
     queue_table,
 )
@@ -36,7 +36,7 @@
 )
 
 SERVICE = ServiceName("desk")
-QUEUE = QueueTerms(QueueName("q"), "h", "/q/", SERVICE, 0, 3, 2.0, 1000, 3000)
+QUEUE = QueueConfiguration(QueueName("q"), "h", "/q/", SERVICE, 0, 3, 2.0, 1000, 3000)
 BOUNDS = PlatformBounds(6.0, 0.2, 6.0, 120.0, 2.5)
 LINK_MBPS = 1000.0
 CHECK_INTERVAL_SECONDS = 0.0005
