--- a/fireflyfork/decisions/_routing.py
+++ b/fireflyfork/decisions/_routing.py
@@ -129,7 +129,7 @@
     bytes_per_second: float
     burst_seconds: float = 1.0
     debt_bytes: float = 0.0
-    """Bytes sent that the rate had not yet paid back at ``spent_at``."""
+    """Bytes sent that the rate had not yet paid back at ``debt_at``."""
     debt_at: float = 0.0
 
     def allows(self, size: int, now: float) -> bool:
