--- a/fireflyfork/adapters/_advisor.py
+++ b/fireflyfork/adapters/_advisor.py
@@ -26,7 +26,7 @@
 
 
 class NoAdvisor(Advisor):
-    """The advisor for platforms without one; it never gives advice."""
+    """Used on platforms without an advisor; it never gives advice."""
 
     async def advise(self, step: str, executors: tuple[ExecutorId, ...]) -> Advice | None:
         """Return None: no advisor exists."""
--- a/fireflyfork/adapters/_loop_profile.py
+++ b/fireflyfork/adapters/_loop_profile.py
@@ -1,4 +1,4 @@
-"""Measures what the event loop spends its processor time on.
+"""Measures the processor time of the event loop by activity.
 
 Recording each step of each task costs about as much as the loop itself, so it is done only for short periods
 from time to time.
@@ -16,7 +16,7 @@
 EVENT_LOOP = "event loop"
 """The activity for the event loop's own work, such as choosing the next task to run."""
 _WAITING = "waiting"
-"""The activity for waiting on I/O. It isn't reported: with a wall clock, it is the time in which the loop is idle."""
+"""The activity for waiting on I/O. It isn't reported: if ``clock`` is a wall clock, it is the idle time of the loop."""
 
 
 class LoopProfile(trio.abc.Instrument):
--- a/fireflyfork/adapters/_machines.py
+++ b/fireflyfork/adapters/_machines.py
@@ -27,7 +27,7 @@
 
 
 class NoMachines(MachineCalls):
-    """The machine service for platforms without one; it lists no machines."""
+    """Used on platforms without a machine service; it lists no machines."""
 
     async def list(self) -> tuple[MachineListing, ...] | None:
         """Return None: no machine service exists."""
--- a/fireflyfork/adapters/_peer_connection.py
+++ b/fireflyfork/adapters/_peer_connection.py
@@ -170,7 +170,7 @@
         return self._scope
 
     def abort(self) -> None:
-        """Also cancel the handler, since nobody waits for the answer any more."""
+        """Also cancel the handler, since the answer is no longer needed."""
         super().abort()
         self._scope.cancel()
 
--- a/fireflyfork/adapters/_peer_messages.py
+++ b/fireflyfork/adapters/_peer_messages.py
@@ -72,7 +72,7 @@
     figures: dict[str, ServiceFigures]
     """The figures by service."""
     leaving: dict[str, float]
-    """The targets that the sender knows to be leaving, and for how many seconds it has known."""
+    """The targets that are leaving, with the seconds since the sender was informed of it."""
 
 
 class Forward(Message, frozen=True):
--- a/fireflyfork/adapters/_platform.py
+++ b/fireflyfork/adapters/_platform.py
@@ -62,7 +62,7 @@
 
     @abstractmethod
     async def report(self, region: RegionName, cursor: int, wait_seconds: float) -> PlatformReport:
-        """Return what changed in a region since ``cursor``, waiting up to ``wait_seconds`` for a change.
+        """Return the changes in a region since ``cursor``, waiting up to ``wait_seconds`` for a change.
 
         With cursor 0, the report contains the latest state of every attempt that the platform still keeps.
         """
--- a/fireflyfork/adapters/_relay_client.py
+++ b/fireflyfork/adapters/_relay_client.py
@@ -44,7 +44,7 @@
 ORDER_SECONDS = 1.0
 """The loop time that an order may take: the timeout that the relay applies to the executor, plus the round trip."""
 ROUND_TRIP_SECONDS = 0.4
-"""The time allowed for a call's way to the relay and the reply's way back, beyond the time of the call itself."""
+"""The time allowed to send a call to the relay and to receive its reply, beyond the time of the call itself."""
 PING_SECONDS = 0.4
 SILENT_SECONDS = 1.0
 """The loop time without a message from a relay after which it gets no new calls: it may be frozen, or behind a
--- a/fireflyfork/adapters/_relay_traffic.py
+++ b/fireflyfork/adapters/_relay_traffic.py
@@ -12,7 +12,7 @@
     """The bytes that owners on this instance exchange with relays, by the failure domain of the relay."""
 
     def __init__(self) -> None:
-        """Start with no failure domain."""
+        """Start without counters; ``of`` creates the counter of a failure domain."""
         self._domains: dict[FailureDomainName, StreamTraffic] = {}
 
     @property
--- a/fireflyfork/adapters/_replica_server.py
+++ b/fireflyfork/adapters/_replica_server.py
@@ -21,7 +21,7 @@
 """The limit for unacknowledged data, chosen long enough for a follower behind a saturated link."""
 IDLE_SECONDS = 30.0
 """The time without a query after which the connection is closed. A follower sends its next query as soon as it gets
-an answer, so a longer pause means that the follower has gone or that the connection is dead, which nothing else
+an answer, so a longer pause means that the follower has ended or that the connection is dead, which nothing else
 would reveal."""
 
 
--- a/fireflyfork/operations/_job_account.py
+++ b/fireflyfork/operations/_job_account.py
@@ -173,7 +173,10 @@
 
 
 def late_jobs_by_phase(accounts: Iterable[JobAccount]) -> dict[float, dict[Cause, int]]:
-    """Count late jobs by main cause, for each phase of acceptance, keyed by its first second."""
+    """Count late jobs by main cause, for each interval of ``PHASE_SECONDS`` of their acceptance.
+
+    The keys are the starts of the intervals in seconds since the first log line.
+    """
     phases: dict[float, dict[Cause, int]] = defaultdict(lambda: defaultdict(int))
     for account in accounts:
         if account.late:
--- a/fireflyfork/operations/_rules.py
+++ b/fireflyfork/operations/_rules.py
@@ -28,7 +28,7 @@
 
 
 def values_of_domain(configuration: Configuration, domain: str) -> Iterator[LocatedValue[Any]]:
-    """Return the values of a domain; ``[*]`` matches each element, and None is left out."""
+    """Return the values of a domain; ``[*]`` matches each element, and None is skipped."""
     selected = [LocatedValue("", configuration)]
     for step in domain.split("."):
         selected = [nested for container in selected for nested in _step(container, step)]
--- a/fireflyfork/operations/_unusual.py
+++ b/fireflyfork/operations/_unusual.py
@@ -60,9 +60,10 @@
 def _outlier_of_field(
     name: str, before: tuple[TargetContract, ...], after: tuple[TargetContract, ...]
 ) -> Iterator[Violation]:
-    """Yield the only target with a new value, if all targets of the service had one value before.
+    """Yield a violation if exactly one target has a new value of the field.
 
-    With fewer than three targets, no value counts as usual, so none is reported.
+    All targets of the service must have had the same value before. With fewer than three targets,
+    no value counts as usual, so none is reported.
     """
     usual_values = {getattr(target, name) for target in before}
     outliers = [target for target in after if getattr(target, name) not in usual_values]
--- a/fireflyfork/platform/_http_calls.py
+++ b/fireflyfork/platform/_http_calls.py
@@ -33,7 +33,7 @@
     async def call(
         self, method: str, target: str, body: bytes, headers: tuple[Header, ...]
     ) -> CallAnswer:
-        """Make one call. Raises HttpError."""
+        """Send a JSON request over the connection and return its response. Raises HttpError."""
         head, answer = await self._exchange(method, target, (_JSON, *headers), body)
         return CallAnswer(head.status, answer)
 
--- a/fireflyfork/platform/_registrations.py
+++ b/fireflyfork/platform/_registrations.py
@@ -64,7 +64,7 @@
         draining=entry.state == _DRAINING,
         room=ExecutorRoom(entry.room.cpu, entry.room.mem_mb, entry.room.gpu),
         labels=frozenset(entry.labels),
-        # The first label is the kind of the executor, the second one its rack.
+        # The first label is the kind of the executor, the second label its rack.
         rack=entry.labels[1] if len(entry.labels) > 1 else "",
         incarnation=entry.born,
     )
--- a/fireflyfork/programs/_announcements.py
+++ b/fireflyfork/programs/_announcements.py
@@ -28,8 +28,8 @@
 A thin link remains thin. If this were shorter than the slowest recovery, equally slow instances
 would pass the service on forever, each before its recovery completes."""
 FAILURE_PENALTY_FACTOR = 0.2
-"""Factor of its strength during that time: it wins a service only when hardly any other instance
-can."""
+"""Factor applied to the strength of an instance during that time. The instance wins a service only
+when hardly any other instance can."""
 
 
 class _Record(msgspec.Struct, frozen=True):
@@ -58,11 +58,11 @@
         relay: Address | None = None,
         replica: Address | None = None,
     ) -> None:
-        """Set up; ``run`` starts announcing.
+        """Set up the announcements; ``run`` starts them.
 
-        ``processors`` and ``link_mbps`` are the platform's limits for this instance. ``relay`` is
-        the address at which it makes calls to executors for other instances, ``replica`` the
-        address at which it serves its replica of the operator's keys.
+        ``processors`` and ``link_mbps`` are the platform's limits for this instance.
+        ``relay_address`` is where this instance accepts calls to executors for other instances,
+        ``replica_address`` where it serves its replica of the operator's keys.
         """
         self._node = node
         self._processors = processors
@@ -150,7 +150,10 @@
         )
 
     async def run(self) -> None:
-        """Announce until cancelled. While the store is away, no instance can announce or bid."""
+        """Announce this instance in the store until cancelled.
+
+        While the store is unavailable, no instance can announce itself or bid for an ownership.
+        """
         lease: LeaseId | None = None
         announced: _Record | None = None
         while True:
--- a/fireflyfork/programs/_decision_log.py
+++ b/fireflyfork/programs/_decision_log.py
@@ -53,7 +53,7 @@
         self._skipped = 0
 
     def write(self, notes: list[Note]) -> None:
-        """Count all notes, and log those in the sample up to the limit."""
+        """Count all notes, and log the sampled notes up to the limit."""
         for note in notes:
             count_decision(self._metrics, note)
             self._begin_second()
--- a/fireflyfork/programs/_executor_polls.py
+++ b/fireflyfork/programs/_executor_polls.py
@@ -44,10 +44,10 @@
 An executor lists an end again until it is stored, so an earlier poll would return at once. While
 the store is away, polls continue at this interval."""
 END_BATCH_SECONDS = 0.05
-"""Delay after ends of runs before the next poll, to receive several ends with one paid poll.
+"""Delay of the next poll after an answer that lists ends of runs.
 
-The tasks of a step end close together. The delay costs a job a tenth of the smallest slack that its
-objective leaves."""
+The tasks of a step end close together, and each poll is paid for, so one poll should return several
+ends. A job with the tightest objective loses a tenth of its slack by the delay."""
 MIN_RETRY_SECONDS = 0.05
 MAX_RETRY_SECONDS = 0.8
 MAX_RETRY_DOUBLINGS = 10
@@ -76,8 +76,9 @@
 MAX_UNCONFIRMED_SECONDS = 2.5
 """Time without confirmed ownership after which the owner stops renewing leases.
 
-The store confirms the ownership. If the owner went on without it, its successor could never tell
-when a task has ended on an executor that only the old owner reaches."""
+The store confirms the ownership. If the owner renewed leases without that confirmation, its
+successor could never determine when a task has ended on an executor that only the old owner
+reaches."""
 
 
 @dataclass(slots=True, eq=False)
@@ -146,9 +147,9 @@
         """Resume polling an executor unless it is idle, after its registration changed or it
         restarted.
 
-        Nothing else would resume a paused loop. A restarted executor would never be asked what it
-        runs, and would get no task. An executor that left would stay known, and successors would
-        wait for it.
+        Nothing else would resume a paused loop. The runs of a restarted executor would never be
+        queried, and it would get no task. An executor that was shut down would stay registered with
+        the owner, and successors would wait for it.
         """
         if not self._idle(executor):
             # Registrations are written every 1.5 s, and each poll is paid for.
@@ -233,7 +234,7 @@
         timeout: float,
         fresh: bool = False,
     ) -> bool:
-        """Send a poll and process its answer. Return whether there was one."""
+        """Send a poll and process its answer. Return whether an answer arrived."""
         forgettable_end = executor.forgettable_end
         registration = executor.registration
         answer = await self._calls.poll(
--- a/fireflyfork/programs/_external_clients.py
+++ b/fireflyfork/programs/_external_clients.py
@@ -26,7 +26,7 @@
     advisor: Advisor
     machines: MachineCalls
     loop_time: LoopTime
-    """Clock by which calls are judged to be late."""
+    """Clock for the timeouts of calls, which excludes delays of this process's own event loop."""
     relay_calls: Callable[[], ExecutorCalls]
     """Creates a client of executors for the calls of one owner on another instance."""
     loop_profile: LoopProfile = field(default_factory=LoopProfile)
--- a/fireflyfork/programs/_key_copies.py
+++ b/fireflyfork/programs/_key_copies.py
@@ -249,7 +249,7 @@
     """Holds copies of the key tables of the homes that this entry guards."""
 
     def __init__(self, ownership: OwnershipView) -> None:
-        """Start without copies; ``ownership`` tells which members this entry guards."""
+        """Start without copies; ``ownership`` provides the members that this entry guards."""
         self._ownership = ownership
         self._copies: dict[tuple[MemberId, PartitionId], _Copy] = {}
         self._record: FleetRecord | None = None
--- a/fireflyfork/programs/_key_home.py
+++ b/fireflyfork/programs/_key_home.py
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Refusal:
-    """The answer to a request that is refused because of its key."""
+    """The error answer to a request that may not run again, or not under its key."""
 
     status: int
     reason: str
@@ -109,7 +109,7 @@
         self._nursery: trio.Nursery | None = None
 
     def attach(self, nursery: trio.Nursery) -> None:
-        """Run requests in ``nursery``, so that they continue after their callers have left."""
+        """Run requests in ``nursery``, so that they continue after their callers have disconnected."""
         self._nursery = nursery
 
     @property
--- a/fireflyfork/programs/_key_table_transfer.py
+++ b/fireflyfork/programs/_key_table_transfer.py
@@ -64,7 +64,7 @@
         self._nursery = nursery
 
     def apply_ownership(self) -> None:
-        """Apply a change of ownership: send the tables of lost partitions, await the others."""
+        """Apply a change of ownership: send tables of lost partitions, await acquired ones."""
         change = self._home.set_partitions(self._ownership.owned_partitions())
         for partition in change.lost:
             self._hand_over(partition)
--- a/fireflyfork/programs/_loop_report.py
+++ b/fireflyfork/programs/_loop_report.py
@@ -1,4 +1,4 @@
-"""Reports what an instance's processor time, store calls and transferred bytes are used for."""
+"""Reports an instance's processor time by activity, its store calls and its transferred bytes."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
             self.report(trio.current_time() - started_at)
 
     def report(self, looked_seconds: float) -> None:
-        """Log what has been used since the last report, of which ``looked_seconds`` were profiled."""
+        """Log the resource use since the last report; ``profiled_seconds`` of it were profiled."""
         spent = dict(self._profile.seconds_by_activity)
         seconds = {name: spent[name] - self._reported_spent.get(name, 0.0) for name in spent}
         logger.info(
--- a/fireflyfork/programs/_membership.py
+++ b/fireflyfork/programs/_membership.py
@@ -71,9 +71,9 @@
 
     timing: MembershipTiming = field(default_factory=MembershipTiming)
     key: str = FLEET_KEY
-    """The store key of the fleet record; each kind of process has a record of its own."""
+    """The store key of the fleet record; each kind of process has its own record."""
     partitions_per_region: int = 32
-    """Used only by the first member, which creates the record."""
+    """The number of partitions per region in a new fleet record, which the first member creates."""
     tick_seconds: float = 0.2
     store_timeout_seconds: float = 1.0
     """The time after which a call to the store counts as unanswered."""
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """A member's view of the fleet at one time, passed to those that follow changes."""
+    """A member's view of the fleet at one time, passed to the listener after each change."""
 
     member_id: MemberId
     """This process's current member id; it changes when the process rejoins after a fence."""
@@ -186,7 +186,7 @@
         return may_dispatch(self._state, partition, self._clock())
 
     def owner_of(self, partition: PartitionId) -> Member | None:
-        """Return the member that owns a partition, or None if no member or a fenced one does."""
+        """Return the member that owns a partition, or None if no member or a fenced member does."""
         record = self._state.record
         owner = record.owner_of(partition)
         return record.members.get(owner) if owner is not None else None
@@ -364,7 +364,7 @@
                 self._start(partial(self._offer, peer, offer))
 
     def _peer(self, name: MemberId) -> Member | None:
-        """Return a current member or a fenced one, which must learn that it is fenced."""
+        """Return a current or fenced member; a fenced member must be notified of its fence."""
         record = self._state.record
         fenced = record.fenced.get(name)
         return fenced.member if fenced is not None else record.members.get(name)
--- a/fireflyfork/programs/_queue_keeper.py
+++ b/fireflyfork/programs/_queue_keeper.py
@@ -48,7 +48,7 @@
         upstreams: Upstreams | None = None,
         peers: ReplicaPeers | None = None,
     ) -> None:
-        """Set up; ``run`` starts following.
+        """Set up the keeper; ``run`` starts it.
 
         ``changed`` is called with each newer version of the configuration, which has to be in force
         within ``bound_seconds``. The clock ``now`` must also advance while the instance is
@@ -87,7 +87,7 @@
         """Whether this instance has every version that must be in force by now.
 
         A large version takes time over a full link, and an instance that gets no answer from the
-        store receives none. Such an instance can't tell that a queue doesn't exist.
+        store receives none. Such an instance can't determine that a queue doesn't exist.
         """
         outdated_seconds = self._now() - self._replica.known_at
         return outdated_seconds <= CURRENT_SHARE * self._bound_seconds
--- a/fireflyfork/programs/_recovery_reads.py
+++ b/fireflyfork/programs/_recovery_reads.py
@@ -26,7 +26,7 @@
     """State that earlier owners, callers and executors have stored."""
 
     last_known: tuple[ExecutorRegistration, ...]
-    """The executors that an earlier owner knew."""
+    """The executors that an earlier owner stored."""
     learned: tuple[LearnedFit, ...]
     work: StoreListing
     """The keys of owners, jobs and cancellations."""
@@ -39,7 +39,7 @@
 
     Sequential calls made recovery seven round trips long: a third of a second in another region,
     and three seconds with a store that is a hundred times slower than usual. A part that was read
-    isn't read again because another one failed. No earlier owner can change the state in the
+    isn't read again because another part failed. No earlier owner can change the state in the
     meantime, because its writes are conditional on its own owner key, which no longer exists.
     """
     opened = _Reading("journal", journal.open)
--- a/fireflyfork/programs/_replica_follower.py
+++ b/fireflyfork/programs/_replica_follower.py
@@ -42,7 +42,7 @@
 It may itself be switching to the store. The silence of an upstream is tolerated for most of the
 time within which a change has to be in force, but only once."""
 CHOOSE_SECONDS = 0.5
-"""Maximum time to look for other upstreams, during which no upstream is asked for changes.
+"""Maximum time to look for other upstreams, during which no upstream is queried for changes.
 
 A search that takes longer than a few round trips to the store is left for the next review."""
 START_SECONDS = 1.5
@@ -56,7 +56,7 @@
 
 
 class Upstreams(ABC):
-    """The instances that this one may follow."""
+    """The instances whose replicas this instance may follow."""
 
     @abstractmethod
     async def choose(self) -> tuple[ReplicaEndpoint, ...]:
@@ -94,9 +94,9 @@
         now: Callable[[], float],
         stale_seconds: float,
     ) -> None:
-        """Set up; ``run`` starts following.
+        """Set up the follower; ``run`` starts it.
 
-        An upstream is left when its answers have been out of date for ``stale_seconds``. Without
+        The follower leaves an upstream whose answers have been out of date for ``stale_seconds``. Without
         ``peers``, only the store is followed.
         """
         self._replica = replica
@@ -138,7 +138,7 @@
                 await self._follow_first_usable(await self._choose(self._chosen), self._peers)
 
     async def _get_first_state(self, peers: ReplicaPeers) -> None:
-        """Get the first state from another instance if one is available or may be soon."""
+        """Get the first state from another instance, if any is available or may be soon."""
         deadline = self._now() + START_SECONDS
         self._chosen = await self._upstreams.choose()
         while not self._replica.as_of and self._now() < deadline:
--- a/fireflyfork/programs/_run_orders.py
+++ b/fireflyfork/programs/_run_orders.py
@@ -29,12 +29,12 @@
 MAX_ORDERS_PER_EXECUTOR = 6
 """Maximum number of concurrent orders to one executor, in addition to the poll.
 
-An executor accepts 64 connections in total, and starts are sent in groups of at most the tasks of a
-step."""
+An executor accepts 64 connections in total. Starts arrive in bursts of up to the number of tasks of
+a step."""
 MAX_CONCURRENT_STARTS = 64
 """Maximum number of concurrent starts.
 
-Concurrent calls all finish when the last one does. With more of them, an owner that is short of
+Concurrent calls all finish when the last call does. With more calls, an owner that is short of
 processor time would exceed the start deadline of each."""
 
 
--- a/fireflyfork/programs/_scheduling_keys.py
+++ b/fireflyfork/programs/_scheduling_keys.py
@@ -7,9 +7,9 @@
 _ROOT = "fireflyfork/"
 
 WORK_PREFIX = f"{_ROOT}work/"
-"""Prefix of owners, jobs and cancellations.
+"""Prefix of the keys of owners, jobs and cancellations.
 
-They share a prefix so that a watch reports a change of owner before any job that was accepted after
+These keys share a prefix so that a watch reports a change of owner before any job that was accepted after
 it."""
 JOB_PREFIX = f"{WORK_PREFIX}job/"
 CANCEL_PREFIX = f"{WORK_PREFIX}cancel/"
@@ -21,60 +21,60 @@
 
 
 def instance_key(node: NodeName) -> str:
-    """Key of the announcement of one instance."""
+    """Return the key of an instance's announcement."""
     return f"{INSTANCE_PREFIX}{node}"
 
 
 def upkeep_prefix(wave: int) -> str:
-    """Prefix of the progress of all machines in one wave of upkeep."""
+    """Return the prefix of the progress of all machines in a wave of upkeep."""
     return f"{UPKEEP_PREFIX}{wave}/"
 
 
 def upkeep_key(wave: int, machine: MachineId) -> str:
-    """Key of the progress of one machine in a wave of upkeep."""
+    """Return the key of the progress of a machine in a wave of upkeep."""
     return f"{upkeep_prefix(wave)}{machine}"
 
 
 def owner_key(service: ServiceName) -> str:
-    """Key of the owner of a service; removed with the owner's lease."""
+    """Return the key of the owner of a service, which is removed with the owner's lease."""
     return f"{WORK_PREFIX}owner/{service}"
 
 
 def term_key(service: ServiceName) -> str:
-    """Key of the number of owners that a service has had."""
+    """Return the key of the number of owners that a service has had."""
     return f"{_ROOT}term/{service}"
 
 
 def journal_key(service: ServiceName) -> str:
-    """Key of the number of the owner's last write, which orders its writes."""
+    """Return the key of the number of the owner's last write, which orders its writes."""
     return f"{_ROOT}journal/{service}"
 
 
 def executors_key(service: ServiceName) -> str:
-    """Key of the executors that the owner knows, for its successor."""
+    """Return the key of the list of the owner's executors, stored for its successor."""
     return f"{_ROOT}executors/{service}"
 
 
 def learned_key(service: ServiceName) -> str:
-    """Key of what the owner has learned about interference between images, for its successor."""
+    """Return the key of the learned interference between images, stored for the next owner."""
     return f"{_ROOT}learned/{service}"
 
 
 def pending_key(service: ServiceName) -> str:
-    """Key of the number of jobs in each queue that wait for their first start."""
+    """Return the key of the number of jobs in each queue that wait for their first start."""
     return f"{_ROOT}pending/{service}"
 
 
 def job_key(job: JobId) -> str:
-    """Key of a job as it was accepted."""
+    """Return the key of a job's specification, which is stored when the job is accepted."""
     return f"{JOB_PREFIX}{job}"
 
 
 def cancel_key(job: JobId) -> str:
-    """Key that exists once a job has been cancelled."""
+    """Return the key that exists once a job has been cancelled."""
     return f"{CANCEL_PREFIX}{job}"
 
 
 def progress_key(job: JobId) -> str:
-    """Key of a job's progress, written by the owner of its service."""
+    """Return the key of a job's progress, which the owner of its service writes."""
     return f"{PROGRESS_PREFIX}{job}"
--- a/fireflyfork/programs/_service_journal.py
+++ b/fireflyfork/programs/_service_journal.py
@@ -1,4 +1,4 @@
-"""Stores what the owner of a service has learned and decided, in order."""
+"""Stores the decisions and the learned interference of a service's owner, in order."""
 
 from __future__ import annotations
 
@@ -39,17 +39,18 @@
 """Maximum number of jobs in one write.
 
 A transaction takes 32 rows. The two conditions, the journal's number, the pending counts, the known
-executors and what was learned use six of them."""
+executors and the learned interference use six of them."""
 MAX_JOBS_PER_REMOVAL = 10
 """Maximum number of jobs in one removal, with three keys each, within the same 32 rows."""
 WRITE_BATCH_SECONDS = 0.025
-"""Time during which changes are collected into one write: a store call takes 4 ms, and calls are
-paid for."""
+"""How long changes are collected before they are written together.
+
+Each call to the store takes 4 ms and is paid for."""
 RETRY_SECONDS = 0.1
 PENDING_INTERVAL_SECONDS = 0.5
 """Minimum interval between writes of the counts of waiting jobs, which may be up to 2 s old."""
 LEARNED_INTERVAL_SECONDS = 2.0
-"""Minimum interval between writes of what was learned, which go out with other writes.
+"""Minimum interval between writes of the learned interference, which are added to other writes.
 
 The value is about 3 KB, and two more seconds of observations hardly change any learned effect."""
 
@@ -78,7 +79,7 @@
     ) -> None:
         """Set up the journal; ``open`` must be called before the first write.
 
-        ``confirmed`` is called after each write, with True if the write stored executors, which may
+        ``on_written`` is called after each write, with True if the write stored executors, which may
         then get runs.
         """
         self._store = store
@@ -106,7 +107,7 @@
         return executors if executors is not None else ()
 
     async def last_learned(self) -> tuple[LearnedFit, ...]:
-        """Return what an earlier owner had learned. Raises StoreError."""
+        """Return the learned interference that an earlier owner stored. Raises StoreError."""
         learned = await self._read_stored_value(learned_key(self._term.service), decode_learned)
         return learned if learned is not None else ()
 
@@ -184,7 +185,7 @@
     async def _read_stored_value(
         self, key: str, decode: Callable[[bytes], _Value]
     ) -> _Value | None:
-        """Return what an earlier owner stored under a key, or None if missing or not readable."""
+        """Return the value stored by an earlier owner, or None if it is missing or unreadable."""
         item = await self._store.read(key)
         if item is None:
             return None
--- a/fireflyfork/programs/_service_lease.py
+++ b/fireflyfork/programs/_service_lease.py
@@ -58,7 +58,7 @@
 
     @property
     def token(self) -> FencingToken:
-        """Fencing token, which rises with each change of owner. Executors obey the highest one.
+        """Fencing token, which rises with each change of owner. Executors obey the highest token.
 
         It is a revision of the store.
         """
--- a/fireflyfork/programs/_service_owner.py
+++ b/fireflyfork/programs/_service_owner.py
@@ -42,12 +42,12 @@
 from ._work_intake import WorkIntake
 
 LEASE_SECONDS = 5.0
-"""How long executors continue runs without hearing from an owner.
+"""How long executors continue runs after the last renewal by an owner.
 
 The lease has to outlast a change of owner, about 2 s, and an outage of the store of 4 or 5 s. Tasks
-on an executor that is cut off can't run elsewhere before it ends."""
+on an executor that is cut off can't run elsewhere before the lease ends."""
 MAX_LEASE_SHARE = 0.95
-"""Limits the lease to this share of the platform's longest lease."""
+"""Maximum lease of executors, as a share of the longest lease that the platform allows."""
 CLOCK_MARGIN_SECONDS = 0.5
 """Margin for the clocks of executors, which may be 2% slow."""
 HAND_OVER_SECONDS = 0.6
@@ -64,10 +64,10 @@
 PROOF_RETRY_SECONDS = 0.5
 """Interval of attempts to read the owner key while the store doesn't answer; calls are paid for."""
 ROUND_REST_FACTOR = 3.0
-"""Length of the rest after a round of placing, as a multiple of the round's own length.
+"""Pause after a round of placing, as a multiple of the duration of the round.
 
-Rounds thus take at most a quarter of the loop's time. Changes during the rest are handled together
-in the next round."""
+Rounds thus take at most a quarter of the loop's time. Changes during the pause are handled
+together in the next round."""
 MAX_ROUND_REST_SECONDS = 0.03
 
 
@@ -167,7 +167,7 @@
         return self._scheduler
 
     def request_dispatch(self) -> None:
-        """Request a round of placing and sending of orders, after a change."""
+        """Wake the dispatch loop after a change, to place tasks and send orders."""
         self._dispatch_requested.set()
 
     def configure(self, queues: QueueTable) -> None:
--- a/fireflyfork/programs/_sinks.py
+++ b/fireflyfork/programs/_sinks.py
@@ -26,7 +26,7 @@
     """Receives one answer: its head, the parts of its body, and its end."""
 
     def __init__(self) -> None:
-        """Start without an answer."""
+        """Set up the sink; no part of an answer has been received yet."""
         self._started = False
         self._ended = False
 
@@ -128,7 +128,7 @@
 class DetachableSink(AnswerSink):
     """Passes an answer on until the receiver is detached or fails, and discards the rest.
 
-    An executor's answer is read to its end even if no receiver is left, since the executor's slot
+    An executor's answer is read to its end even if there is no receiver any more, since the executor's slot
     is busy until then.
     """
 
--- a/fireflyfork/programs/_stored_record.py
+++ b/fireflyfork/programs/_stored_record.py
@@ -19,7 +19,7 @@
 )
 
 _WATCH_GRACE_SECONDS = 5.0
-"""Time beyond its own timeout after which a watch call counts as unanswered."""
+"""Time beyond the timeout of a watch call after which the call counts as unanswered."""
 
 
 class StoredRecord:
--- a/fireflyfork/programs/_succession.py
+++ b/fireflyfork/programs/_succession.py
@@ -37,7 +37,7 @@
         calls: RelayedExecutors,
         executors: Callable[[], int],
     ) -> None:
-        """Set up; no call is made.
+        """Set up without making a call.
 
         ``calls`` are sent through the chosen relays; ``executors`` returns the number of executors.
         """
--- a/fireflyfork/programs/_target_attempts.py
+++ b/fireflyfork/programs/_target_attempts.py
@@ -36,7 +36,7 @@
 
 
 class _SilentConnectionError(HttpError):
-    """No answer arrived although the executor must have ended the request."""
+    """Raised if no answer arrives although the executor must have ended the request."""
 
 
 @dataclass(slots=True, eq=False)
--- a/fireflyfork/programs/_target_group.py
+++ b/fireflyfork/programs/_target_group.py
@@ -224,7 +224,7 @@
         self._queue = self._queue.answered(seconds, trio.current_time())
 
     def assign_slots(self) -> None:
-        """Assign free slots to waiting requests, and refuse those that can't be served in time."""
+        """Assign free slots to waiting requests, and refuse requests that can't be served in time."""
         now = trio.current_time()
         self._queue, refused = self._queue.expire(now)
         self._settle_refused(refused)
@@ -285,7 +285,7 @@
     def seconds_to_first_slot(self) -> float:
         """Return the seconds until a slot is certain to be free, or 0 if slots become free sooner.
 
-        It is 0 while any slot becomes free as requests are answered.
+        The result is 0 while any slot becomes free as requests are answered.
         """
         if self._usable_slots() > 0:
             return 0.0
--- a/fireflyfork/programs/_unstored_changes.py
+++ b/fireflyfork/programs/_unstored_changes.py
@@ -30,7 +30,7 @@
         return self._stored
 
     def __len__(self) -> int:
-        """Return the number of waiting changes, without those that were taken to be stored."""
+        """Return the number of waiting changes, without the changes taken to be stored."""
         return len(self._waiting)
 
     def append(self, changes: Iterable[DurableChange]) -> None:
--- a/fireflyfork/programs/_upkeep_duty.py
+++ b/fireflyfork/programs/_upkeep_duty.py
@@ -52,7 +52,7 @@
         clock: Clock,
         waves: Callable[[], tuple[UpkeepWave, ...]],
     ) -> None:
-        """Set up; ``waves`` returns the waves that the operator requested."""
+        """Set up the duty; ``waves`` returns the waves of upkeep that the operator requested."""
         self._store = store
         self._machines = machines
         self._scheduler = scheduler
--- a/fireflyfork/programs/tests/builders_store.py
+++ b/fireflyfork/programs/tests/builders_store.py
@@ -13,7 +13,7 @@
 
 
 class Fault(Enum):
-    """What goes wrong with one call."""
+    """A fault of one call to the store."""
 
     NONE = "none"
     REFUSED = "refused"
@@ -33,7 +33,7 @@
         self.faults = deque(faults)
         self.values: dict[str, StoredValue] = {}
         self.after_next_call: Callable[[], Awaitable[None]] | None = None
-        """Run once, right after the next call took effect: what another operator does."""
+        """Called once, right after the next call took effect, to simulate another operator."""
         self._revision = 0
 
     async def read(self, key: str) -> StoredValue | None:
