--- a/fireflyfork/adapters/tests/test_replicas.py
+++ b/fireflyfork/adapters/tests/test_replicas.py
@@ -217,7 +217,7 @@
 
 
 class SilentFollowersTest(unittest.TestCase):
-    """Followers that have gone without closing their connections."""
+    """Followers that have ended without closing their connections."""
 
     def test_a_connection_without_questions_is_closed(self) -> None:
         """Guards against file descriptors that are exhausted by dead connections."""
--- a/fireflyfork/platform/_executor_client.py
+++ b/fireflyfork/platform/_executor_client.py
@@ -249,7 +249,7 @@
 async def _verify_incarnation(
     endpoint: ExecutorEndpoint, token: FencingToken, connection: BoundCall
 ) -> None:
-    """Poll over a new connection. Raises _NotGreetedError if it doesn't lead to the expected incarnation."""
+    """Poll over a new connection. Raises _IncarnationCheckError if it doesn't lead to the expected incarnation."""
     if endpoint.incarnation == ANY_INCARNATION:
         return
     body = msgspec.json.encode(_Poll(token, last_seen=0))
--- a/fireflyfork/programs/_call_limiter.py
+++ b/fireflyfork/programs/_call_limiter.py
@@ -25,7 +25,7 @@
     """
 
     def __init__(self, max_concurrent: int, loop_time: LoopTime) -> None:
-        """Allow ``max_concurrent`` calls. ``loop_time`` distinguishes a late loop from a late answer."""
+        """Allow ``max_concurrent`` calls. ``loop_time`` excludes delays of the loop."""
         self._limit = trio.CapacityLimiter(max_concurrent)
         self._loop_time = loop_time
 
--- a/fireflyfork/programs/_key_home.py
+++ b/fireflyfork/programs/_key_home.py
@@ -109,7 +109,7 @@
         self._nursery: trio.Nursery | None = None
 
     def attach(self, nursery: trio.Nursery) -> None:
-        """Run requests in ``nursery``, so that they continue after their callers have disconnected."""
+        """Run requests in ``nursery``, so that they continue when their callers disconnect."""
         self._nursery = nursery
 
     @property
--- a/fireflyfork/programs/_replica_follower.py
+++ b/fireflyfork/programs/_replica_follower.py
@@ -96,8 +96,8 @@
     ) -> None:
         """Set up the follower; ``run`` starts it.
 
-        The follower leaves an upstream whose answers have been out of date for ``stale_seconds``. Without
-        ``peers``, only the store is followed.
+        The follower leaves an upstream whose answers have been out of date for
+        ``stale_seconds``. Without ``peers``, only the store is followed.
         """
         self._replica = replica
         self._upstreams = upstreams
--- a/fireflyfork/programs/_scheduling_keys.py
+++ b/fireflyfork/programs/_scheduling_keys.py
@@ -9,8 +9,8 @@
 WORK_PREFIX = f"{_ROOT}work/"
 """Prefix of the keys of owners, jobs and cancellations.
 
-These keys share a prefix so that a watch reports a change of owner before any job that was accepted after
-it."""
+These keys share a prefix so that a watch reports a change of owner before any job that was accepted
+after it."""
 JOB_PREFIX = f"{WORK_PREFIX}job/"
 CANCEL_PREFIX = f"{WORK_PREFIX}cancel/"
 PROGRESS_PREFIX = f"{_ROOT}progress/"
--- a/fireflyfork/programs/_sinks.py
+++ b/fireflyfork/programs/_sinks.py
@@ -128,8 +128,8 @@
 class DetachableSink(AnswerSink):
     """Passes an answer on until the receiver is detached or fails, and discards the rest.
 
-    An executor's answer is read to its end even if there is no receiver any more, since the executor's slot
-    is busy until then.
+    An executor's answer is read to its end even without a receiver, since the executor's slot is
+    busy until then.
     """
 
     def __init__(self, receiver: AnswerSink) -> None:
--- a/fireflyfork/programs/_target_group.py
+++ b/fireflyfork/programs/_target_group.py
@@ -224,7 +224,7 @@
         self._queue = self._queue.answered(seconds, trio.current_time())
 
     def assign_slots(self) -> None:
-        """Assign free slots to waiting requests, and refuse requests that can't be served in time."""
+        """Assign free slots to waiting requests; refuse requests that can't be served in time."""
         now = trio.current_time()
         self._queue, refused = self._queue.expire(now)
         self._settle_refused(refused)
--- a/fireflyfork/programs/_work_intake.py
+++ b/fireflyfork/programs/_work_intake.py
@@ -88,7 +88,7 @@
                 self._cancel(item.key)
 
     def take_listing(self, listing: StoreListing) -> None:
-        """Process the changes that were missed because the store lost its history. Raises OwnershipLostError."""
+        """Process the changes that the store lost from its history. Raises OwnershipLostError."""
         self.require_ownership(listing)
         jobs_first = sorted(listing.items, key=lambda item: item.key.startswith(CANCEL_PREFIX))
         for item in jobs_first:
--- a/fireflyfork/programs/tests/test_announcements.py
+++ b/fireflyfork/programs/tests/test_announcements.py
@@ -1,4 +1,4 @@
-"""Tests of an instance's own announcement, when it is suspended or busy during a call to the store."""
+"""Tests of announcements by an instance that is suspended or busy during a call to the store."""
 
 import unittest
 from collections.abc import Awaitable, Callable
--- a/fireflyfork/programs/tests/test_service_journal.py
+++ b/fireflyfork/programs/tests/test_service_journal.py
@@ -1,4 +1,4 @@
-"""Tests of the ends that an owner lets executors forget, with generated sequences of ends and failing writes."""
+"""Tests of the ends that an owner lets executors forget, with generated ends and failing writes."""
 
 import unittest
 
