--- a/fireflyfork/adapters/tests/test_peers.py
+++ b/fireflyfork/adapters/tests/test_peers.py
@@ -92,7 +92,7 @@
         run_pair(body, serve)
 
     def test_a_call_that_was_given_up_is_cancelled_at_the_peer(self) -> None:
-        """Guards against a peer that still waits for a slot after the caller has gone."""
+        """Guards against a peer that still waits for a slot after the caller has disconnected."""
 
         async def body(pair: PeerPair) -> None:
             _, call = await pair.call()
--- a/fireflyfork/programs/_announcements.py
+++ b/fireflyfork/programs/_announcements.py
@@ -23,7 +23,7 @@
 FAR_STORE_SECONDS = 0.02
 """Round trips above this cross regions: they take 40 ms, compared to 5 ms within a region."""
 FAILURE_PENALTY_SECONDS = 300.0
-"""How long the strength of an instance is reduced after it had to give up a service.
+"""How long the strength of an instance is reduced after it failed as the owner of a service.
 
 A thin link remains thin. If this were shorter than the slowest recovery, equally slow instances
 would pass the service on forever, each before its recovery completes."""
@@ -98,7 +98,7 @@
 
     @property
     def penalized(self) -> bool:
-        """Whether this instance had to give up a service in the last ``FAILURE_PENALTY_SECONDS``."""
+        """Whether this instance failed as an owner in the last ``FAILURE_PENALTY_SECONDS``."""
         return self._clock.now() < self._penalized_until
 
     def note_round_trip(self, seconds: float) -> None:
--- a/fireflyfork/programs/_executor_polls.py
+++ b/fireflyfork/programs/_executor_polls.py
@@ -42,7 +42,7 @@
 """Maximum delay of the next poll while ends of runs aren't stored yet.
 
 An executor lists an end again until it is stored, so an earlier poll would return at once. While
-the store is away, polls continue at this interval."""
+the store is unavailable, polls continue at this interval."""
 END_BATCH_SECONDS = 0.05
 """Delay of the next poll after an answer that lists ends of runs.
 
--- a/fireflyfork/programs/_key_home.py
+++ b/fireflyfork/programs/_key_home.py
@@ -139,12 +139,12 @@
         )
 
     def table_to_send(self, partition: PartitionId) -> KeyTable | None:
-        """Return the table of a partition that recently moved away, or None if it isn't kept."""
+        """Return the table of a partition that was recently lost, or None if it isn't kept."""
         moved = self._moved.get(partition)
         return moved[1].table.handed_over() if moved is not None else None
 
     async def wait_drained(self, partition: PartitionId) -> None:
-        """Wait until no request of a partition that recently moved away is running."""
+        """Wait until no request of a partition that was recently lost is running."""
         moved = self._moved.get(partition)
         while moved is not None and moved[1].running:
             await next(iter(moved[1].running.values())).ended.wait()
--- a/fireflyfork/programs/_key_replica.py
+++ b/fireflyfork/programs/_key_replica.py
@@ -136,9 +136,9 @@
         return self._replica.known_at <= question.mark and self._replica.as_of <= question.after
 
     def _max_wait_seconds(self) -> float:
-        """Return the maximum wait of a request.
+        """Return the maximum time in seconds that a query waits for an update.
 
-        It lets the follower learn in time that it has to leave.
+        A follower must receive an answer in time to leave this upstream if it is out of date.
         """
         until_stale = self._replica.known_at + self._stale_seconds - self._now()
         return min(max(until_stale, MIN_WAIT_SECONDS), MAX_WAIT_SECONDS)
--- a/fireflyfork/programs/_key_table_transfer.py
+++ b/fireflyfork/programs/_key_table_transfer.py
@@ -47,7 +47,7 @@
 
 
 class KeyTableTransfer(ControlHandler):
-    """Sends key tables of partitions that have moved away, and receives those of acquired ones."""
+    """Sends the key tables of lost partitions, and receives the tables of acquired partitions."""
 
     def __init__(self, ownership: OwnershipView, peers: Peers, home: KeyHome) -> None:
         """Call ``attach`` before the first change of ownership."""
--- a/fireflyfork/programs/_upkeep_duty.py
+++ b/fireflyfork/programs/_upkeep_duty.py
@@ -37,7 +37,7 @@
 class UpkeepDuty:
     """One owner's part in the waves of upkeep.
 
-    An order without an answer may be carried out seconds later, even after this owner has gone.
+    An order without an answer may be carried out seconds later, even after this owner has ended.
     Each order is therefore stored before it is sent: the successor counts the machine as down, and
     repeats the order under its own token until the platform has confirmed it.
     """
--- a/fireflyfork/programs/tests/test_queue_keeper.py
+++ b/fireflyfork/programs/tests/test_queue_keeper.py
@@ -121,7 +121,7 @@
     def test_a_version_is_not_missed_while_the_store_is_away_or_forgets(self) -> None:
         """Guards against a version that is missed because of an outage and lost history.
 
-        The store is away when the operator writes, and has dropped its history when it is back. An
+        The store is unavailable when the operator writes, and has then dropped its history. An
         instance that only waited for the next change would have an old version until that change.
         """
 
