--- a/fireflyfork/adapters/_http.py
+++ b/fireflyfork/adapters/_http.py
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestHead:
-    """The head of a request."""
+    """The method, target and headers of a request."""
 
     method: str
     target: str
--- a/fireflyfork/adapters/tests/test_peers.py
+++ b/fireflyfork/adapters/tests/test_peers.py
@@ -73,7 +73,7 @@
 
 
 class CallTest(unittest.TestCase):
-    """Calls that share a stream."""
+    """Tests of calls that share a stream."""
 
     def test_a_slow_reader_does_not_hold_up_others(self) -> None:
         """Guards against a large answer that is read slowly and blocks a short one on the same stream."""
--- a/fireflyfork/adapters/tests/test_replicas.py
+++ b/fireflyfork/adapters/tests/test_replicas.py
@@ -87,7 +87,7 @@
 
 
 class ReplicasTest(unittest.TestCase):
-    """Queries and answers."""
+    """Tests of queries to a replica and their answers."""
 
     def test_a_large_value_arrives_as_it_is_in_the_store(self) -> None:
         async def body() -> None:
@@ -217,7 +217,7 @@
 
 
 class SilentFollowersTest(unittest.TestCase):
-    """Followers that have ended without closing their connections."""
+    """Tests of followers that have ended without closing their connections."""
 
     def test_a_connection_without_questions_is_closed(self) -> None:
         """Guards against file descriptors that are exhausted by dead connections."""
--- a/fireflyfork/operations/tests/__init__.py
+++ b/fireflyfork/operations/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package above."""
+"""Tests of fireflyfork.operations."""
--- a/fireflyfork/operations/tests/test_job_account.py
+++ b/fireflyfork/operations/tests/test_job_account.py
@@ -106,7 +106,7 @@
 
 
 class SummaryTest(unittest.TestCase):
-    """Sums over late jobs."""
+    """Tests of the sums over late jobs."""
 
     def test_late_jobs_by_queue_and_cause_and_by_phase(self) -> None:
         lines = [OWNED]
--- a/fireflyfork/platform/tests/test_end_lists.py
+++ b/fireflyfork/platform/tests/test_end_lists.py
@@ -34,7 +34,7 @@
 
 
 class EndListsTest(unittest.TestCase):
-    """Executors list at most 500 ends."""
+    """Tests of polls of executors, which list at most 500 ends."""
 
     def test_a_list_of_the_greatest_length_may_be_cut(self) -> None:
         """Guards against an owner that treats a truncated list of ends as complete.
--- a/fireflyfork/platform/tests/test_formats.py
+++ b/fireflyfork/platform/tests/test_formats.py
@@ -1,4 +1,4 @@
-"""Tests of decoding what other programs have written, including invalid values."""
+"""Tests of decoding values that other programs have written, including invalid values."""
 
 import unittest
 
@@ -61,7 +61,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """The settings file."""
+    """Tests of reading the settings file."""
 
     def test_fields_are_read_and_unknown_ones_ignored(self) -> None:
         settings = parse_node_settings(SETTINGS)
@@ -123,7 +123,7 @@
 
 
 class ConfigurationTest(unittest.TestCase):
-    """The operator's configuration."""
+    """Tests of decoding the operator's configuration."""
 
     def test_the_longest_prefix_wins(self) -> None:
         route = {"name": "a", "host": "H.example", "path_prefix": "/x/", "service": "desk"}
@@ -143,7 +143,7 @@
 
 
 class JobTest(unittest.TestCase):
-    """The jobs that callers submit."""
+    """Tests of decoding the jobs that callers submit."""
 
     def test_an_id_is_sixteen_hexadecimal_digits(self) -> None:
         self.assertEqual(parse_job_id("5c0e7a21d94b36f8"), "5c0e7a21d94b36f8")
--- a/fireflyfork/programs/_announced_upstreams.py
+++ b/fireflyfork/programs/_announced_upstreams.py
@@ -15,7 +15,7 @@
     """Chooses upstreams among the announced instances."""
 
     def __init__(self, announcements: Announcements) -> None:
-        """Start without known instances; ``choose`` reads the announcements."""
+        """Start with an empty list of instances; ``choose`` reads the announcements."""
         self._announcements = announcements
         self._known: list[InstanceStanding] = []
 
--- a/fireflyfork/programs/_peer_figures.py
+++ b/fireflyfork/programs/_peer_figures.py
@@ -15,7 +15,7 @@
 
 
 class PeerFigures:
-    """The latest load figures by service and member."""
+    """The latest load figures that peers have reported, by service and member."""
 
     def __init__(self) -> None:
         """Start without figures."""
--- a/fireflyfork/programs/_replica_follower.py
+++ b/fireflyfork/programs/_replica_follower.py
@@ -129,7 +129,7 @@
         return self._watch.asked_at if self._upstream is None else self._asked_at
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Keep the replica up to date until cancelled."""
         if self._peers is not None:
             await self._get_first_state(self._peers)
         while True:
--- a/fireflyfork/programs/_target_group.py
+++ b/fireflyfork/programs/_target_group.py
@@ -114,7 +114,7 @@
 
     @property
     def targets(self) -> dict[TargetId, OwnedTarget]:
-        """The owned targets by id."""
+        """The owned targets of the service, by target id."""
         return self._targets
 
     @property
--- a/fireflyfork/programs/tests/builders_callers.py
+++ b/fireflyfork/programs/tests/builders_callers.py
@@ -36,7 +36,7 @@
 
 
 class CallerInstance:
-    """One instance as its callers see it."""
+    """The parts of an instance that answer callers, without a service owner."""
 
     def __init__(self, store: StandInStore, link_mbps: float) -> None:
         """Connect the instance to ``store`` over a link of ``link_mbps``."""
