--- a/fireflyfork/programs/_key_copies.py
+++ b/fireflyfork/programs/_key_copies.py
@@ -3,8 +3,8 @@
 The home of a key is the member that owns the key's partition. When a home is lost, its guard
 assigns the home's partitions to new owners and sends them the copies that it holds, so the new
 homes have every key that may have run. Without the copies, each key of unknown age would have to be
-treated as a key that may have run, and for the retention time callers would be refused although their
-requests never reached an entry.
+treated as a key that may have run, and for the retention time callers would be refused although
+their requests never reached an entry.
 
 A copy is valid only for the epoch in which its holder became the guard. If a home changed its guard
 and later returned to the first guard, an older copy there would lack the keys that were started in
