--- a/fireflyfork/adapters/tests/test_peers.py
+++ b/fireflyfork/adapters/tests/test_peers.py
@@ -73,7 +73,7 @@
 
 
 class CallTest(unittest.TestCase):
-    """Calls that share a stream."""
+    """Tests of calls that share a stream."""
 
     def test_a_slow_reader_does_not_hold_up_others(self) -> None:
         """Guards against a large answer that is read slowly and blocks a short one on the same stream."""
@@ -92,7 +92,7 @@
         run_pair(body, serve)
 
     def test_a_call_that_was_given_up_is_cancelled_at_the_peer(self) -> None:
-        """Guards against a peer that still waits for a slot after the caller has gone."""
+        """Guards against a peer that still waits for a slot after the caller has disconnected."""
 
         async def body(pair: PeerPair) -> None:
             _, call = await pair.call()
--- a/fireflyfork/programs/_key_home.py
+++ b/fireflyfork/programs/_key_home.py
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Refusal:
-    """The answer to a request that is refused because of its key."""
+    """The error answer to a request that may not run again, or not under its key."""
 
     status: int
     reason: str
@@ -109,7 +109,7 @@
         self._nursery: trio.Nursery | None = None
 
     def attach(self, nursery: trio.Nursery) -> None:
-        """Run requests in ``nursery``, so that they continue after their callers have left."""
+        """Run requests in ``nursery``, so that they continue when their callers disconnect."""
         self._nursery = nursery
 
     @property
@@ -139,12 +139,12 @@
         )
 
     def table_to_send(self, partition: PartitionId) -> KeyTable | None:
-        """Return the table of a partition that recently moved away, or None if it isn't kept."""
+        """Return the table of a partition that was recently lost, or None if it isn't kept."""
         moved = self._moved.get(partition)
         return moved[1].table.handed_over() if moved is not None else None
 
     async def wait_drained(self, partition: PartitionId) -> None:
-        """Wait until no request of a partition that recently moved away is running."""
+        """Wait until no request of a partition that was recently lost is running."""
         moved = self._moved.get(partition)
         while moved is not None and moved[1].running:
             await next(iter(moved[1].running.values())).ended.wait()
--- a/fireflyfork/programs/tests/builders_store.py
+++ b/fireflyfork/programs/tests/builders_store.py
@@ -1,4 +1,4 @@
-"""An in-memory store with scripted faults."""
+"""A store in memory that fails as a test asks it to."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 
 class Fault(Enum):
-    """The fault of one call."""
+    """A fault of one call to the store."""
 
     NONE = "none"
     REFUSED = "refused"
-    """The call has no effect and gets no answer."""
+    """The call has no effect and no answer."""
     ANSWER_LOST = "answer lost"
-    """The call takes effect, but its answer is lost."""
+    """The call takes effect, and its answer is lost."""
 
 
 class MemoryStore(Store):
-    """A store with compare-and-swap on a dictionary. Each call uses up the next of ``faults``."""
+    """Compare-and-swap on a dictionary. Each call takes the next of ``faults``."""
 
     def __init__(
         self, faults: Iterable[Fault] = (), latency: Callable[[], float] = lambda: 0.0
     ) -> None:
-        """After the last of ``faults``, calls succeed. ``latency`` returns one-way seconds."""
+        """Once ``faults`` are used up, nothing fails. ``latency`` gives one-way seconds."""
         self._latency = latency
         self.faults = deque(faults)
         self.values: dict[str, StoredValue] = {}
@@ -72,7 +72,7 @@
         return tuple(key for key in results if key.startswith(prefix))
 
     async def wait(self, key: str, after: Revision, seconds: float) -> StoredValue | None:
-        """See Store; returns at once instead of waiting."""
+        """See Store; this one never waits."""
         stored = await self.read(key)
         return stored if stored is not None and stored.revision > after else None
 
