--- a/bench/operator_replicas.py
+++ b/bench/operator_replicas.py
@@ -89,7 +89,13 @@
         clock, node = VirtualClock(), instance_name(number)
         client = site.store(self._store.client(node))
         announcements = Announcements(
-            node, PROCESSORS, 1000.0, client, clock, site.failure_domain, replica=site.replica
+            node,
+            PROCESSORS,
+            1000.0,
+            client,
+            clock,
+            site.failure_domain,
+            replica_address=site.replica,
         )
         source = site.make_source(
             client, clock, self._note_in_force, announcements, trio.lowlevel.checkpoint
--- a/fireflyfork/adapters/_http_server.py
+++ b/fireflyfork/adapters/_http_server.py
@@ -34,11 +34,11 @@
 class ServerLimits:
     """How long the server waits for a client, in seconds."""
 
-    head: float = 10.0
+    head_timeout: float = 10.0
     """The timeout for the rest of a head once it has begun, and for each further part of a body."""
-    idle: float = 75.0
+    idle_timeout: float = 75.0
     """The timeout for the next request on a persistent connection."""
-    send: float = 10.0
+    send_timeout: float = 10.0
     """The timeout for sending each part of a response."""
 
 
@@ -129,7 +129,7 @@
         """Serve requests until either side ends the connection."""
         try:
             # A response without "connection: close" promises that the next request will be read.
-            while await self._serve_one() and not self._close_announced:
+            while await self._serve_exchange() and not self._close_announced:
                 self._http.start_next_cycle()
         except (HttpError, h11.ProtocolError):
             abort(self._stream)
@@ -164,7 +164,7 @@
         try:
             data = self._http.send(event)
             if data:
-                with trio.fail_after(self._limits.send):
+                with trio.fail_after(self._limits.send_timeout):
                     await self._stream.send_all(data)
         except (
             h11.ProtocolError,
@@ -182,7 +182,7 @@
             if self._buffered_events:
                 event = self._buffered_events.popleft()
             else:
-                event = await self._next_event(self._limits.head)
+                event = await self._next_event(self._limits.head_timeout)
             if isinstance(event, h11.Data):
                 yield bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
@@ -190,7 +190,7 @@
             else:
                 raise HttpError("the connection ended inside a request")
 
-    async def _serve_one(self) -> bool:
+    async def _serve_exchange(self) -> bool:
         try:
             event = await self._first_event()
             if isinstance(event, h11.Request):
@@ -239,12 +239,12 @@
     async def _first_event(self) -> HttpEvent | None:
         if not self._http.trailing_data[0] and not await self._wait_for_request():
             return None
-        return await self._next_event(self._limits.head)
+        return await self._next_event(self._limits.head_timeout)
 
     async def _wait_for_request(self) -> bool:
         if self._finishing:
             return False
-        with trio.move_on_after(self._limits.idle) as scope:
+        with trio.move_on_after(self._limits.idle_timeout) as scope:
             self._idle_scope = scope
             try:
                 await trio.lowlevel.wait_readable(self._stream.socket)
--- a/fireflyfork/adapters/_peers.py
+++ b/fireflyfork/adapters/_peers.py
@@ -15,7 +15,7 @@
 
 CONNECT_SECONDS = 2.0
 
-PATH_TERMS = ConnectionLimits(silence_seconds=CONNECT_SECONDS + HANDSHAKE_SECONDS)
+PATH_LIMITS = ConnectionLimits(silence_seconds=CONNECT_SECONDS + HANDSHAKE_SECONDS)
 
 AddressOf = Callable[[MemberId], Address | None]
 
@@ -123,7 +123,7 @@
         return stream
 
     def _path(self, member: MemberId) -> ConnectionPool:
-        return self._paths.get(member) or ConnectionPool(PATH_TERMS)
+        return self._paths.get(member) or ConnectionPool(PATH_LIMITS)
 
     async def _connect(self, member: MemberId) -> PeerConnection:
         address = self._address_of(member)
--- a/fireflyfork/adapters/_relay_server.py
+++ b/fireflyfork/adapters/_relay_server.py
@@ -106,7 +106,7 @@
 
     async def _serve_calls(self, stream: RelayStream, nursery: trio.Nursery) -> None:
         calls = self._new_calls()
-        limit = trio.CapacityLimiter(MAX_CALLS_PER_OWNER)
+        limiter = trio.CapacityLimiter(MAX_CALLS_PER_OWNER)
         stream.send(Hello(RELAY_VERSION))
         if self._stopping:
             stream.send(Goodbye())
@@ -116,8 +116,8 @@
                 raise PeerError("the relay was stalled")
             if isinstance(message, Call):
                 borrower = object()
-                await limit.acquire_on_behalf_of(borrower)
-                nursery.start_soon(self._answer, calls, message, stream, limit, borrower)
+                await limiter.acquire_on_behalf_of(borrower)
+                nursery.start_soon(self._answer, calls, message, stream, limiter, borrower)
             else:
                 self._handle_message(message, calls, stream)
 
@@ -141,13 +141,13 @@
         calls: ExecutorCalls,
         call: Call,
         stream: RelayStream,
-        limit: trio.CapacityLimiter,
+        limiter: trio.CapacityLimiter,
         borrower: object,
     ) -> None:
         try:
             stream.send(await _make_call(calls, call))
         finally:
-            limit.release_on_behalf_of(borrower)
+            limiter.release_on_behalf_of(borrower)
 
 
 async def _make_call(calls: ExecutorCalls, call: Call) -> Reply:
--- a/fireflyfork/adapters/tests/test_http_client.py
+++ b/fireflyfork/adapters/tests/test_http_client.py
@@ -47,7 +47,7 @@
 class SlowAnswersTest(unittest.TestCase):
     """Answers that take longer than the timeout."""
 
-    def test_an_answer_that_keeps_coming_is_waited_for(self) -> None:
+    def test_a_slow_answer_is_read_to_its_end(self) -> None:
         """Guards against a limit on the duration of a whole response.
 
         A page of a listing is a megabyte, which takes two seconds on a slow link. With a limit of 0.9
@@ -64,7 +64,7 @@
 
         self.assertEqual(_call(server), b"x" * PARTS)
 
-    def test_an_answer_that_stops_coming_is_not(self) -> None:
+    def test_an_answer_that_stalls_times_out(self) -> None:
         """Guards against a call that waits forever in the middle of a response.
 
         A firewall loses the state of a connection and drops the rest of the response without a reset. The
--- a/fireflyfork/adapters/tests/test_http_server.py
+++ b/fireflyfork/adapters/tests/test_http_server.py
@@ -49,7 +49,7 @@
 class EarlyAnswerTest(unittest.TestCase):
     """Responses that are sent before the whole request has arrived."""
 
-    def test_an_answer_that_overtakes_the_body_says_that_the_connection_ends(self) -> None:
+    def test_an_answer_before_the_end_of_the_body_closes_the_connection(self) -> None:
         """Guards against closing a connection without announcing it in the response.
 
         A job for an unknown queue arrives in two packets, and is refused before the second one. The server
@@ -64,7 +64,7 @@
 
         _with_connection(talk)
 
-    def test_a_request_that_has_come_whole_keeps_the_connection(self) -> None:
+    def test_a_complete_request_keeps_the_connection_open(self) -> None:
         async def talk(stream: trio.SocketStream) -> None:
             for target, body, expected in (
                 ("/early", b"data", b"no"),
@@ -79,7 +79,7 @@
 
         _with_connection(talk)
 
-    def test_a_body_in_parts_comes_whole(self) -> None:
+    def test_a_body_in_parts_is_read_completely(self) -> None:
         async def talk(stream: trio.SocketStream) -> None:
             await stream.send_all(_request("/late", 6) + b"abc")
             await trio.sleep(0.01)
--- a/fireflyfork/adapters/tests/test_loop_profile.py
+++ b/fireflyfork/adapters/tests/test_loop_profile.py
@@ -49,7 +49,7 @@
     def test_time_is_charged_to_the_function_that_a_task_began_with(self) -> None:
         self.assertEqual(self.worker.profile.seconds_by_activity["_Worker.poll"], 6.0)
 
-    def test_a_section_is_told_apart_from_its_task(self) -> None:
+    def test_a_section_is_charged_separately_from_its_task(self) -> None:
         spent = self.worker.profile.seconds_by_activity
         self.assertEqual((spent["pricing"], spent["_Worker.place"]), (5.0, 5.0))
 
@@ -59,12 +59,12 @@
             sum(self.worker.profile.seconds_by_activity.values()), self.worker.used - unwatched
         )
 
-    def test_time_is_charged_only_while_it_looks(self) -> None:
+    def test_time_is_charged_only_while_recording(self) -> None:
         """Guards against the overhead of recording each step permanently."""
         self.assertEqual(self.worker.profile.seconds_by_activity["_Worker.place"], 5.0)
         self.assertEqual(self.worker.profile.seconds_by_activity["_run_all"], 0.0)
 
-    def test_waiting_is_charged_to_nobody(self) -> None:
+    def test_waiting_is_charged_to_no_activity(self) -> None:
         """Guards against an idle instance that appears busy with a clock that advances while it waits."""
 
         before = sum(self.worker.profile.seconds_by_activity.values())
@@ -78,7 +78,7 @@
         trio.run(main)
         self.assertEqual(sum(self.worker.profile.seconds_by_activity.values()), before)
 
-    def test_a_section_that_fails_is_charged_and_left(self) -> None:
+    def test_a_section_that_raises_is_charged_and_ended(self) -> None:
         """Guards against an error after which all later time is charged to the wrong activity."""
 
         async def main() -> None:
--- a/fireflyfork/adapters/tests/test_loop_time.py
+++ b/fireflyfork/adapters/tests/test_loop_time.py
@@ -24,7 +24,7 @@
 class LoopTimeTest(unittest.TestCase):
     """Timeouts with and without a lag of the event loop."""
 
-    def test_a_silent_peer_is_given_up_in_time(self) -> None:
+    def test_a_call_to_a_silent_peer_times_out(self) -> None:
         """Guards against a timeout that never fires: callers would wait for a peer that is gone."""
 
         async def main(_: MockClock) -> float:
@@ -34,7 +34,7 @@
 
         self.assertAlmostEqual(_run(main), TIMEOUT_SECONDS, delta=0.2)
 
-    def test_an_answer_that_came_during_a_stall_is_taken(self) -> None:
+    def test_an_answer_received_during_a_stall_is_accepted(self) -> None:
         """Guards against a timeout for a peer whose answer waited in the socket while the loop was stalled."""
 
         async def main(clock: MockClock) -> float:
@@ -61,7 +61,7 @@
 
         self.assertGreater(_run(main), 2 * TIMEOUT_SECONDS)
 
-    def test_bytes_that_come_put_the_timeout_off(self) -> None:
+    def test_received_bytes_postpone_the_timeout(self) -> None:
         """Guards against a timeout of a long answer that is still arriving."""
 
         async def main(_: MockClock) -> float:
@@ -73,7 +73,7 @@
 
         self.assertGreater(_run(main), 4 * TIMEOUT_SECONDS)
 
-    def test_the_lag_of_the_loop_is_told(self) -> None:
+    def test_the_lag_of_the_loop_is_measured(self) -> None:
         """Guards against an owner whose event loop lags without being reported."""
 
         async def main(clock: MockClock) -> float:
--- a/fireflyfork/adapters/tests/test_relays.py
+++ b/fireflyfork/adapters/tests/test_relays.py
@@ -205,7 +205,7 @@
 
         trio.run(RelayWorld().run, play)
 
-    def test_a_fresh_poll_goes_past_the_relay(self) -> None:
+    def test_a_fresh_poll_bypasses_the_relay(self) -> None:
         """Guards against executors that are considered silent because their relay is."""
 
         async def play(world: RelayWorld) -> None:
@@ -226,7 +226,7 @@
 
         trio.run(RelayWorld().run, play)
 
-    def test_what_a_dying_relay_was_asked_may_have_run(self) -> None:
+    def test_calls_to_a_failed_relay_may_have_run(self) -> None:
         """Guards against reporting a start as not executed, after which it would be sent a second time."""
 
         async def play(world: RelayWorld) -> None:
@@ -239,7 +239,7 @@
 
         trio.run(RelayWorld(delay=60.0).run, play)
 
-    def test_a_stopping_relay_gets_nothing_new_and_answers_what_it_has(self) -> None:
+    def test_a_stopping_relay_gets_no_new_calls_and_answers_pending_calls(self) -> None:
         """Guards against orders that are lost when a relay is stopped as planned."""
 
         async def play(world: RelayWorld) -> None:
@@ -250,7 +250,7 @@
 
         trio.run(RelayWorld(delay=0.2 * ORDER_SECONDS).run, play)
 
-    def test_a_relay_that_falls_silent_is_left(self) -> None:
+    def test_a_silent_relay_is_no_longer_used(self) -> None:
         """Guards against executors that can't be reached while their relay is frozen."""
 
         async def freeze(stream: trio.SocketStream) -> None:
@@ -343,7 +343,7 @@
 
         _play_muted(play)
 
-    def test_a_silent_relay_gets_nothing_new_until_it_is_heard_again(self) -> None:
+    def test_a_silent_relay_gets_no_new_calls_until_it_answers(self) -> None:
         """Guards against orders that are queued behind a saturated link, and a relay that is never used again."""
 
         async def play(
@@ -362,7 +362,7 @@
 
         _play_muted(play)
 
-    def test_a_relay_that_is_replaced_still_brings_the_answers_it_owes(self) -> None:
+    def test_a_replaced_relay_still_delivers_pending_answers(self) -> None:
         """Guards against ends that are lost with the replies to polls when another relay is configured."""
 
         async def play(
@@ -385,7 +385,7 @@
 
         _play_muted(play)
 
-    def test_a_relay_that_stays_silent_is_connected_anew(self) -> None:
+    def test_a_relay_that_stays_silent_is_reconnected(self) -> None:
         """Guards against a relay that is never used again because its stream was lost without being closed."""
 
         async def play(
@@ -440,7 +440,7 @@
 class ReasonsTest(unittest.TestCase):
     """The reason of a failed poll, which is logged."""
 
-    def test_a_relay_that_says_nothing_is_named(self) -> None:
+    def test_errors_name_the_silent_relay(self) -> None:
         """Guards against failed polls whose log line doesn't show which relay was used."""
 
         async def play(
--- a/fireflyfork/adapters/tests/test_replicas.py
+++ b/fireflyfork/adapters/tests/test_replicas.py
@@ -106,7 +106,7 @@
         sent = len(msgspec.msgpack.encode(Item.of(_item(LARGE))))
         self.assertLess(sent, len(LARGE) / 4)
 
-    def test_what_is_known_is_not_sent_again(self) -> None:
+    def test_unchanged_items_are_not_sent_again(self) -> None:
         async def body() -> None:
             source = RecordingReplica(LARGE)
             async with _followed(source) as peer:
@@ -123,7 +123,9 @@
 class BadUpstreamsTest(unittest.TestCase):
     """An unreliable upstream is detected, and none of its data is used."""
 
-    def _fails(self, serve: Callable[[trio.SocketStream], Awaitable[None]], why: str) -> None:
+    def _assert_connection_fails(
+        self, serve: Callable[[trio.SocketStream], Awaitable[None]], why: str
+    ) -> None:
         async def body() -> None:
             async with _listening(serve) as endpoint:
                 with self.assertRaisesRegex(PeerError, why):
@@ -132,23 +134,23 @@
 
         _play(body)
 
-    def _says(self, *messages: object) -> Callable[[trio.SocketStream], Awaitable[None]]:
+    def _serve_messages(self, *messages: object) -> Callable[[trio.SocketStream], Awaitable[None]]:
         async def serve(stream: trio.SocketStream) -> None:
             await stream.send_all(encode_frame(messages))
             await trio.sleep_forever()
 
         return serve
 
-    def test_one_that_accepts_connections_and_stands_still(self) -> None:
+    def test_an_upstream_that_accepts_connections_and_is_silent(self) -> None:
         """Guards against a frozen upstream: its connections stay open, and followers would wait forever."""
         with patch.object(client, "SILENT_SECONDS", 0.1):
-            self._fails(self._says(Hello(1)), "silent")
+            self._assert_connection_fails(self._serve_messages(Hello(1)), "silent")
 
-    def test_one_that_is_asked_in_a_hurry_and_stands_still(self) -> None:
+    def test_a_silent_upstream_with_a_short_timeout(self) -> None:
         """Guards against a second silent upstream that is awaited for as long as the first one."""
 
         async def body() -> None:
-            async with _listening(self._says(Hello(1))) as endpoint:
+            async with _listening(self._serve_messages(Hello(1))) as endpoint:
                 with self.assertRaisesRegex(PeerError, "silent"):
                     async with SocketReplicaPeers(LoopTime()).connect(endpoint) as peer:
                         await peer.ask(ReplicaQuery(Revision(0)), 0.1)
@@ -156,33 +158,33 @@
         with patch.object(client, "SILENT_SECONDS", 2 * TEST_TIMEOUT_SECONDS):
             _play(body)
 
-    def test_one_that_closes_the_stream(self) -> None:
+    def test_an_upstream_that_closes_the_stream(self) -> None:
         async def serve(stream: trio.SocketStream) -> None:
             await stream.aclose()
 
-        self._fails(serve, "closed|broke")
+        self._assert_connection_fails(serve, "closed|broke")
 
-    def test_one_of_another_version(self) -> None:
-        self._fails(self._says(Hello(2)), "version 2")
+    def test_an_upstream_of_another_version(self) -> None:
+        self._assert_connection_fails(self._serve_messages(Hello(2)), "version 2")
 
-    def test_one_that_says_something_else(self) -> None:
+    def test_an_upstream_that_sends_an_unexpected_message(self) -> None:
         async def serve(stream: trio.SocketStream) -> None:
             await stream.send_all(b"HTTP/1.1 400 Bad Request\r\n\r\n")
             await trio.sleep_forever()
 
-        self._fails(serve, "too long|not a frame")
+        self._assert_connection_fails(serve, "too long|not a frame")
 
-    def test_a_value_that_was_changed_on_its_way(self) -> None:
+    def test_a_value_corrupted_in_transit(self) -> None:
         """Guards against a corrupt configuration that would be in force on this instance only."""
         for compressed, content in ((False, b"other"), (True, b"other"), (True, b"")):
             with self.subTest(compressed=compressed, content=content):
                 item = Item("op/config", 7, 3, 1, compressed, content)
                 update = Update(9, 0.0, 0.0, 1.0, {"op/config": 7}, [item])
-                self._fails(self._says(Hello(1), update), "op/config")
+                self._assert_connection_fails(self._serve_messages(Hello(1), update), "op/config")
 
-    def test_nobody_there(self) -> None:
+    def test_no_upstream_at_the_address(self) -> None:
         async def body() -> None:
-            async with _listening(self._says()) as endpoint:
+            async with _listening(self._serve_messages()) as endpoint:
                 pass
             with self.assertRaisesRegex(PeerError, "can't connect"):
                 async with SocketReplicaPeers(LoopTime()).connect(endpoint):
@@ -190,7 +192,7 @@
 
         _play(body)
 
-    def test_a_slow_answer_that_goes_on_coming_is_waited_for(self) -> None:
+    def test_a_slow_answer_is_read_to_its_end(self) -> None:
         """Guards against a timeout of a large value, whose transfer over a saturated link takes longer than the
         maximum silence.
         """
@@ -219,7 +221,7 @@
 class SilentFollowersTest(unittest.TestCase):
     """Tests of followers that have ended without closing their connections."""
 
-    def test_a_connection_without_questions_is_closed(self) -> None:
+    def test_a_connection_without_queries_is_closed(self) -> None:
         """Guards against file descriptors that are exhausted by dead connections."""
 
         async def body() -> None:
--- a/fireflyfork/operations/_documents.py
+++ b/fireflyfork/operations/_documents.py
@@ -38,8 +38,8 @@
     try:
         return jsonc.loads(text, object_pairs_hook=_object_of_unique_names)
     except json.JSONDecodeError as error:
-        place = f"line {error.lineno}, column {error.colno}"
-        raise SettingsError(f"not JSON with comments: {error.msg} at {place}") from error
+        position = f"line {error.lineno}, column {error.colno}"
+        raise SettingsError(f"not JSON with comments: {error.msg} at {position}") from error
     except _DuplicateNameError as error:
         raise SettingsError(str(error)) from error
 
--- a/fireflyfork/operations/_generator.py
+++ b/fireflyfork/operations/_generator.py
@@ -196,7 +196,7 @@
 def _weights(answers: Answers) -> Weights:
     """Give each ranked measure twice the weight of the next; an unranked measure has weight 1."""
     ranked = answers.matters_most
-    weight = {measure: 2.0 ** (len(ranked) - place) for place, measure in enumerate(ranked)}
+    weight = {measure: 2.0 ** (len(ranked) - rank) for rank, measure in enumerate(ranked)}
     return Weights(
         tail_latency=weight.get(Measure.TAIL_LATENCY, 1.0),
         evictions=weight.get(Measure.EVICTIONS, 1.0),
--- a/fireflyfork/operations/_interview.py
+++ b/fireflyfork/operations/_interview.py
@@ -96,8 +96,8 @@
 
 def _example_suffix(kind: Any) -> str:
     """Return an example to append to the prompt of a quantity; empty for other types."""
-    wanted = inner_type(kind) if is_optional(kind) else kind
-    return f", such as {wanted.example()}" if is_quantity(wanted) else ""
+    value_type = inner_type(kind) if is_optional(kind) else kind
+    return f", such as {value_type.example()}" if is_quantity(value_type) else ""
 
 
 def _parse_reply(kind: Any, reply: str) -> Any:
--- a/fireflyfork/operations/_job_account.py
+++ b/fireflyfork/operations/_job_account.py
@@ -139,8 +139,8 @@
     dated_lines = sorted(_lines_with_time(lines), key=lambda pair: pair[0])
     if not dated_lines:
         return JobAccounts((), 1.0)
-    begin = dated_lines[0][0]
-    records = [((at - begin).total_seconds(), line) for at, line in dated_lines]
+    first_time = dated_lines[0][0]
+    records = [((at - first_time).total_seconds(), line) for at, line in dated_lines]
     jobs = _collect(records)
     gaps = _intervals_without_owner(records)
     last_time = records[-1][0]
--- a/fireflyfork/operations/_reference.py
+++ b/fireflyfork/operations/_reference.py
@@ -79,11 +79,11 @@
 
 def _nested_dataclasses(kind: Any) -> tuple[Any, ...]:
     """Return a dataclass and all dataclasses nested in its fields, each once, outermost first."""
-    found = [kind]
-    for record in found:
-        for hint in type_hints(record).values():
-            found += [each for each in _parts(hint) if _is_record(each) and each not in found]
-    return tuple(found)
+    kinds = [kind]
+    for parent in kinds:
+        for hint in type_hints(parent).values():
+            kinds += [part for part in _parts(hint) if _is_record(part) and part not in kinds]
+    return tuple(kinds)
 
 
 def _parts(hint: Any) -> Iterator[Any]:
--- a/fireflyfork/operations/_sources.py
+++ b/fireflyfork/operations/_sources.py
@@ -41,11 +41,11 @@
     for number, region in enumerate(answers.regions):
         yield f"regions[{number}]", f"regions, {region.name}"
     for number, link in enumerate(answers.links):
-        told = f"{link.one_way} one way, {link.capacity}, spill {link.spill}"
-        yield f"links[{number}]", f"links, {' to '.join(link.between)}: {told}"
+        answer = f"{link.one_way} one way, {link.capacity}, spill {link.spill}"
+        yield f"links[{number}]", f"links, {' to '.join(link.between)}: {answer}"
     for number, group in enumerate(answers.workers):
-        told = f"{group.count} of {group.cores} and {group.memory}, {group.per_rack} to a rack"
-        yield f"workers[{number}]", f"workers, {group.failure_domain}: {told}"
+        answer = f"{group.count} of {group.cores} and {group.memory}, {group.per_rack} to a rack"
+        yield f"workers[{number}]", f"workers, {group.failure_domain}: {answer}"
 
 
 def _team_sources(answers: Answers) -> Iterator[tuple[str, str]]:
@@ -85,6 +85,6 @@
     for service in answers.services:
         for executors in service.executors:
             for _ in range(executors.count):
-                told = f"services, {service.name}, executors in {executors.failure_domain}"
-                yield f"targets[{index}]", told
+                answer = f"services, {service.name}, executors in {executors.failure_domain}"
+                yield f"targets[{index}]", answer
                 index += 1
--- a/fireflyfork/operations/_span_tree.py
+++ b/fireflyfork/operations/_span_tree.py
@@ -53,7 +53,7 @@
             children.setdefault(span.parent_id, []).append(span)
         else:
             roots.append(span)
-    return tuple(_node(root, children) for root in roots)
+    return tuple(_tree_of(root, children) for root in roots)
 
 
 def draw_trees(trees: Iterable[SpanNode]) -> Iterator[str]:
@@ -64,21 +64,21 @@
     parent.
     """
     roots = tuple(trees)
-    begun = min((root.span.start for root in roots), default=0.0)
+    first_start = min((root.span.start for root in roots), default=0.0)
     for root in roots:
-        yield _format_span(root.span, begun)
-        yield from _draw_children(root, begun, "")
+        yield _format_span(root.span, first_start)
+        yield from _draw_children(root, first_start, "")
 
 
-def _draw_children(node: SpanNode, begun: float, indent: str) -> Iterator[str]:
+def _draw_children(node: SpanNode, first_start: float, indent: str) -> Iterator[str]:
     for child in node.children:
         is_last = child is node.children[-1]
-        yield f"{indent}{'└─ ' if is_last else '├─ '}{_format_span(child.span, begun)}"
-        yield from _draw_children(child, begun, indent + ("   " if is_last else "│  "))
+        yield f"{indent}{'└─ ' if is_last else '├─ '}{_format_span(child.span, first_start)}"
+        yield from _draw_children(child, first_start, indent + ("   " if is_last else "│  "))
 
 
-def _format_span(span: Span, begun: float) -> str:
-    offset = (span.start - begun) * _MILLISECONDS
+def _format_span(span: Span, first_start: float) -> str:
+    offset = (span.start - first_start) * _MILLISECONDS
     duration = span.duration * _MILLISECONDS
     attributes = " ".join(f"{name}={value}" for name, value in span.attributes.items())
     return (
@@ -86,9 +86,9 @@
     )
 
 
-def _node(span: Span, children: dict[str, list[Span]]) -> SpanNode:
-    below = children.pop(span.span_id, [])
-    return SpanNode(span, tuple(_node(child, children) for child in below))
+def _tree_of(span: Span, children: dict[str, list[Span]]) -> SpanNode:
+    child_spans = children.pop(span.span_id, [])
+    return SpanNode(span, tuple(_tree_of(child, children) for child in child_spans))
 
 
 def _matches_identifier(span: Span, identifier: str) -> bool:
--- a/fireflyfork/operations/_unusual.py
+++ b/fireflyfork/operations/_unusual.py
@@ -51,23 +51,23 @@
 
 def _outlier_targets(current: Configuration, proposed: Configuration) -> Iterator[Violation]:
     for service in proposed.services:
-        before = _targets(current, service.name)
-        after = _targets(proposed, service.name)
+        old_targets = _targets(current, service.name)
+        new_targets = _targets(proposed, service.name)
         for name in ("slots", "connections"):
-            yield from _outlier_of_field(name, before, after)
+            yield from _outlier_of_field(name, old_targets, new_targets)
 
 
 def _outlier_of_field(
-    name: str, before: tuple[TargetContract, ...], after: tuple[TargetContract, ...]
+    name: str, old_targets: tuple[TargetContract, ...], new_targets: tuple[TargetContract, ...]
 ) -> Iterator[Violation]:
     """Yield a violation if exactly one target has a new value of the field.
 
     All targets of the service must have had the same value before. With fewer than three targets,
     no value counts as usual, so none is reported.
     """
-    usual_values = {getattr(target, name) for target in before}
-    outliers = [target for target in after if getattr(target, name) not in usual_values]
-    if len(usual_values) == 1 and len(outliers) == 1 and len(after) > 2:
+    usual_values = {getattr(target, name) for target in old_targets}
+    outliers = [target for target in new_targets if getattr(target, name) not in usual_values]
+    if len(usual_values) == 1 and len(outliers) == 1 and len(new_targets) > 2:
         path = f"targets[{outliers[0].target_id}].{name}"
         yield Violation(
             path, short_repr(getattr(outliers[0], name)), _OUTLIER_RULE, f"keep {min(usual_values)}"
--- a/fireflyfork/platform/_executor_client.py
+++ b/fireflyfork/platform/_executor_client.py
@@ -96,7 +96,7 @@
 _Shape = TypeVar("_Shape")
 
 
-class _NotGreetedError(HttpError):
+class _IncarnationCheckError(HttpError):
     """A new connection leads to another incarnation, or its incarnation couldn't be verified."""
 
     def __init__(self, outcome: CallOutcome, incarnation: int | None = None) -> None:
@@ -192,7 +192,7 @@
                 harmless,
                 fresh,
             )
-        except _NotGreetedError as error:
+        except _IncarnationCheckError as error:
             return PollAnswer(error.outcome, incarnation=error.incarnation)
         except HttpError as error:
             return PollAnswer(CallOutcome.UNKNOWN, why=str(error))
@@ -217,7 +217,7 @@
         calls = self._calls_to(endpoint, token)
         try:
             answer = await calls.call("POST", path, msgspec.json.encode(order), _headers(endpoint))
-        except _NotGreetedError as error:
+        except _IncarnationCheckError as error:
             return OrderAnswer(error.outcome, None, error.incarnation)
         except HttpError as error:
             logger.debug("executor call failed", executor=endpoint.executor, error=str(error))
@@ -229,11 +229,11 @@
         return OrderAnswer(outcome, decoded.clock_ms, endpoint.incarnation)
 
     def _calls_to(self, endpoint: ExecutorEndpoint, token: FencingToken) -> JsonCalls:
-        known = self._bound.get(endpoint.executor)
-        if known is not None and known.endpoint == endpoint and known.token == token:
-            return known.calls
-        if known is not None:
-            known.calls.close()
+        client = self._bound.get(endpoint.executor)
+        if client is not None and client.endpoint == endpoint and client.token == token:
+            return client.calls
+        if client is not None:
+            client.calls.close()
         calls = JsonCalls(
             endpoint.address,
             CALL_TIMEOUT_SECONDS,
@@ -256,7 +256,7 @@
     listed = _poll_answer(await connection.call("POST", POLL_PATH, body, _headers(endpoint)))
     outcome = _verification_outcome(endpoint, listed)
     if outcome is not CallOutcome.ACCEPTED:
-        raise _NotGreetedError(outcome, listed.incarnation)
+        raise _IncarnationCheckError(outcome, listed.incarnation)
 
 
 def _verification_outcome(endpoint: ExecutorEndpoint, listed: PollAnswer) -> CallOutcome:
@@ -315,5 +315,5 @@
 def _ended_row(row: tuple[int, str, int, str, str]) -> EndedRow:
     number, task, attempt, reason, checkpoint = row
     # An unknown reason is treated as a lapsed lease: the run has ended, and it isn't a failure of the task.
-    known = _END_REASONS.get(reason, EndReason.LAPSED)
-    return EndedRow(number, TaskName(task), AttemptNumber(attempt), known, checkpoint)
+    end_reason = _END_REASONS.get(reason, EndReason.LAPSED)
+    return EndedRow(number, TaskName(task), AttemptNumber(attempt), end_reason, checkpoint)
--- a/fireflyfork/platform/tests/test_formats.py
+++ b/fireflyfork/platform/tests/test_formats.py
@@ -108,7 +108,7 @@
             with self.subTest(name):
                 self.assertIsNone(decode_registration(_item(value)))
 
-    def test_an_entry_that_does_not_say_when_its_executor_began_names_none(self) -> None:
+    def test_an_entry_without_an_incarnation_names_no_executor(self) -> None:
         """Guards against an entry without ``born`` that is treated as a very old incarnation.
 
         Another program overwrites an executor's entry and omits the field. The executor's own next entry
@@ -137,7 +137,7 @@
                 found = table.find("h.example", path)
                 self.assertEqual(found.name if found else None, name)
 
-    def test_one_that_can_not_be_read_is_refused(self) -> None:
+    def test_an_unreadable_configuration_is_refused(self) -> None:
         with self.assertRaises(SettingsError):
             decode_configuration(b"{}")
 
--- a/fireflyfork/platform/tests/test_late_connections.py
+++ b/fireflyfork/platform/tests/test_late_connections.py
@@ -58,7 +58,7 @@
 class LateConnectionTest(unittest.TestCase):
     """The timeout of a poll that needs a new connection."""
 
-    def test_a_poll_is_as_patient_with_its_connection_as_with_its_answer(self) -> None:
+    def test_a_poll_allows_its_connection_as_much_time_as_its_answer(self) -> None:
         """Guards against a new owner that reaches no executor of the other region while the link is saturated.
 
         It would start all their tasks a second time.
--- a/fireflyfork/platform/tests/test_store_client.py
+++ b/fireflyfork/platform/tests/test_store_client.py
@@ -41,7 +41,7 @@
 class LargeAnswersTest(unittest.TestCase):
     """Large answers that many instances receive at the same time."""
 
-    def test_one_that_pauses_is_not_asked_for_again(self) -> None:
+    def test_an_answer_that_pauses_is_not_requested_again(self) -> None:
         """Guards against giving up a large answer between two of its parts.
 
         The answers with a new large configuration are sent to all instances of a region at once, over one
@@ -62,7 +62,7 @@
         assert change.item is not None
         self.assertEqual(change.item.value, VALUE)
 
-    def test_one_that_stops_is_given_up(self) -> None:
+    def test_an_answer_that_stalls_times_out(self) -> None:
         """Guards against waiting forever in the middle of an answer.
 
         A firewall loses the state of a connection and drops the rest of the answer. The instance would
@@ -142,7 +142,7 @@
         self._after(_answering(b"later", b"503 Service Unavailable"), refused)
         self.assertEqual(self.store.bytes_received, {"read op": 5})
 
-    def test_an_answer_that_broke_off_is_a_call_without_bytes(self) -> None:
+    def test_a_truncated_answer_counts_as_a_call_without_bytes(self) -> None:
         """Guards against not counting a call whose answer was truncated."""
 
         async def broken(stream: ServerStream) -> None:
@@ -165,7 +165,7 @@
         expected = {"list fireflyfork/work": 1, "list fireflyfork/work/owner": 1}
         self.assertEqual(self.store.calls, expected)
 
-    def test_numbers_in_keys_make_no_purposes(self) -> None:
+    def test_numbers_in_keys_are_not_part_of_the_purpose(self) -> None:
         """Guards against a new counter for each wave of upkeep."""
         body = msgspec.json.encode({"items": [], "has_more": False, "as_of": 8})
         for prefix in ("fireflyfork/upkeep/3/", "fireflyfork/upkeep/4/"):
--- a/fireflyfork/programs/_announced_upstreams.py
+++ b/fireflyfork/programs/_announced_upstreams.py
@@ -17,7 +17,7 @@
     def __init__(self, announcements: Announcements) -> None:
         """Start with an empty list of instances; ``choose`` reads the announcements."""
         self._announcements = announcements
-        self._known: list[InstanceStanding] = []
+        self._last_listed: list[InstanceStanding] = []
 
     @property
     def worth_waiting_for(self) -> bool:
@@ -27,10 +27,10 @@
     async def choose(self) -> tuple[ReplicaEndpoint, ...]:
         """See Upstreams. While the store doesn't answer, the previous announcements are used."""
         try:
-            self._known = await self._announcements.list_instances()
+            self._last_listed = await self._announcements.list_instances()
         except StoreError as error:
             logger.debug("other instances not listed", error=str(error))
-        chosen = choose_upstreams(self._announcements.own, self._known)
+        chosen = choose_upstreams(self._announcements.own, self._last_listed)
         return tuple(
             ReplicaEndpoint(instance.node, instance.replica)
             for instance in chosen
--- a/fireflyfork/programs/_announcements.py
+++ b/fireflyfork/programs/_announcements.py
@@ -55,8 +55,8 @@
         store: CoordinationStore,
         clock: Clock,
         failure_domain: FailureDomainName | None = None,
-        relay: Address | None = None,
-        replica: Address | None = None,
+        relay_address: Address | None = None,
+        replica_address: Address | None = None,
     ) -> None:
         """Set up the announcements; ``run`` starts them.
 
@@ -70,8 +70,8 @@
         self._store = store
         self._clock = clock
         self._failure_domain = failure_domain
-        self._relay = relay
-        self._replica = replica
+        self._relay_address = relay_address
+        self._replica_address = replica_address
         self._near = True
         self._near_measured = False
         self._last_was_far = False
@@ -91,8 +91,8 @@
             self._node,
             strength(self._processors, self._link_mbps, self._near),
             self._failure_domain,
-            self._relay,
-            self._replica,
+            self._relay_address,
+            self._replica_address,
             self._near and self._near_measured,
         )
 
--- a/fireflyfork/programs/_call_limiter.py
+++ b/fireflyfork/programs/_call_limiter.py
@@ -26,15 +26,15 @@
 
     def __init__(self, max_concurrent: int, loop_time: LoopTime) -> None:
         """Allow ``max_concurrent`` calls. ``loop_time`` excludes delays of the loop."""
-        self._limit = trio.CapacityLimiter(max_concurrent)
+        self._limiter = trio.CapacityLimiter(max_concurrent)
         self._loop_time = loop_time
 
     @asynccontextmanager
     async def acquire_slot(self) -> AsyncIterator[None]:
         """Wait for a slot, and release it at the end of the block or after ``SLOT_SECONDS``."""
         borrower = object()
-        await self._limit.acquire_on_behalf_of(borrower)
-        release = partial(self._limit.release_on_behalf_of, borrower)
+        await self._limiter.acquire_on_behalf_of(borrower)
+        release = partial(self._limiter.release_on_behalf_of, borrower)
         timer = self._loop_time.call_after(SLOT_SECONDS, release)
         try:
             yield
--- a/fireflyfork/programs/_executor_polls.py
+++ b/fireflyfork/programs/_executor_polls.py
@@ -180,7 +180,7 @@
         """
         poll = _Poll(self._clock.now())
         wait = self._poll_wait(executor)
-        alarm = self._loop_time.call_after(
+        late_timer = self._loop_time.call_after(
             wait + LATE_ANSWER_SECONDS, partial(self._note_late, executor, poll, nursery)
         )
         try:
@@ -188,7 +188,7 @@
                 await self._send_poll(executor, poll, wait, POLL_TIMEOUT_SECONDS)
         finally:
             poll.finished = True
-            alarm.cancel()
+            late_timer.cancel()
 
     def _note_late(self, executor: ExecutorState, poll: _Poll, nursery: trio.Nursery) -> None:
         poll.note_late()
@@ -220,11 +220,11 @@
 
     async def _probe_once(self, executor: ExecutorState) -> bool:
         probe = _Poll(self._clock.now())
-        alarm = self._loop_time.call_after(LATE_ANSWER_SECONDS, probe.note_late)
+        late_timer = self._loop_time.call_after(LATE_ANSWER_SECONDS, probe.note_late)
         try:
             return await self._send_poll(executor, probe, 0.0, PROBE_TIMEOUT_SECONDS, fresh=True)
         finally:
-            alarm.cancel()
+            late_timer.cancel()
 
     async def _send_poll(
         self,
--- a/fireflyfork/programs/_job_service.py
+++ b/fireflyfork/programs/_job_service.py
@@ -47,7 +47,7 @@
         self._metrics = metrics
         self._queues = queues
         self._is_current = is_current
-        self._time_left = StopDeadline()
+        self._stop_deadline = StopDeadline()
 
     def end_in(self, seconds: float) -> None:
         """Refuse new requests from now on, and answer the requests in progress within ``seconds``.
@@ -55,11 +55,11 @@
         The store may answer only after the process has ended. A request that is still waiting at
         that point would lose its connection, and its caller would never learn the outcome.
         """
-        self._time_left.expire_in(seconds)
+        self._stop_deadline.expire_in(seconds)
 
     async def handle(self, exchange: Exchange) -> None:
         """See HttpHandler."""
-        if self._time_left.is_ending:
+        if self._stop_deadline.is_ending:
             error = StoppingError(Verdict.NOT_RUN)
             await self._refuse(exchange, error.status, error.reason)
             return
@@ -119,32 +119,32 @@
     async def _submit(self, exchange: Exchange, queue: QueueConfiguration, job: JobId) -> None:
         try:
             received_body = collect(exchange.body(), MAX_BODY_BYTES)
-            body = await self._time_left.wait(received_body, Verdict.NOT_RUN)
+            body = await self._stop_deadline.wait(received_body, Verdict.NOT_RUN)
         except HttpError as error:
             logger.info("job not received", job=job, error=str(error))
             exchange.abort()
             return
         started_at = self._clock.now()
         spec = decode_job(body, job, queue, self._clock.unix_ms())
-        await self._time_left.wait(self._requests.submit(spec), Verdict.MAY_HAVE_RUN)
+        await self._stop_deadline.wait(self._requests.submit(spec), Verdict.MAY_HAVE_RUN)
         self._metrics.observe("fireflyfork_accept_seconds", self._clock.now() - started_at)
         await exchange.answer(200, b"{}", (_JSON,))
 
     async def _state(self, exchange: Exchange, job: JobId) -> None:
-        state = await self._time_left.wait(self._requests.state(job), Verdict.NOT_RUN)
+        state = await self._stop_deadline.wait(self._requests.state(job), Verdict.NOT_RUN)
         if state is None:
             await exchange.answer_json(410, {"error": "no such job"})
             return
         await exchange.answer(200, encode_state(state), (_JSON,))
 
     async def _cancel(self, exchange: Exchange, job: JobId) -> None:
-        if await self._time_left.wait(self._requests.cancel(job), Verdict.MAY_HAVE_RUN):
+        if await self._stop_deadline.wait(self._requests.cancel(job), Verdict.MAY_HAVE_RUN):
             await exchange.answer(200, b"{}", (_JSON,))
         else:
             await exchange.answer_json(410, {"error": "no such job"})
 
     async def _pending(self, exchange: Exchange, queue: QueueConfiguration) -> None:
-        count = await self._time_left.wait(self._requests.pending(queue), Verdict.NOT_RUN)
+        count = await self._stop_deadline.wait(self._requests.pending(queue), Verdict.NOT_RUN)
         await exchange.answer(200, encode_pending(count), (_JSON,))
 
     async def _refuse(self, exchange: Exchange, status: int, reason: str) -> None:
--- a/fireflyfork/programs/_key_copies.py
+++ b/fireflyfork/programs/_key_copies.py
@@ -313,15 +313,23 @@
         for partition, ownership in record.owners.items():
             if ownership.since != record.epoch or ownership.acquired is not Acquisition.TAKEN_OVER:
                 continue
-            earlier = before.owners.get(partition)
-            if earlier is None or earlier.owner is None or ownership.owner is None:
+            previous_ownership = before.owners.get(partition)
+            if (
+                previous_ownership is None
+                or previous_ownership.owner is None
+                or ownership.owner is None
+            ):
                 continue
-            fenced = before.fenced.get(earlier.owner)
-            lost = fenced.member if fenced is not None else before.members.get(earlier.owner)
-            if lost is None or lost.guard != self._ownership.member_id:
+            fenced_record = before.fenced.get(previous_ownership.owner)
+            lost_member = (
+                fenced_record.member
+                if fenced_record is not None
+                else before.members.get(previous_ownership.owner)
+            )
+            if lost_member is None or lost_member.guard != self._ownership.member_id:
                 continue
-            term = CopyTerm(partition, earlier.since, lost.guarded_since)
-            copy = self._copies.get((lost.member_id, partition))
+            term = CopyTerm(partition, previous_ownership.since, lost_member.guarded_since)
+            copy = self._copies.get((lost_member.member_id, partition))
             table = copy.table.handed_over() if copy is not None and copy.term == term else None
             yield LostTable(partition, ownership.owner, ownership.since, table)
 
--- a/fireflyfork/programs/_key_home.py
+++ b/fireflyfork/programs/_key_home.py
@@ -26,7 +26,9 @@
 from ._recording_sink import RecordingSink
 from ._sinks import AnswerSink
 
-TERMS = KeyTerms(most_keys=4_000, most_answer_bytes=256 * 1024, longest_answer_bytes=16 * 1024)
+KEY_TABLE_LIMITS = KeyTerms(
+    most_keys=4_000, most_answer_bytes=256 * 1024, longest_answer_bytes=16 * 1024
+)
 """The limits of one partition's key table; an entry owns a few partitions."""
 
 COPY_MARGIN_SECONDS = 0.05
@@ -296,9 +298,11 @@
 
 def _new_home(ownership: Ownership) -> _HomePartition:
     if ownership.acquired is Acquisition.FIRST:
-        home = _HomePartition(ownership.since, KeyTable(TERMS))
+        home = _HomePartition(ownership.since, KeyTable(KEY_TABLE_LIMITS))
     else:
-        home = _HomePartition(ownership.since, KeyTable.after_lost_home(TERMS, time.time()))
+        home = _HomePartition(
+            ownership.since, KeyTable.after_lost_home(KEY_TABLE_LIMITS, time.time())
+        )
     if ownership.acquired is Acquisition.FIRST:
         home.ready.set()
     return home
--- a/fireflyfork/programs/_key_replica.py
+++ b/fireflyfork/programs/_key_replica.py
@@ -114,11 +114,11 @@
         self._now = now
         self._stale_seconds = stale_seconds
 
-    async def answer(self, question: ReplicaQuery) -> ReplicaAnswer:
+    async def answer(self, query: ReplicaQuery) -> ReplicaAnswer:
         """See ReplicaSource."""
         received_at = self._now()
         replica = self._replica
-        if self._has_no_news(question):
+        if self._is_unchanged(query):
             with trio.move_on_after(self._max_wait_seconds()):
                 await replica.wait_advanced()
         return ReplicaAnswer(
@@ -127,13 +127,13 @@
             self._now() - received_at,
             replica.known_at,
             replica.revisions(),
-            replica.changed_after(question.after),
+            replica.changed_after(query.after),
         )
 
-    def _has_no_news(self, question: ReplicaQuery) -> bool:
-        if question.mark is None:
+    def _is_unchanged(self, query: ReplicaQuery) -> bool:
+        if query.mark is None:
             return False
-        return self._replica.known_at <= question.mark and self._replica.as_of <= question.after
+        return self._replica.known_at <= query.mark and self._replica.as_of <= query.after
 
     def _max_wait_seconds(self) -> float:
         """Return the maximum time in seconds that a query waits for an update.
--- a/fireflyfork/programs/_keyed_requests.py
+++ b/fireflyfork/programs/_keyed_requests.py
@@ -113,10 +113,10 @@
     def _home_region(self, key: IdempotencyKey) -> RegionName:
         configuration = self._configuration()
         regions = [region.name for region in configuration.regions] if configuration else []
-        named = RegionName(key.partition(_SEPARATOR)[0])
-        if named in regions:
-            return named
-        return regions[0] if regions else named
+        key_region = RegionName(key.partition(_SEPARATOR)[0])
+        if key_region in regions:
+            return key_region
+        return regions[0] if regions else key_region
 
 
 def _new_key(region: RegionName) -> IdempotencyKey:
--- a/fireflyfork/programs/_log_sink.py
+++ b/fireflyfork/programs/_log_sink.py
@@ -51,7 +51,7 @@
         """Set the descriptor to non-blocking mode; ``max_pending`` is in bytes."""
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
-        self._most_pending = max_pending
+        self._max_pending_bytes = max_pending
         self._pending: deque[bytes] = deque()
         self._pending_bytes = 0
         self._dropped = 0
@@ -73,7 +73,7 @@
         return {"level": "WARNING", "message": message, "lines": self._dropped}
 
     def _has_room_for(self, line: bytes) -> bool:
-        return self._pending_bytes + len(line) <= self._most_pending
+        return self._pending_bytes + len(line) <= self._max_pending_bytes
 
     def _enqueue(self, line: bytes) -> None:
         self._pending.append(line)
--- a/fireflyfork/programs/_loop_report.py
+++ b/fireflyfork/programs/_loop_report.py
@@ -70,13 +70,13 @@
                 await trio.sleep(PROFILE_SECONDS)
             self.report(trio.current_time() - started_at)
 
-    def report(self, looked_seconds: float) -> None:
+    def report(self, profiled_seconds: float) -> None:
         """Log the resource use since the last report; ``profiled_seconds`` of it were profiled."""
         spent = dict(self._profile.seconds_by_activity)
         seconds = {name: spent[name] - self._reported_spent.get(name, 0.0) for name in spent}
         logger.info(
             "loop time",
-            looked_ms=round(1000 * looked_seconds),
+            looked_ms=round(1000 * profiled_seconds),
             spent_ms={
                 name: round(1000 * activity_seconds)
                 for name, activity_seconds in _busiest(seconds).items()
--- a/fireflyfork/programs/_membership.py
+++ b/fireflyfork/programs/_membership.py
@@ -121,7 +121,7 @@
         self._configuration_version = ConfigurationVersion(0)
         self._state = self._new_state(me)
         self._nursery: trio.Nursery | None = None
-        self._change_event = trio.Event()
+        self._changed = trio.Event()
         self._leaving = False
         self._rejoin_at: float | None = None
         self._joined_at = float("-inf")
@@ -200,7 +200,7 @@
                 seen = view
                 yield view
             else:
-                await self._change_event.wait()
+                await self._changed.wait()
 
     def answer_question(self, question: GuardQuestion) -> GuardReply:
         """Answer a peer's guard question, and compare fleet records with the peer."""
@@ -246,7 +246,7 @@
         self._handle_event(LeaveRequested())
         with trio.move_on_after(seconds):
             while self.phase not in (MemberPhase.LEFT, MemberPhase.FENCED):
-                await self._change_event.wait()
+                await self._changed.wait()
         return self.phase is MemberPhase.LEFT
 
     async def _keep_ticking(self) -> None:
@@ -296,7 +296,7 @@
         """Watch the store while this member is the watcher of its failure domain."""
         while True:
             if not self.is_watcher:
-                await self._change_event.wait()
+                await self._changed.wait()
                 continue
             try:
                 await self._watch_once()
@@ -332,8 +332,8 @@
 
     def _announce(self) -> None:
         self._listener(self._view())
-        self._change_event.set()
-        self._change_event = trio.Event()
+        self._changed.set()
+        self._changed = trio.Event()
 
     def _execute(self, command: Command) -> None:
         match command:
--- a/fireflyfork/programs/_replica_follower.py
+++ b/fireflyfork/programs/_replica_follower.py
@@ -159,14 +159,14 @@
         return fallback
 
     async def _follow_first_usable(
-        self, places: tuple[ReplicaEndpoint, ...], peers: ReplicaPeers
+        self, upstreams: tuple[ReplicaEndpoint, ...], peers: ReplicaPeers
     ) -> None:
         """Follow the first usable upstream, or better ones that appear in the meantime."""
         first_answer_seconds = inf
-        while places:
-            first, *others = places
+        while upstreams:
+            first, *remaining = upstreams
             better = await self._follow(first, peers, first_answer_seconds)
-            places = better or tuple(others)
+            upstreams = better or tuple(remaining)
             # Without any state, the replica can't cause an outdated configuration to be used.
             first_answer_seconds = (
                 inf if better or not self._replica.as_of else NEXT_UPSTREAM_SECONDS
@@ -182,28 +182,28 @@
         self._replica.note_known(self._watch.as_of, self._watch.known_at)
 
     async def _follow(
-        self, place: ReplicaEndpoint, peers: ReplicaPeers, first_answer_seconds: float
+        self, upstream: ReplicaEndpoint, peers: ReplicaPeers, first_answer_seconds: float
     ) -> tuple[ReplicaEndpoint, ...]:
         """Follow an upstream for as long as it answers and is itself up to date.
 
         The first answer, and the first that is up to date, must arrive within
         ``first_answer_seconds``. Returns the upstreams to follow instead if there is a better one.
         """
-        logger.info("following an instance", upstream=place.node)
-        self._upstream = place.node
+        logger.info("following an instance", upstream=upstream.node)
+        self._upstream = upstream.node
         better: tuple[ReplicaEndpoint, ...] = ()
         try:
-            async with peers.connect(place) as peer:
-                better = await self._follow_while_fresh(peer, place, first_answer_seconds)
+            async with peers.connect(upstream) as peer:
+                better = await self._follow_while_fresh(peer, upstream, first_answer_seconds)
             reason = "a better instance is available" if better else "out of date"
         except PeerError as error:
             reason = str(error)
         self._upstream = None
-        logger.info("upstream left", upstream=place.node, reason=reason)
+        logger.info("upstream left", upstream=upstream.node, reason=reason)
         return better
 
     async def _follow_while_fresh(
-        self, peer: ReplicaPeer, place: ReplicaEndpoint, first_answer_seconds: float
+        self, peer: ReplicaPeer, upstream: ReplicaEndpoint, first_answer_seconds: float
     ) -> tuple[ReplicaEndpoint, ...]:
         started_at = self._now()
         tolerated_until = started_at + min(first_answer_seconds, self._stale_seconds)
@@ -211,13 +211,13 @@
         mark: float | None = None
         while self._is_fresh() or self._now() <= tolerated_until:
             if self._now() >= review_at:
-                places = await self._choose(())
-                if places and places[0] != place:
-                    return places
+                candidates = await self._choose(())
+                if candidates and candidates[0] != upstream:
+                    return candidates
                 review_at = self._now() + UPSTREAM_REVIEW_SECONDS
             self._asked_at = self._now()
-            question = ReplicaQuery(self._replica.as_of, mark)
-            answer = await peer.ask(question, first_answer_seconds if mark is None else inf)
+            query = ReplicaQuery(self._replica.as_of, mark)
+            answer = await peer.ask(query, first_answer_seconds if mark is None else inf)
             self._apply_answer(answer)
             mark = answer.mark
         return ()
--- a/fireflyfork/programs/_request_flow.py
+++ b/fireflyfork/programs/_request_flow.py
@@ -90,7 +90,7 @@
                     request.deadline,
                     group.expected_run_seconds,
                 )
-                if sink.started or not body.replayable or not self._pay_for_retry(request, failed):
+                if sink.started or not body.replayable or not self._allow_retry(request, failed):
                     raise RequestError(
                         error.status, error.reason, verdict, error.retry_after
                     ) from error
@@ -107,7 +107,7 @@
     def _budget(self, service: ServiceName) -> RetryBudget:
         return self._budgets.get(service) or RetryBudget.full(RetryLimits())
 
-    def _pay_for_retry(self, request: ServiceRequest, failed: FailedAttempt) -> bool:
+    def _allow_retry(self, request: ServiceRequest, failed: FailedAttempt) -> bool:
         budget = self._budget(request.service)
         self._budgets[request.service], decision = budget.decide(failed, trio.current_time())
         self._metrics.count(
@@ -136,25 +136,25 @@
         region = self._ownership.region_of(self._ownership.member_id)
         owners = self._targets.other_owners(request.service)
         regions = ((member, self._ownership.region_of(member)) for member in owners)
-        located = [
+        peer_regions = [
             (member, member_region)
             for member, member_region in regions
             if member_region is not None
         ]
-        question = RouteInput(
+        route_input = RouteInput(
             region=region or RegionName(""),
             own=tuple(group.own_targets()),
             queued=group.queued,
             drain_per_second=group.drain_per_second,
-            peers=tuple(self._figures.for_members(request.service, located)),
+            peers=tuple(self._figures.for_members(request.service, peer_regions)),
             time_left=request.deadline - now - group.expected_run_seconds,
             request_bytes=body.length + _TYPICAL_ANSWER_BYTES,
             forwarded=False,
             draw=(self._random.random(), self._random.random()),
         )
-        chosen = route(question, self._links, now)
+        chosen = route(route_input, self._links, now)
         if chosen.kind is RouteKind.SPILL and chosen.member_id is not None:
-            self._spend(chosen, question.request_bytes, now)
+            self._spend(chosen, route_input.request_bytes, now)
         return chosen
 
     def _spend(self, chosen: Route, size: int, now: float) -> None:
--- a/fireflyfork/programs/_run_orders.py
+++ b/fireflyfork/programs/_run_orders.py
@@ -75,10 +75,10 @@
         Raises OwnershipLostError if the executor has seen a higher fencing token.
         """
         executor = command.run.executor
-        limit = self._order_limiters.setdefault(
+        limiter = self._order_limiters.setdefault(
             executor, trio.CapacityLimiter(MAX_ORDERS_PER_EXECUTOR)
         )
-        async with limit:
+        async with limiter:
             answer = await self._order(command, executor)
         if answer.outcome is CallOutcome.FENCED:
             raise OwnershipLostError(f"{executor.executor} reported a higher fencing token")
@@ -107,7 +107,7 @@
     async def _send(self, command: RunCommand, executor: ExecutorState) -> OrderAnswer:
         run = command.run
         registration = executor.registration
-        place = ExecutorEndpoint(
+        endpoint = ExecutorEndpoint(
             registration.executor,
             registration.address,
             run.incarnation,
@@ -115,10 +115,10 @@
         )
         self._polls.wake(executor)
         if isinstance(command, StopRun):
-            return await self._calls.stop(place, self._token, run.task.name, run.attempt)
+            return await self._calls.stop(endpoint, self._token, run.task.name, run.attempt)
         if isinstance(command, PaceRun):
             return await self._calls.pace(
-                place, self._token, run.task.name, run.attempt, command.percent
+                endpoint, self._token, run.task.name, run.attempt, command.percent
             )
         order = StartRequest(
             run.task.name,
@@ -128,7 +128,7 @@
             run.checkpoint,
             run.ticket,
         )
-        return await self._calls.start(place, self._token, order)
+        return await self._calls.start(endpoint, self._token, order)
 
     @staticmethod
     def _log_refused_start(run: Run, answer: OrderAnswer) -> None:
--- a/fireflyfork/programs/_scheduler_node.py
+++ b/fireflyfork/programs/_scheduler_node.py
@@ -125,25 +125,38 @@
 
     async def run(self, stop: trio.Event) -> None:
         """Serve until ``stop`` is set, then end gracefully."""
-        caller, ready = self._settings.caller_address, self._settings.readiness_address
-        metrics = self._settings.metrics_address
+        caller_address, readiness_address = (
+            self._settings.caller_address,
+            self._settings.readiness_address,
+        )
+        metrics_address = self._settings.metrics_address
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            nursery.start_soon(self._callers.run, await listen(caller.host, caller.port))
-            nursery.start_soon(self._readiness.run, await listen(ready.host, ready.port))
-            page = HttpServer(_MetricsPage(self._metrics))
-            nursery.start_soon(page.run, await listen(metrics.host, metrics.port))
-            relay = self._settings.relay_address
-            if relay is not None:
-                nursery.start_soon(self._relay.run, await listen(relay.host, relay.port))
-            replica = self._settings.replica_address
-            if replica is not None:
-                server = ReplicaServer(self._keeper.replica_source)
-                nursery.start_soon(server.run, await listen(replica.host, replica.port))
+            nursery.start_soon(
+                self._callers.run, await listen(caller_address.host, caller_address.port)
+            )
+            nursery.start_soon(
+                self._readiness.run, await listen(readiness_address.host, readiness_address.port)
+            )
+            metrics_server = HttpServer(_MetricsPage(self._metrics))
+            nursery.start_soon(
+                metrics_server.run, await listen(metrics_address.host, metrics_address.port)
+            )
+            relay_address = self._settings.relay_address
+            if relay_address is not None:
+                nursery.start_soon(
+                    self._relay.run, await listen(relay_address.host, relay_address.port)
+                )
+            replica_address = self._settings.replica_address
+            if replica_address is not None:
+                replica_server = ReplicaServer(self._keeper.replica_source)
+                nursery.start_soon(
+                    replica_server.run, await listen(replica_address.host, replica_address.port)
+                )
             nursery.start_soon(self._keeper.run)
             nursery.start_soon(self._announcements.run)
             nursery.start_soon(self._report.run)
-            logger.info("serving", callers=str(caller))
+            logger.info("serving", callers=str(caller_address))
             await stop.wait()
             await self._stop()
             nursery.cancel_scope.cancel()
@@ -151,7 +164,7 @@
     async def _stop(self) -> None:
         started_at = self._clock.now()
         logger.info(
-            "stopping", owned=sorted(name for name, one in self._candidates.items() if one.owner)
+            "stopping", owned=sorted(name for name, each in self._candidates.items() if each.owner)
         )
         self._stopping = True
         self._relay.announce_stop()
--- a/fireflyfork/programs/_service_journal.py
+++ b/fireflyfork/programs/_service_journal.py
@@ -75,7 +75,7 @@
         store: CoordinationStore,
         term: Term,
         scheduler: Scheduler,
-        confirmed: Callable[[bool], None],
+        on_written: Callable[[bool], None],
     ) -> None:
         """Set up the journal; ``open`` must be called before the first write.
 
@@ -85,7 +85,7 @@
         self._store = store
         self._term = term
         self._scheduler = scheduler
-        self._confirmed = confirmed
+        self._on_written = on_written
         self._last_write = Revision(0)
         self._write_count = 0
         self._changed = trio.Event()
@@ -156,7 +156,7 @@
         self._scheduler.release_stored_ends()
         if executors is not None:
             self._scheduler.executors_stored(executors)
-        self._confirmed(executors is not None)
+        self._on_written(executors is not None)
         self._stored.set()
         self._stored = trio.Event()
         return True
--- a/fireflyfork/programs/_service_owner.py
+++ b/fireflyfork/programs/_service_owner.py
@@ -63,12 +63,12 @@
 notices."""
 PROOF_RETRY_SECONDS = 0.5
 """Interval of attempts to read the owner key while the store doesn't answer; calls are paid for."""
-ROUND_REST_FACTOR = 3.0
+ROUND_PAUSE_FACTOR = 3.0
 """Pause after a round of placing, as a multiple of the duration of the round.
 
 Rounds thus take at most a quarter of the loop's time. Changes during the pause are handled
 together in the next round."""
-MAX_ROUND_REST_SECONDS = 0.03
+MAX_ROUND_PAUSE_SECONDS = 0.03
 
 
 class ServiceOwner:
@@ -104,8 +104,8 @@
         self._queues = queues
         self._retention = bounds.status_retention + RETENTION_MARGIN_SECONDS
         lease = min(LEASE_SECONDS, bounds.max_lease * MAX_LEASE_SHARE)
-        unheard_seconds = MAX_UNCONFIRMED_SECONDS + lease + CLOCK_MARGIN_SECONDS
-        self._scheduler = Scheduler(SchedulerSettings(self._service, unheard_seconds, lease))
+        unreached_lease = MAX_UNCONFIRMED_SECONDS + lease + CLOCK_MARGIN_SECONDS
+        self._scheduler = Scheduler(SchedulerSettings(self._service, unreached_lease, lease))
         self._journal = ServiceJournal(
             self._store, term, self._scheduler, self._note_journal_written
         )
@@ -198,7 +198,7 @@
                     nursery.start_soon(
                         self._succession.watch_recovery, lambda: self._ready, recovery
                     )
-                    asked_at = self._clock.now()
+                    sent_at = self._clock.now()
                     work_listing, registrations_revision = await self._recover()
                     self._ready = True
                 if not self._ready:
@@ -207,7 +207,7 @@
                 # listing includes.
                 self._work_intake.require_ownership(work_listing)
                 # The listing shows that there was no other owner when it was requested.
-                self._scheduler.record_ownership(asked_at)
+                self._scheduler.record_ownership(sent_at)
                 nursery.start_soon(self._journal.run)
                 nursery.start_soon(self._work_intake.watch().run, work_listing.as_of)
                 nursery.start_soon(self._registrations.watch().run, registrations_revision)
@@ -293,7 +293,7 @@
     async def _prove_ownership(self) -> None:
         """Read the owner key, because a decision depends on the ownership being confirmed."""
         self._proving = True
-        asked_at = self._clock.now()
+        sent_at = self._clock.now()
         try:
             item = await self._store.read(owner_key(self._service))
         except StoreError as error:
@@ -302,7 +302,7 @@
         else:
             if item is None or item.revision != self._term.owner_revision:
                 raise OwnershipLostError("the owner key was replaced or removed")
-            self._scheduler.record_ownership(asked_at)
+            self._scheduler.record_ownership(sent_at)
         self._proving = False
 
     async def _remove_old_jobs(self) -> None:
@@ -334,7 +334,7 @@
                 self._decision_log.write(self._scheduler.take_notes())
             self._journal.notify()
             round_seconds = self._clock.now() - started_at
-            await trio.sleep(min(ROUND_REST_FACTOR * round_seconds, MAX_ROUND_REST_SECONDS))
+            await trio.sleep(min(ROUND_PAUSE_FACTOR * round_seconds, MAX_ROUND_PAUSE_SECONDS))
 
     async def _keep_polling(self, executor: ExecutorState) -> None:
         try:
@@ -343,14 +343,14 @@
             self._polled_executors.discard(executor)
             self._orders.forget(executor)
 
-    async def _ask_advice(self, question: AskAdvice) -> None:
-        advice = await self._advisor.advise(step_name(*question.step), question.executors)
+    async def _ask_advice(self, command: AskAdvice) -> None:
+        advice = await self._advisor.advise(step_name(*command.step), command.executors)
         now, now_ms = self._clock.now(), self._clock.unix_ms()
         if advice is None:
-            self._scheduler.handle_advice(question, None, 0.0, now, now_ms)
+            self._scheduler.handle_advice(command, None, 0.0, now, now_ms)
         else:
-            seconds = advice.valid_seconds
-            self._scheduler.handle_advice(question, advice.tickets, seconds, now, now_ms)
+            valid_seconds = advice.valid_seconds
+            self._scheduler.handle_advice(command, advice.tickets, valid_seconds, now, now_ms)
         self.request_dispatch()
 
 
--- a/fireflyfork/programs/_succession.py
+++ b/fireflyfork/programs/_succession.py
@@ -35,7 +35,7 @@
         node: NodeName,
         announcements: Announcements,
         calls: RelayedExecutors,
-        executors: Callable[[], int],
+        executor_count: Callable[[], int],
     ) -> None:
         """Set up without making a call.
 
@@ -45,7 +45,7 @@
         self._node = node
         self._announcements = announcements
         self._calls = calls
-        self._executors = executors
+        self._executor_count = executor_count
 
     async def watch_recovery(self, ready: Callable[[], bool], recovery: trio.CancelScope) -> None:
         """Cancel a slow recovery once another instance could complete one sooner.
@@ -97,7 +97,7 @@
     def _use_relays(self, others: list[InstanceStanding]) -> None:
         # The list is empty while the store doesn't answer, but the relays are still available.
         if others:
-            chosen = choose_relays(self._node, others, self._executors())
+            chosen = choose_relays(self._node, others, self._executor_count())
             self._calls.set_relays(
                 RelayEndpoint(instance.node, instance.failure_domain, instance.relay)
                 for instance in chosen
--- a/fireflyfork/programs/_target_attempts.py
+++ b/fireflyfork/programs/_target_attempts.py
@@ -203,12 +203,12 @@
         return await self._open(target)
 
     async def _open(self, target: OwnedTarget) -> tuple[ConnectionId, HttpClientConnection]:
-        counted = target.ledger.open_connection(trio.current_time())
-        if isinstance(counted, SlotRefusal):
+        ledger = target.ledger.open_connection(trio.current_time())
+        if isinstance(ledger, SlotRefusal):
             raise RequestError(503, "no connection to the target left", Verdict.NOT_RUN, 1.0)
-        target.ledger = counted
+        target.ledger = ledger
         target.last_connection_id = ConnectionId(target.last_connection_id + 1)
-        number = target.last_connection_id
+        connection_id = target.last_connection_id
         try:
             address = Address.parse(target.contract.address)
             connection = await HttpClientConnection.open(address, CONNECT_SECONDS)
@@ -217,7 +217,7 @@
             target.pool = target.pool.open_failed(trio.current_time())
             raise
         target.pool = target.pool.opened()
-        return number, connection
+        return connection_id, connection
 
     @staticmethod
     def _put_back(
--- a/fireflyfork/programs/_target_group.py
+++ b/fireflyfork/programs/_target_group.py
@@ -261,11 +261,11 @@
         # A slot that becomes free by time and a deadline that passes do not set any event, so a
         # waiting request must check for them.
         now = trio.current_time()
-        moments = [target.ledger.next_free_at(now) for target in self._targets.values()]
+        due_times = [target.ledger.next_free_at(now) for target in self._targets.values()]
         expiry = self._queue.next_expiry()
         if expiry is not None:
-            moments.append(expiry)
-        return min(max(min(moments, default=now) - now, 0.01), MAX_CHECK_INTERVAL_SECONDS)
+            due_times.append(expiry)
+        return min(max(min(due_times, default=now) - now, 0.01), MAX_CHECK_INTERVAL_SECONDS)
 
     def _settle_refused(self, refused: tuple[RefusedRequest, ...]) -> None:
         for refusal in refused:
--- a/fireflyfork/programs/tests/test_announcements.py
+++ b/fireflyfork/programs/tests/test_announcements.py
@@ -48,7 +48,7 @@
 class DistanceTest(unittest.TestCase):
     """Detection of whether the store is in another region."""
 
-    def test_a_freeze_makes_no_instance_far(self) -> None:
+    def test_a_suspension_does_not_make_the_store_far(self) -> None:
         """Guards against an instance that considers the store far after a suspension.
 
         It would then follow an instance that follows it.
--- a/fireflyfork/programs/tests/test_configuration_keeper.py
+++ b/fireflyfork/programs/tests/test_configuration_keeper.py
@@ -82,7 +82,7 @@
 
         run_keepers(scenario)
 
-    def test_a_restarted_entry_does_not_take_the_first_word(self) -> None:
+    def test_a_restarted_entry_does_not_apply_the_first_offer(self) -> None:
         """Guards against a restarted entry that applies an older configuration than before.
 
         It restarts while the store is down, and the first peer that offers a configuration lags.
--- a/fireflyfork/programs/tests/test_decision_log.py
+++ b/fireflyfork/programs/tests/test_decision_log.py
@@ -72,7 +72,7 @@
                 self.log.write([note])
                 self.assertIn(line, self.metrics.text())
 
-    def test_a_flood_of_decisions_is_counted_whole_and_logged_in_part(self) -> None:
+    def test_many_decisions_are_all_counted_and_partly_logged(self) -> None:
         """Guards against a flood of log lines, and against lines that are left out without notice.
 
         When many jobs are cancelled at once, a line for each would use up the processor time that
--- a/fireflyfork/programs/tests/test_keyed_requests.py
+++ b/fireflyfork/programs/tests/test_keyed_requests.py
@@ -204,7 +204,7 @@
 
         run_fleet_with_targets_at_entry_1(body)
 
-    def test_nothing_runs_that_the_guard_does_not_know(self) -> None:
+    def test_nothing_runs_before_the_guard_has_acknowledged_its_key(self) -> None:
         """Guards against bookings that run before the guard has acknowledged their keys.
 
         The guard is lost and not replaced yet; the booking waits until it is refused.
@@ -273,7 +273,7 @@
 
         run_fleet(body)
 
-    def test_an_old_home_that_does_not_know_it_yet_runs_nothing(self) -> None:
+    def test_a_former_home_without_the_new_record_runs_nothing(self) -> None:
         """Guards against a run at a home that was paused, lost its right and was resumed.
 
         A booking reaches it before it has received the new fleet record.
--- a/fireflyfork/programs/tests/test_leaving.py
+++ b/fireflyfork/programs/tests/test_leaving.py
@@ -46,7 +46,7 @@
 class LeavingTargetTest(unittest.TestCase):
     """A target that the platform reports as leaving."""
 
-    def test_it_gets_nothing_new_once_a_peer_has_told_the_owner(self) -> None:
+    def test_a_leaving_target_gets_no_requests_once_a_peer_has_reported_it(self) -> None:
         """Guards against bookings that are sent to a leaving target and end with its instance.
 
         Only one entry has the new instance list; the owner's list lags.
@@ -65,7 +65,7 @@
 
         run_fleet(body)
 
-    def test_what_runs_on_it_is_not_cut_off(self) -> None:
+    def test_requests_running_on_a_leaving_target_are_completed(self) -> None:
         """Guards against running bookings that are not answered because their target is leaving."""
 
         async def body(fleet: RunningFleet) -> None:
--- a/fireflyfork/programs/tests/test_membership.py
+++ b/fireflyfork/programs/tests/test_membership.py
@@ -59,7 +59,7 @@
 
         _with_fleet(scenario)
 
-    def test_store_outage_stops_nobody(self) -> None:
+    def test_store_outage_stops_no_member(self) -> None:
         """Guards against members that stop serving while the store is down, here for 10 minutes."""
 
         async def scenario(fleet: Fleet, members: list[Membership]) -> None:
@@ -87,7 +87,7 @@
 
         _with_fleet(scenario)
 
-    def test_cut_member_stops_and_joins_anew(self) -> None:
+    def test_isolated_member_stops_and_rejoins(self) -> None:
         """Guards against targets with two owners, one of which is cut off from peers and store."""
 
         async def scenario(fleet: Fleet, members: list[Membership]) -> None:
@@ -105,7 +105,7 @@
 
         _with_fleet(scenario)
 
-    def test_fenced_member_joins_anew(self) -> None:
+    def test_fenced_member_rejoins(self) -> None:
         """Guards against a fenced member that never rejoins.
 
         A process that was frozen for longer than its right lasts is fenced while it is frozen.
@@ -123,7 +123,7 @@
 
         _with_fleet(scenario)
 
-    def test_unreachable_member_does_not_come_back_every_few_seconds(self) -> None:
+    def test_unreachable_member_does_not_rejoin_repeatedly(self) -> None:
         """Guards against targets that change owners every few seconds.
 
         A member that reaches the store but not its peers would rejoin and be fenced repeatedly.
@@ -198,6 +198,6 @@
 
         _with_fleet(scenario)
 
-    def test_clock_goes_on_in_suspension(self) -> None:
+    def test_clock_continues_during_suspension(self) -> None:
         """The default clock, which includes the time of suspension, is available."""
         self.assertGreater(boot_time(), 0)
--- a/fireflyfork/programs/tests/test_queue_keeper.py
+++ b/fireflyfork/programs/tests/test_queue_keeper.py
@@ -50,7 +50,7 @@
 
         _play(body)
 
-    def test_the_log_tells_how_long_its_answer_took_and_how_large_it_is(self) -> None:
+    def test_the_log_shows_the_duration_and_size_of_the_answer(self) -> None:
         """Guards against a late configuration whose cause the log doesn't show.
 
         The line must show whether the request or the answer was late.
@@ -118,7 +118,7 @@
 
         _play(body)
 
-    def test_a_version_is_not_missed_while_the_store_is_away_or_forgets(self) -> None:
+    def test_a_version_is_not_missed_after_an_outage_with_lost_history(self) -> None:
         """Guards against a version that is missed because of an outage and lost history.
 
         The store is unavailable when the operator writes, and has then dropped its history. An
--- a/fireflyfork/programs/tests/test_request_path.py
+++ b/fireflyfork/programs/tests/test_request_path.py
@@ -122,7 +122,7 @@
 
         run_fleet(body)
 
-    def test_what_is_not_http_is_refused_and_ends_only_its_connection(self) -> None:
+    def test_malformed_http_is_refused_and_ends_only_its_connection(self) -> None:
         """Guards against malformed input that disturbs other callers.
 
         Port scanners and broken clients send bytes that are not valid HTTP.
--- a/fireflyfork_standins/scheduling/_nodes.py
+++ b/fireflyfork_standins/scheduling/_nodes.py
@@ -284,7 +284,7 @@
             self._store,
             VirtualClock(),
             self._site.failure_domain if self._site is not None else None,
-            replica=self._site.replica if self._site is not None else None,
+            replica_address=self._site.replica if self._site is not None else None,
         )
         self._source = source = self._make_source(announcements)
         local_calls = StandInExecutorCalls(self.name, self._executors, nursery, self._random)
