--- a/fireflyfork/programs/_planner_partition.py
+++ b/fireflyfork/programs/_planner_partition.py
@@ -118,7 +118,7 @@
                 await self._commit_loop()
                 nursery.cancel_scope.cancel()
         except* PartitionLostError as lost:
-            logger.warning("partition lost to another planner: {}", lost.exceptions[0])
+            logger.warning("partition lost: {}", lost.exceptions[0])
         finally:
             self._state = None
             self._unstored.wake_waiters()
